--- a/crates/curlewpoint-cli/src/commands/fleet.rs
+++ b/crates/curlewpoint-cli/src/commands/fleet.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use clap::{Args, Subcommand, ValueEnum};
-use curlewpoint_link::{open, Bounds};
+use curlewpoint_link::{handshake, LinkLimits};
 use curlewpoint_rig::scale::{
     play, Effort, Outcome, Part, Report, Terms, BUDGETS, LEAST_SIZE, MOST_SIZE, PACES,
 };
@@ -212,7 +212,8 @@
 
 async fn status(address: &str) -> Result<Bytes, String> {
     let stream = TcpStream::connect(address).await.map_err(|e| format!("{address}: {e}"))?;
-    let mut link = open(stream, "status", Bounds::default()).await.map_err(|e| format!("{address}: {e}"))?;
+    let mut link =
+        handshake(stream, "status", LinkLimits::default()).await.map_err(|e| format!("{address}: {e}"))?;
     let _ = link.outbox.send(Frame::new(Kind::STATUS), None);
     loop {
         match link.reader.next().await {
--- a/crates/curlewpoint-engine/benches/held.rs
+++ b/crates/curlewpoint-engine/benches/held.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use curlewpoint::types::*;
-use curlewpoint_engine::{Answer, ClientId, Engine, RequestId, UpstreamRequest, World};
+use curlewpoint_engine::{Answer, ClientId, Engine, EngineDriver, RequestId, UpstreamRequest};
 use serde_json::json;
 
 /// Keeps the last attempt, and ends nothing by itself.
@@ -15,26 +15,26 @@
     ended: VecDeque<(RequestId, Outcome)>,
 }
 
-impl World for Quiet {
+impl EngineDriver for Quiet {
     fn request(&mut self, _: Time, id: RequestId, _: WorkerId, request: UpstreamRequest<'_>) {
         if let UpstreamRequest::Attempt { .. } = request {
             self.last = Some(id);
         }
     }
-    fn take_back(&mut self, _: Time, _: RequestId) -> bool {
+    fn withdraw(&mut self, _: Time, _: RequestId) -> bool {
         false
     }
     fn answer(&mut self, _: RpcId, _: ClientId, _: u64, _: Answer, _: &str, _: Time, _: Bytes) {}
-    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
         self.ended.pop_front()
     }
     fn unload(&mut self, _: Time, _: WorkerId, _: &str) {}
     fn watch_list(&mut self, _: Option<(u64, u64)>) {}
-    fn worker_at(&mut self, _: Time, _: WorkerId, _: &str, _: &str, _: Time) {}
-    fn worker_drains(&mut self, _: Time, _: WorkerId) {}
+    fn set_worker_address(&mut self, _: Time, _: WorkerId, _: &str, _: &str, _: Time) {}
+    fn worker_draining(&mut self, _: Time, _: WorkerId) {}
     fn worker_gone(&mut self, _: Time, _: WorkerId) {}
-    fn taken(&mut self, _: RpcId) {}
-    fn forgotten(&mut self, _: RpcId) {}
+    fn rpc_accepted(&mut self, _: RpcId) {}
+    fn rpc_forgotten(&mut self, _: RpcId) {}
     fn log(&mut self, _: Option<RpcId>, _: &str) {}
 }
 
@@ -66,7 +66,17 @@
         let before = resident();
         let ask = |engine: &mut Engine<Quiet>, now, tag: u64| {
             let model = format!("model-{}", tag % 100);
-            engine.rpc(now, (ClientId(1), tag), "read", &model, "", Time(5_000_000), None, None, body.clone())
+            engine.submit_rpc(
+                now,
+                (ClientId(1), tag),
+                "read",
+                &model,
+                "",
+                Time(5_000_000),
+                None,
+                None,
+                body.clone(),
+            )
         };
         let taken = (0..open).filter(|tag| ask(&mut engine, now, *tag).is_ok()).count();
         let held = resident().saturating_sub(before);
@@ -76,9 +86,9 @@
         for tag in open..open + MORE {
             now = now + Time(1);
             engine.advance(now);
-            engine.world().last = None;
+            engine.driver().last = None;
             let _ = ask(&mut engine, now, tag);
-            if let Some(out) = engine.world().last {
+            if let Some(out) = engine.driver().last {
                 answered += 1;
                 engine.request_ended(now, out, Outcome::Ok, Copy::Warm, 0, 0, Vec::new(), Bytes::new());
             }
@@ -87,7 +97,7 @@
         let each = held.checked_div(taken).unwrap_or(0);
         println!(
             "{open} asked, {taken} taken, {} open after; {each} bytes each; {us:.1} us an RPC beside them, {answered} of {MORE} called out at once",
-            engine.open()
+            engine.open_rpcs()
         );
     }
 }
--- a/crates/curlewpoint-engine/benches/wheel.rs
+++ b/crates/curlewpoint-engine/benches/wheel.rs
@@ -6,7 +6,7 @@
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use curlewpoint::types::Time;
-use curlewpoint_engine::Wheel;
+use curlewpoint_engine::TimerWheel;
 use oorandom::Rand64;
 
 const PENDING: u64 = 100_000;
@@ -15,7 +15,7 @@
 fn set_one_take_one(c: &mut Criterion) {
     let mut group = c.benchmark_group("set one, take one, 100000 pending");
     group.bench_function("wheel", |b| {
-        let (mut rng, mut wheel) = (Rand64::new(1), Wheel::default());
+        let (mut rng, mut wheel) = (Rand64::new(1), TimerWheel::default());
         (0..PENDING).for_each(|i| wheel.set(Time(rng.rand_range(1..SPAN)), i));
         let mut now = 0;
         b.iter(|| {
--- a/crates/curlewpoint-engine/src/engine.rs
+++ b/crates/curlewpoint-engine/src/engine.rs
@@ -6,10 +6,10 @@
 use curlewpoint::types::*;
 use serde_json::{Map, Value};
 
-use crate::ids::{ClientId, Ids, RequestId};
+use crate::ids::{ClientId, NameTable, RequestId};
 use crate::lifecycle::{describe, Lifecycles, Transition};
-use crate::roster::{Read, Roster};
-use crate::wheel::Wheel;
+use crate::roster::{EndpointList, ListOutcome};
+use crate::wheel::TimerWheel;
 
 /// The final answer for an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -43,12 +43,12 @@
 pub enum UpstreamRequest<'a> {
     Attempt {
         rpc: RpcId,
-        no: AttemptNo,
+        number: AttemptNo,
         method: &'a str,
         model: &'a str,
         tenant: &'a str,
         token: Option<&'a str>,
-        left: Time,
+        time_left: Time,
         body: &'a Bytes,
     },
     Load {
@@ -59,40 +59,40 @@
 }
 
 /// What the engine acts through.
-pub trait World {
+pub trait EngineDriver {
     /// Asks a worker; one `request_ended` follows, unless it is taken back.
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>);
     /// Nobody waits for the upstream request any more. True: not one byte of it was, or ever will be, sent.
-    fn take_back(&mut self, now: Time, id: RequestId) -> bool;
+    fn withdraw(&mut self, now: Time, id: RequestId) -> bool;
     /// The final answer for the RPC that `client` calls `tag`.
     fn answer(
         &mut self, rpc: RpcId, client: ClientId, tag: u64, answer: Answer, why: &str, retry_after: Time,
         body: Bytes,
     );
     /// The next of the upstream requests that ended on this side, without an answer.
-    fn ended(&mut self) -> Option<(RequestId, Outcome)>;
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)>;
     fn unload(&mut self, now: Time, worker: WorkerId, model: &str);
     /// The list is wanted from the version held on; none: the whole.
     fn watch_list(&mut self, held: Option<(u64, u64)>);
     /// Where a worker is reached; `since` tells one start of its process from another.
-    fn worker_at(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time);
+    fn set_worker_address(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time);
     /// It drains: what has not been begun is not sent to it any more.
-    fn worker_drains(&mut self, now: Time, worker: WorkerId);
+    fn worker_draining(&mut self, now: Time, worker: WorkerId);
     fn worker_gone(&mut self, now: Time, worker: WorkerId);
     /// The module has seen this of a function at a worker; others may be told.
-    fn seen(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _held: u64) {}
+    fn observed(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _held: u64) {}
     /// An RPC of a function comes in; others may be asked what they know of it. Nothing waits for their answer.
-    fn wanted(&mut self, _function: FunctionId) {}
+    fn function_requested(&mut self, _function: FunctionId) {}
     /// An RPC has been taken: what it needs until it is forgotten is to be kept.
-    fn taken(&mut self, rpc: RpcId);
+    fn rpc_accepted(&mut self, rpc: RpcId);
     /// It has its answer and no attempt of it is open: nothing comes for it any more.
-    fn forgotten(&mut self, rpc: RpcId);
+    fn rpc_forgotten(&mut self, rpc: RpcId);
     fn log(&mut self, rpc: Option<RpcId>, line: &str);
 }
 
 /// Where every RPC went: taken = ok + denied + aborted + left + open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct EngineCounters {
     pub taken: u64,
     pub ok: u64,
     pub denied: u64,
@@ -113,7 +113,7 @@
 
 /// More sets of terms than this have been served since this scheduler started: the next need a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TooManyTerms;
+pub struct TooManyMethodVersions;
 
 /// A method as it was served at some time.
 struct Terms {
@@ -184,7 +184,7 @@
 }
 
 /// All that the engine holds beside the module; it is the module's host.
-struct Desk<W: World> {
+struct Desk<W: EngineDriver> {
     world: W,
     now: Time,
     rpcs: BTreeMap<RpcId, Owed>,
@@ -192,11 +192,11 @@
     outs: BTreeMap<RequestId, Out>,
     /// Ends that are known and not yet told: the module is not called from within its own call.
     ends: VecDeque<End>,
-    wheel: Wheel<Wake>,
+    wheel: TimerWheel<Wake>,
     /// The names of functions that RPCs held ask for, and how many do.
-    functions: Ids,
+    functions: NameTable,
     asked_for: BTreeMap<FunctionId, usize>,
-    roster: Roster,
+    roster: EndpointList,
     lifecycles: Lifecycles,
     /// All that were ever served here, by their ids; and which of them are now.
     methods: Vec<Terms>,
@@ -208,10 +208,10 @@
     order_limit: Time,
     probe_limit: Time,
     most_attempts: usize,
-    figures: Figures,
+    figures: EngineCounters,
 }
 
-impl<W: World> Desk<W> {
+impl<W: EngineDriver> Desk<W> {
     fn open_request(&mut self, what: What, worker: WorkerId) -> RequestId {
         self.next_request += 1;
         let id = RequestId(self.next_request);
@@ -225,9 +225,9 @@
     }
 
     /// Ends an upstream request from here; one that was never begun provably never ran.
-    fn take_back(&mut self, id: RequestId, outcome: Outcome) {
+    fn withdraw(&mut self, id: RequestId, outcome: Outcome) {
         if self.outs.contains_key(&id) {
-            let untouched = self.world.take_back(self.now, id);
+            let untouched = self.world.withdraw(self.now, id);
             self.end(id, if untouched { Outcome::NotSent } else { outcome });
         }
     }
@@ -275,23 +275,23 @@
                 self.asked_for.remove(&function);
                 self.functions.forget(function.0);
             }
-            self.world.forgotten(rpc);
+            self.world.rpc_forgotten(rpc);
         }
     }
 }
 
-impl<W: World> Host for Desk<W> {
+impl<W: EngineDriver> Host for Desk<W> {
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, limit: Time) {
         let now = self.now;
         let Some(owed) = self.rpcs.get_mut(&rpc) else { return self.pass_over(rpc, "an attempt") };
         // Numbers count what the module asked for, also what is not sent.
-        let no = AttemptNo(owed.attempts);
+        let number = AttemptNo(owed.attempts);
         owed.attempts += 1;
         let (answered, spent) = (owed.answered, owed.attempts > self.most_attempts);
         let until = if limit == Time(0) { owed.deadline } else { owed.deadline.min(now + limit) };
-        let id = self.open_request(What::Attempt(rpc, no), worker);
+        let id = self.open_request(What::Attempt(rpc, number), worker);
         let owed = self.rpcs.get_mut(&rpc).expect("looked up above");
-        owed.open.insert(no, id);
+        owed.open.insert(number, id);
         if answered || spent || until <= now {
             if answered {
                 self.pass_over(rpc, "an attempt");
@@ -304,15 +304,15 @@
         }
         let (method, tenant) = (&self.methods[owed.method.0].name, self.tenants.get(owed.tenant.0));
         let (model, tenant) = (self.functions.name(owed.function.0), tenant.map_or("", String::as_str));
-        let (token, left, body) = (owed.token.as_deref(), until - now, &owed.body);
-        let request = UpstreamRequest::Attempt { rpc, no, method, model, tenant, token, left, body };
+        let (token, time_left, body) = (owed.token.as_deref(), until - now, &owed.body);
+        let request = UpstreamRequest::Attempt { rpc, number, method, model, tenant, token, time_left, body };
         self.world.request(now, id, worker, request);
     }
 
     fn cancel(&mut self, rpc: RpcId, no: AttemptNo) {
         if let Some(&id) = self.rpcs.get(&rpc).and_then(|o| o.open.get(&no)) {
             if !self.ends.iter().any(|e| e.id == id) {
-                self.take_back(id, Outcome::Cancelled);
+                self.withdraw(id, Outcome::Cancelled);
             }
         }
     }
@@ -353,7 +353,7 @@
     }
 
     fn seen(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
-        self.world.seen(worker, function, hint, held);
+        self.world.observed(worker, function, hint, held);
     }
 
     fn log(&mut self, line: &str) {
@@ -366,7 +366,7 @@
 /// The settings are the module's; the engine reads from them the names of methods and tenants, `limits.maxOpen`,
 /// `limits.maxAttempts`, `limits.probeLimit`, `familyInfo.orderLimit` and `contract.answerSlack`, the time that it
 /// keeps back of what a client has left.
-pub struct Engine<W: World> {
+pub struct Engine<W: EngineDriver> {
     module: Scheduler<Desk<W>>,
     next_rpc: u64,
     slack: Time,
@@ -392,7 +392,7 @@
     settings.get(part).and_then(Value::as_array).map_or(&[], Vec::as_slice)
 }
 
-impl<W: World> Engine<W> {
+impl<W: EngineDriver> Engine<W> {
     pub fn start(now: Time, world: W, seed: u128, settings: Map<String, Value>) -> Self {
         let of_methods = list(&settings, "requestClasses");
         let methods: Vec<Terms> = of_methods.iter().map(Terms::of).collect();
@@ -406,10 +406,10 @@
             tags: BTreeMap::new(),
             outs: BTreeMap::new(),
             ends: VecDeque::new(),
-            wheel: Wheel::default(),
-            functions: Ids::new(MOST_MODELS),
+            wheel: TimerWheel::default(),
+            functions: NameTable::new(MOST_MODELS),
             asked_for: BTreeMap::new(),
-            roster: Roster::new(MOST_WORKERS),
+            roster: EndpointList::new(MOST_WORKERS),
             lifecycles: Lifecycles::default(),
             methods,
             known,
@@ -419,7 +419,7 @@
             order_limit: ms("familyInfo", "orderLimit", 10_000.0),
             probe_limit: ms("limits", "probeLimit", 1_000.0),
             most_attempts: number(&settings, "limits", "maxAttempts", 1e9) as usize,
-            figures: Figures::default(),
+            figures: EngineCounters::default(),
         };
         let (slack, most_open) =
             (ms("contract", "answerSlack", 0.0), number(&settings, "limits", "maxOpen", 1e5));
@@ -433,21 +433,21 @@
         }
     }
 
-    pub fn world(&mut self) -> &mut W {
+    pub fn driver(&mut self) -> &mut W {
         &mut self.module.host().world
     }
 
-    pub fn figures(&mut self) -> Figures {
+    pub fn counters(&mut self) -> EngineCounters {
         self.module.host().figures
     }
 
     /// RPCs that are owed an answer.
-    pub fn open(&mut self) -> usize {
+    pub fn open_rpcs(&mut self) -> usize {
         self.module.host().tags.len()
     }
 
     /// RPCs held: those owed an answer, and those answered that still have an attempt open.
-    pub fn held(&mut self) -> usize {
+    pub fn held_rpcs(&mut self) -> usize {
         self.module.host().rpcs.len()
     }
 
@@ -456,7 +456,7 @@
     }
 
     /// Where what the module believes out differs from what is out here, or that from what the pool has open.
-    pub fn mismatch(&mut self, open: &BTreeMap<RequestId, WorkerId>) -> Option<String> {
+    pub fn find_mismatch(&mut self, open: &BTreeMap<RequestId, WorkerId>) -> Option<String> {
         let outs = &self.module.host().outs;
         let out = |id: &RequestId| outs.get(id).map(|o| o.worker);
         if let Some(id) = outs.keys().chain(open.keys()).find(|id| out(id) != open.get(id).copied()) {
@@ -484,7 +484,7 @@
     }
 
     /// The RPC that an attempt which is out is for, and its method.
-    pub fn asked_by(&mut self, request: RequestId) -> Option<(RpcId, &str)> {
+    pub fn rpc_of_attempt(&mut self, request: RequestId) -> Option<(RpcId, &str)> {
         let desk = self.module.host();
         let What::Attempt(rpc, _) = desk.outs.get(&request)?.what else { return None };
         Some((rpc, &desk.methods[desk.rpcs.get(&rpc)?.method.0].name))
@@ -492,12 +492,12 @@
 
     /// From here on these methods are served and no others, by these terms. A method whose terms have changed is another
     /// one here and in the module: RPCs that are open go on under the terms that they were taken under.
-    pub fn serve(&mut self, methods: Vec<Value>) -> Result<(), TooManyTerms> {
+    pub fn set_methods(&mut self, methods: Vec<Value>) -> Result<(), TooManyMethodVersions> {
         let desk = self.module.host();
         let keys: Vec<String> = methods.iter().map(Value::to_string).collect();
         let new: BTreeSet<&String> = keys.iter().filter(|key| !desk.known.contains_key(*key)).collect();
         if desk.methods.len() + new.len() > MOST_TERMS {
-            return Err(TooManyTerms);
+            return Err(TooManyMethodVersions);
         }
         desk.served.clear();
         for (settings, key) in methods.into_iter().zip(keys) {
@@ -514,7 +514,7 @@
     }
 
     /// So many instances feed these workers from here on.
-    pub fn instances(&mut self, number: u64) {
+    pub fn set_instance_count(&mut self, number: u64) {
         self.module.instances_changed(number);
     }
 
@@ -531,13 +531,13 @@
     }
 
     /// From here on no RPC is taken; what is open goes on to its end.
-    pub fn stop_taking(&mut self) {
+    pub fn stop_accepting(&mut self) {
         self.stopping = true;
     }
 
     /// An RPC comes in, from a client that calls it by this tag. Once it is taken, one answer is owed until `left` less
     /// the slack has passed. Where it tells how many a copy of its model runs at a time, that holds; else its method's.
-    pub fn rpc(
+    pub fn submit_rpc(
         &mut self, now: Time, from: (ClientId, u64), method: &str, model: &str, tenant: &str, left: Time,
         token: Option<&str>, lanes: Option<f64>, body: Bytes,
     ) -> Result<RpcId, Refusal> {
@@ -549,7 +549,7 @@
     }
 
     /// A door has refused an RPC by itself.
-    pub fn refused(&mut self) {
+    pub fn count_refused(&mut self) {
         self.module.host().figures.refused += 1;
     }
 
@@ -599,17 +599,17 @@
         *desk.asked_for.entry(function).or_default() += 1;
         desk.tags.insert(from, id);
         desk.figures.taken += 1;
-        desk.world.taken(id);
-        desk.world.wanted(function);
+        desk.world.rpc_accepted(id);
+        desk.world.function_requested(function);
         // The module has said nothing by then: half the slack is left for the answer's way.
         desk.wheel.set(deadline + Time(slack.0 / 2), Wake::Guard(id));
         self.module.rpc(now, id, method, function, tenant, left, lanes.unwrap_or(usual));
-        self.settle(now);
+        self.process_ends(now);
         Ok(id)
     }
 
     /// The client wants no answer any more; it gets one all the same, as it may not have known.
-    pub fn cancelled(&mut self, now: Time, client: ClientId, tag: u64) {
+    pub fn cancel(&mut self, now: Time, client: ClientId, tag: u64) {
         let Some(&id) = self.desk(now).tags.get(&(client, tag)) else { return };
         self.module.host().answer(id, Answer::Aborted, "cancelled by the client", Time(0), Bytes::new());
         self.end_rpc(now, id);
@@ -639,11 +639,11 @@
             desk.rpcs.get(&id).map(|o| o.open.values().copied().collect()).unwrap_or_default();
         for request in open {
             if !desk.ends.iter().any(|e| e.id == request) {
-                desk.take_back(request, Outcome::TimeOut);
+                desk.withdraw(request, Outcome::TimeOut);
             }
         }
         desk.forget_if_done(id);
-        self.settle(now);
+        self.process_ends(now);
     }
 
     /// An upstream request was answered, or is known to have ended. A second end, or one for what was never asked, is nothing.
@@ -652,7 +652,7 @@
         report: Vec<f64>, body: Bytes,
     ) {
         self.desk(now).ends.push_back(End { id, outcome, copy, held, copies, report, body });
-        self.settle(now);
+        self.process_ends(now);
     }
 
     /// Time has passed.
@@ -662,9 +662,9 @@
             match what {
                 Wake::Module(id) => self.module.woken(now, id),
                 Wake::Guard(id) => self.guard(now, id),
-                Wake::UpstreamRequest(id) => self.module.host().take_back(id, Outcome::TimeOut),
+                Wake::UpstreamRequest(id) => self.module.host().withdraw(id, Outcome::TimeOut),
             }
-            self.settle(now);
+            self.process_ends(now);
         }
     }
 
@@ -696,11 +696,11 @@
     }
 
     /// Tells the module of ends until none is left.
-    pub fn settle(&mut self, now: Time) {
+    pub fn process_ends(&mut self, now: Time) {
         self.desk(now);
         loop {
             let desk = self.module.host();
-            while let Some((id, outcome)) = desk.world.ended() {
+            while let Some((id, outcome)) = desk.world.next_local_end() {
                 desk.end(id, outcome);
             }
             let Some(end) = desk.ends.pop_front() else { return };
@@ -742,22 +742,22 @@
         }
     }
 
-    pub fn list_ends(&mut self, now: Time) -> Read {
+    pub fn list_ends(&mut self, now: Time) -> ListOutcome {
         let (mut rows, mut changes) = (Vec::new(), Vec::new());
         let desk = self.desk(now);
         let (read, named) = desk.roster.ends(|id, name, address, standing, since, zone, cell, size| {
             match standing {
                 Standing::Gone => desk.world.worker_gone(now, id),
-                Standing::Ready => desk.world.worker_at(now, id, name, address, since),
+                Standing::Ready => desk.world.set_worker_address(now, id, name, address, since),
                 Standing::Draining => {
-                    desk.world.worker_at(now, id, name, address, since);
-                    desk.world.worker_drains(now, id);
+                    desk.world.set_worker_address(now, id, name, address, since);
+                    desk.world.worker_draining(now, id);
                 }
             }
             rows.push((id, standing, since, zone, cell, size));
         });
         match read {
-            Read::Taken { full } => {
+            ListOutcome::Applied { full } => {
                 for (id, standing, since, zone, cell, size) in rows {
                     self.module.worker_listed(now, id, standing, since, zone, cell, size);
                     if standing == Standing::Gone {
@@ -772,10 +772,10 @@
                     self.missing_are_gone(now, &named, &mut changes);
                 }
                 self.module.host().log_changes(&changes);
-                self.settle(now);
+                self.process_ends(now);
             }
-            Read::AskAnew => desk.world.watch_list(None),
-            Read::Old | Read::Stray => {}
+            ListOutcome::NeedsFull => desk.world.watch_list(None),
+            ListOutcome::Stale | ListOutcome::NotStarted => {}
         }
         read
     }
@@ -798,12 +798,12 @@
     }
 
     /// The list service can be asked again.
-    pub fn list_up(&mut self) {
+    pub fn list_connected(&mut self) {
         let desk = self.module.host();
         desk.world.watch_list(desk.roster.held());
     }
 
-    pub fn list_broke(&mut self) {
+    pub fn list_disconnected(&mut self) {
         self.module.host().roster.broke();
     }
 }
--- a/crates/curlewpoint-engine/src/ids.rs
+++ b/crates/curlewpoint-engine/src/ids.rs
@@ -20,14 +20,14 @@
 }
 
 /// The names behind ids, up to a bound, so that two names with one id are noticed.
-pub struct Ids {
+pub struct NameTable {
     names: BTreeMap<u64, String>,
     most: usize,
 }
 
-impl Ids {
-    pub fn new(most: usize) -> Ids {
-        Ids { names: BTreeMap::new(), most }
+impl NameTable {
+    pub fn new(most: usize) -> NameTable {
+        NameTable { names: BTreeMap::new(), most }
     }
 
     /// A name's id; an error names the other name that has it, or says that there is no room for more names.
--- a/crates/curlewpoint-engine/src/pool.rs
+++ b/crates/curlewpoint-engine/src/pool.rs
@@ -6,33 +6,33 @@
 use crate::ids::{ConnId, RequestId};
 
 /// What the pool acts through.
-pub trait Wires<P> {
+pub trait PoolDriver<P> {
     /// Opens a connection; `conn_up` or `conn_failed` follows, within the dial time-out.
     fn dial(&mut self, conn: ConnId, worker: WorkerId, address: &str);
     /// Hands an upstream request to a connection's outbox; false: the outbox is full or the connection has broken.
     fn send(&mut self, conn: ConnId, request: RequestId, payload: &P) -> bool;
     /// Takes back what was sent; true: not one byte of it was, or ever will be, handed to the kernel.
-    fn take_back(&mut self, conn: ConnId, request: RequestId) -> bool;
+    fn withdraw(&mut self, conn: ConnId, request: RequestId) -> bool;
     /// The same as its worker drains: an attempt that is begun may finish, a load order may not.
-    fn take_back_at_drain(&mut self, conn: ConnId, request: RequestId) -> bool {
-        self.take_back(conn, request)
+    fn withdraw_on_drain(&mut self, conn: ConnId, request: RequestId) -> bool {
+        self.withdraw(conn, request)
     }
     /// Tells the worker that nobody waits for what was begun.
-    fn withdraw(&mut self, conn: ConnId, request: RequestId);
+    fn send_withdraw(&mut self, conn: ConnId, request: RequestId);
     fn close(&mut self, conn: ConnId);
     /// An upstream request that ends here, without an answer.
-    fn ended(&mut self, request: RequestId, outcome: Outcome);
+    fn ended_locally(&mut self, request: RequestId, outcome: Outcome);
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
     /// Requests at a time on a connection.
-    pub streams: usize,
+    pub requests_per_conn: usize,
     /// Connections to a worker.
-    pub conns: usize,
+    pub conns_per_worker: usize,
     /// Connections to all workers together: the descriptors that are theirs.
-    pub all: usize,
-    pub idle: Time,
+    pub total_conns: usize,
+    pub idle_timeout: Time,
     /// The first pause after a failed dial; it doubles up to the second.
     pub back_off: (Time, Time),
 }
@@ -109,7 +109,7 @@
         Pool { limits, rng: Rand64::new(seed), next: 0, lines, conns, whereabouts, wary_until }
     }
 
-    pub fn conns(&self) -> usize {
+    pub fn conn_count(&self) -> usize {
         self.conns.len()
     }
 
@@ -120,14 +120,14 @@
     }
 
     /// What is open, and at which worker.
-    pub fn open(&self) -> impl Iterator<Item = (RequestId, WorkerId)> + '_ {
+    pub fn open_requests(&self) -> impl Iterator<Item = (RequestId, WorkerId)> + '_ {
         self.whereabouts.iter().map(|(request, (worker, _))| (*request, *worker))
     }
 
     /// A worker's address and start, as the list tells them. At a new address, and to a process that has ended, old
     /// connections are left to finish: what is sent on one to a machine that vanished is never answered.
-    pub fn worker_at(
-        &mut self, now: Time, wires: &mut impl Wires<P>, worker: WorkerId, address: &str, start: Time,
+    pub fn set_worker_address(
+        &mut self, now: Time, wires: &mut impl PoolDriver<P>, worker: WorkerId, address: &str, start: Time,
     ) {
         let line = self.lines.entry(worker).or_insert_with(|| Line {
             address: String::new(),
@@ -144,7 +144,7 @@
             (line.address, line.start) = (address.to_owned(), start);
             (line.failures, line.not_before, line.ours) = (0, now, false);
             for conn in line.conns.clone() {
-                self.leave(wires, conn);
+                self.drain_conn(wires, conn);
             }
         }
     }
@@ -152,31 +152,31 @@
     /// The list says that a worker drains or is gone: what still waits to be sent there is not sent. Guards the rule on
     /// drains where a worker does not read, as its outbox may hold attempts for longer than the grace. Should also hold
     /// for a dial that hangs. Harms little: what is not sent goes elsewhere.
-    pub fn send_nothing_more(&mut self, now: Time, wires: &mut impl Wires<P>, worker: WorkerId) {
+    pub fn withdraw_unsent(&mut self, now: Time, wires: &mut impl PoolDriver<P>, worker: WorkerId) {
         let Some(line) = self.lines.get_mut(&worker) else { return };
         let conns = line.conns.clone();
         for (request, _) in std::mem::take(&mut line.waiting) {
             self.whereabouts.remove(&request);
-            wires.ended(request, Outcome::NotSent);
+            wires.ended_locally(request, Outcome::NotSent);
         }
         for conn in conns {
             let out = self.conns.get(&conn).map(|c| c.out.clone()).unwrap_or_default();
             for request in out.into_keys() {
-                if wires.take_back_at_drain(conn, request) {
+                if wires.withdraw_on_drain(conn, request) {
                     self.let_go(now, wires, request);
-                    wires.ended(request, Outcome::NotSent);
+                    wires.ended_locally(request, Outcome::NotSent);
                 }
             }
         }
     }
 
     /// The list says that a worker is gone: its connections finish what they have, and then it is forgotten.
-    pub fn worker_gone(&mut self, now: Time, wires: &mut impl Wires<P>, worker: WorkerId) {
-        self.send_nothing_more(now, wires, worker);
+    pub fn worker_gone(&mut self, now: Time, wires: &mut impl PoolDriver<P>, worker: WorkerId) {
+        self.withdraw_unsent(now, wires, worker);
         let Some(line) = self.lines.get_mut(&worker) else { return };
         line.gone = true;
         for conn in line.conns.clone() {
-            self.leave(wires, conn);
+            self.drain_conn(wires, conn);
         }
         self.forget(worker);
     }
@@ -188,13 +188,13 @@
     }
 
     /// A connection takes nothing new from here on.
-    pub fn leave(&mut self, wires: &mut impl Wires<P>, conn: ConnId) {
+    pub fn drain_conn(&mut self, wires: &mut impl PoolDriver<P>, conn: ConnId) {
         let Some(c) = self.conns.get_mut(&conn).filter(|c| c.state == State::Up) else { return };
         c.state = State::Leaving;
         self.close_if_done(wires, conn);
     }
 
-    fn close_if_done(&mut self, wires: &mut impl Wires<P>, conn: ConnId) {
+    fn close_if_done(&mut self, wires: &mut impl PoolDriver<P>, conn: ConnId) {
         let Some(c) = self.conns.get(&conn).filter(|c| c.state == State::Leaving && c.out.is_empty()) else {
             return;
         };
@@ -212,22 +212,26 @@
     }
 
     pub fn request(
-        &mut self, now: Time, wires: &mut impl Wires<P>, worker: WorkerId, request: RequestId, payload: P,
+        &mut self, now: Time, wires: &mut impl PoolDriver<P>, worker: WorkerId, request: RequestId,
+        payload: P,
     ) {
         if self.hand_over(now, wires, worker, request, &payload, false) {
             return self.spread(now, wires, worker);
         }
         let Some(line) = self.lines.get_mut(&worker).filter(|l| !l.gone) else {
-            return wires.ended(request, Outcome::ConnectFailed);
+            return wires.ended_locally(request, Outcome::ConnectFailed);
         };
         let dialling = line.conns.iter().filter(|c| self.conns[*c].state == State::Dialling).count();
-        if line.waiting.len() >= dialling * self.limits.streams {
-            let held = line.conns.len() >= self.limits.conns || now < line.not_before;
+        if line.waiting.len() >= dialling * self.limits.requests_per_conn {
+            let held = line.conns.len() >= self.limits.conns_per_worker || now < line.not_before;
             let unreached = line.conns.is_empty() && !line.ours && now < line.not_before;
             if held || !self.make_room(wires) {
                 // Where no other can come, one that was passed over has to do.
                 if !self.hand_over(now, wires, worker, request, &payload, true) {
-                    wires.ended(request, if unreached { Outcome::ConnectFailed } else { Outcome::Full });
+                    wires.ended_locally(
+                        request,
+                        if unreached { Outcome::ConnectFailed } else { Outcome::Full },
+                    );
                 }
                 return;
             }
@@ -241,17 +245,17 @@
 
     /// Whether one connection more fits; where all are taken, the one that has lain idle longest goes. Guards the
     /// descriptors against a fleet of many workers; should hold for any that grows. Costs a handshake where it is wrong.
-    fn make_room(&mut self, wires: &mut impl Wires<P>) -> bool {
-        if self.conns.len() < self.limits.all {
+    fn make_room(&mut self, wires: &mut impl PoolDriver<P>) -> bool {
+        if self.conns.len() < self.limits.total_conns {
             return true;
         }
         let idle = self.conns.iter().filter(|(_, c)| c.state == State::Up && c.out.is_empty());
         let Some((&longest, _)) = idle.min_by_key(|(_, c)| c.idle_since) else { return false };
-        self.leave(wires, longest);
+        self.drain_conn(wires, longest);
         true
     }
 
-    fn dial(&mut self, now: Time, wires: &mut impl Wires<P>, worker: WorkerId) {
+    fn dial(&mut self, now: Time, wires: &mut impl PoolDriver<P>, worker: WorkerId) {
         let Some(line) = self.lines.get_mut(&worker) else { return };
         self.next += 1;
         let conn = ConnId(self.next);
@@ -264,15 +268,16 @@
     /// Opens one connection more where each has enough out. Guards against one connection's end, as by an answer that
     /// cannot be read, that takes all attempts to a worker with it; what may have run is lost there or runs again.
     /// Should also hold for one that stands still. Costs handshakes, and descriptors up to the cap.
-    fn spread(&mut self, now: Time, wires: &mut impl Wires<P>, worker: WorkerId) {
+    fn spread(&mut self, now: Time, wires: &mut impl PoolDriver<P>, worker: WorkerId) {
         let Some(line) = self.lines.get(&worker).filter(|l| !l.gone && now >= l.not_before) else { return };
-        let most = if now < self.wary_until { SPREAD.1 } else { SPREAD.0.min(self.limits.streams) };
+        let most = if now < self.wary_until { SPREAD.1 } else { SPREAD.0.min(self.limits.requests_per_conn) };
         let busy = |c: &ConnId| match self.conns[c].state {
             State::Dialling => false,
             State::Up => self.conns[c].out.len() >= most || self.conns[c].passed,
             State::Leaving => true,
         };
-        let room = line.conns.len() < self.limits.conns && self.conns.len() < self.limits.all;
+        let room =
+            line.conns.len() < self.limits.conns_per_worker && self.conns.len() < self.limits.total_conns;
         if room && line.conns.iter().all(busy) {
             self.dial(now, wires, worker);
         }
@@ -280,11 +285,11 @@
 
     /// Gives an upstream request to the connection with the fewest out that takes it; to one that was passed over only if told.
     fn hand_over(
-        &mut self, now: Time, wires: &mut impl Wires<P>, worker: WorkerId, request: RequestId, payload: &P,
-        passed: bool,
+        &mut self, now: Time, wires: &mut impl PoolDriver<P>, worker: WorkerId, request: RequestId,
+        payload: &P, passed: bool,
     ) -> bool {
         let Some(line) = self.lines.get(&worker) else { return false };
-        let room = |c: &Conn| c.state == State::Up && c.out.len() < self.limits.streams;
+        let room = |c: &Conn| c.state == State::Up && c.out.len() < self.limits.requests_per_conn;
         let takes = |c: &Conn| room(c) && (passed || !c.passed);
         let mut open: Vec<ConnId> = line.conns.iter().copied().filter(|c| takes(&self.conns[c])).collect();
         open.sort_by_key(|c| (self.conns[c].passed, self.conns[c].out.len()));
@@ -300,7 +305,7 @@
         false
     }
 
-    pub fn conn_up(&mut self, now: Time, wires: &mut impl Wires<P>, conn: ConnId) {
+    pub fn conn_up(&mut self, now: Time, wires: &mut impl PoolDriver<P>, conn: ConnId) {
         let Some(c) = self.conns.get_mut(&conn).filter(|c| c.state == State::Dialling) else { return };
         (c.state, c.idle_since, c.heard) = (State::Up, now, now);
         let worker = c.worker;
@@ -316,7 +321,7 @@
         let line = self.lines.get_mut(&worker).expect("it has a connection");
         line.waiting = waiting;
         if line.gone {
-            self.leave(wires, conn);
+            self.drain_conn(wires, conn);
         }
         self.settle_waiting(wires, worker, Outcome::Full);
     }
@@ -324,7 +329,7 @@
     /// A dial failed or timed out. Later ones pause, longer each time, so that a dead worker is not hammered by all
     /// schedulers in step. `ours`: it failed for want of something on this side, as of descriptors, and says nothing of
     /// the worker.
-    pub fn conn_failed(&mut self, now: Time, wires: &mut impl Wires<P>, conn: ConnId, ours: bool) {
+    pub fn conn_failed(&mut self, now: Time, wires: &mut impl PoolDriver<P>, conn: ConnId, ours: bool) {
         let Some(c) = self.conns.get(&conn) else { return };
         let worker = c.worker;
         if let Some(line) = self.lines.get_mut(&worker) {
@@ -339,20 +344,20 @@
     }
 
     /// Ends what waits while nothing is being dialled any more.
-    fn settle_waiting(&mut self, wires: &mut impl Wires<P>, worker: WorkerId, outcome: Outcome) {
+    fn settle_waiting(&mut self, wires: &mut impl PoolDriver<P>, worker: WorkerId, outcome: Outcome) {
         let Some(line) = self.lines.get_mut(&worker) else { return };
         if line.conns.iter().any(|c| self.conns[c].state == State::Dialling) {
             return;
         }
         for (request, _) in std::mem::take(&mut line.waiting) {
             self.whereabouts.remove(&request);
-            wires.ended(request, outcome);
+            wires.ended_locally(request, outcome);
         }
         self.forget(worker);
     }
 
     /// A connection broke: what was not begun on it provably never ran, the rest may have.
-    pub fn conn_broken(&mut self, now: Time, wires: &mut impl Wires<P>, conn: ConnId) {
+    pub fn conn_broken(&mut self, now: Time, wires: &mut impl PoolDriver<P>, conn: ConnId) {
         let Some(c) = self.conns.get(&conn) else { return };
         let (worker, out) = (c.worker, c.out.clone());
         if !out.is_empty() {
@@ -360,20 +365,20 @@
         }
         for request in out.into_keys() {
             self.whereabouts.remove(&request);
-            let untouched = wires.take_back(conn, request);
-            wires.ended(request, if untouched { Outcome::NotSent } else { Outcome::Reset });
+            let untouched = wires.withdraw(conn, request);
+            wires.ended_locally(request, if untouched { Outcome::NotSent } else { Outcome::Reset });
         }
         self.drop_conn(conn, worker);
         self.settle_waiting(wires, worker, Outcome::ConnectFailed);
     }
 
     /// Whether an upstream request is out on this connection.
-    pub fn is_on(&self, request: RequestId, conn: ConnId) -> bool {
+    pub fn is_open_on(&self, request: RequestId, conn: ConnId) -> bool {
         self.whereabouts.get(&request).is_some_and(|(_, on)| *on == Some(conn))
     }
 
     /// Lets `say` use a connection that is up, for what needs no answer; where none is, nothing is said.
-    pub fn tell<W: Wires<P>>(
+    pub fn with_open_conn<W: PoolDriver<P>>(
         &mut self, now: Time, wires: &mut W, worker: WorkerId, say: impl FnOnce(&mut W, ConnId),
     ) {
         let Some(line) = self.lines.get(&worker) else { return };
@@ -384,7 +389,7 @@
     }
 
     /// An upstream request was answered.
-    pub fn answered(&mut self, now: Time, wires: &mut impl Wires<P>, request: RequestId) {
+    pub fn answered(&mut self, now: Time, wires: &mut impl PoolDriver<P>, request: RequestId) {
         if let Some((worker, Some(conn))) = self.whereabouts.get(&request).copied() {
             self.heard(now, worker, conn, request);
         }
@@ -406,7 +411,7 @@
         }
     }
 
-    fn let_go(&mut self, now: Time, wires: &mut impl Wires<P>, request: RequestId) {
+    fn let_go(&mut self, now: Time, wires: &mut impl PoolDriver<P>, request: RequestId) {
         let Some((_, Some(conn))) = self.whereabouts.remove(&request) else { return };
         if let Some(c) = self.conns.get_mut(&conn) {
             c.out.remove(&request);
@@ -416,7 +421,7 @@
     }
 
     /// Nobody waits for an upstream request any more; true: it provably was not and will not be sent.
-    pub fn take_back(&mut self, now: Time, wires: &mut impl Wires<P>, request: RequestId) -> bool {
+    pub fn withdraw(&mut self, now: Time, wires: &mut impl PoolDriver<P>, request: RequestId) -> bool {
         match self.whereabouts.get(&request).copied() {
             None => false,
             Some((worker, None)) => {
@@ -427,9 +432,9 @@
                 true
             }
             Some((_, Some(conn))) => {
-                let untouched = wires.take_back(conn, request);
+                let untouched = wires.withdraw(conn, request);
                 if !untouched {
-                    wires.withdraw(conn, request);
+                    wires.send_withdraw(conn, request);
                 }
                 let deaf = |c: &Conn| {
                     let unheard = |sent: &Time| c.heard <= *sent && now - *sent >= DEAF;
@@ -440,7 +445,7 @@
                 if deaf {
                     // Guards against a connection that stays up and brings nothing more: with ever less out on it, it
                     // would be the first choice. Harms little where the worker itself is slow: another is dialled.
-                    self.leave(wires, conn);
+                    self.drain_conn(wires, conn);
                 }
                 untouched
             }
@@ -448,12 +453,13 @@
     }
 
     /// Closes connections that have lain idle.
-    pub fn sweep(&mut self, now: Time, wires: &mut impl Wires<P>) {
-        let idle =
-            |c: &Conn| c.state == State::Up && c.out.is_empty() && now - c.idle_since >= self.limits.idle;
+    pub fn close_idle(&mut self, now: Time, wires: &mut impl PoolDriver<P>) {
+        let idle = |c: &Conn| {
+            c.state == State::Up && c.out.is_empty() && now - c.idle_since >= self.limits.idle_timeout
+        };
         let idle: Vec<ConnId> = self.conns.iter().filter(|(_, c)| idle(c)).map(|(id, _)| *id).collect();
         for conn in idle {
-            self.leave(wires, conn);
+            self.drain_conn(wires, conn);
         }
     }
 }
--- a/crates/curlewpoint-engine/src/roster.rs
+++ b/crates/curlewpoint-engine/src/roster.rs
@@ -2,19 +2,19 @@
 
 use curlewpoint::types::{CellId, Standing, Time, WorkerId, ZoneId};
 
-use crate::ids::{id_of, Ids};
+use crate::ids::{id_of, NameTable};
 
 /// What came of a list that has been read to its end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Read {
+pub enum ListOutcome {
     /// It is the newest: tell the module.
-    Taken { full: bool },
+    Applied { full: bool },
     /// Older than what is held, or the same again.
-    Old,
+    Stale,
     /// It changes a version that is not held: the full list is needed.
-    AskAnew,
+    NeedsFull,
     /// No list had begun.
-    Stray,
+    NotStarted,
 }
 
 struct Row {
@@ -32,7 +32,7 @@
 /// row and counts once its end has come, so that one cut short changes nothing.
 ///
 /// Versions count within an epoch, one run of the list service. A later epoch replaces what was held.
-pub struct Roster {
+pub struct EndpointList {
     held: Option<(u64, u64)>,
     /// The list held is a full one that names nobody.
     nobody: bool,
@@ -40,13 +40,20 @@
     rows: Vec<Row>,
     /// The start that was last told of a worker, and when that was on this clock.
     starts: BTreeMap<WorkerId, (u64, Time)>,
-    names: Ids,
+    names: NameTable,
 }
 
-impl Roster {
-    pub fn new(most_workers: usize) -> Roster {
-        let names = Ids::new(most_workers);
-        Roster { held: None, nobody: false, staged: None, rows: Vec::new(), starts: BTreeMap::new(), names }
+impl EndpointList {
+    pub fn new(most_workers: usize) -> EndpointList {
+        let names = NameTable::new(most_workers);
+        EndpointList {
+            held: None,
+            nobody: false,
+            staged: None,
+            rows: Vec::new(),
+            starts: BTreeMap::new(),
+            names,
+        }
     }
 
     /// The version held, to be told when the list is asked for again.
@@ -100,19 +107,21 @@
     /// The list has come to its end. Where it is taken, each worker is handed on, with its name and address.
     pub fn ends(
         &mut self, mut each: impl FnMut(WorkerId, &str, &str, Standing, Time, ZoneId, CellId, f64),
-    ) -> (Read, BTreeSet<WorkerId>) {
+    ) -> (ListOutcome, BTreeSet<WorkerId>) {
         let mut named = BTreeSet::new();
-        let Some((epoch, version, from)) = self.staged.take() else { return (Read::Stray, named) };
+        let Some((epoch, version, from)) = self.staged.take() else {
+            return (ListOutcome::NotStarted, named);
+        };
         let rows = std::mem::take(&mut self.rows);
         let old = self.held.is_some_and(|(e, v)| epoch < e || (epoch == e && version <= v));
         // Guards against an answer that came empty: nothing goes to anyone until there is another, and the same version
         // with workers in it counts. Harms nothing where all were gone indeed.
         let filled = self.nobody && self.held == Some((epoch, version)) && from.is_none() && !rows.is_empty();
         if old && !filled {
-            return (Read::Old, named);
+            return (ListOutcome::Stale, named);
         }
         if from.is_some_and(|from| self.held != Some((epoch, from))) {
-            return (Read::AskAnew, named);
+            return (ListOutcome::NeedsFull, named);
         }
         self.held = Some((epoch, version));
         self.nobody = from.is_none() && rows.is_empty();
@@ -120,7 +129,7 @@
             named.insert(r.id);
             each(r.id, &r.name, &r.address, r.standing, r.since, r.zone, r.cell, r.size);
         }
-        (Read::Taken { full: from.is_none() }, named)
+        (ListOutcome::Applied { full: from.is_none() }, named)
     }
 
     /// Those known that a full list did not name.
--- a/crates/curlewpoint-engine/src/wheel.rs
+++ b/crates/curlewpoint-engine/src/wheel.rs
@@ -13,7 +13,7 @@
 
 /// Wake-ups in a hierarchical timing wheel (Varghese and Lauck): setting one costs the same however many wait.
 /// They come out in order of time, and of setting where the time is one.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     now: u64,
     next_no: u64,
     len: usize,
@@ -24,14 +24,14 @@
     due: Vec<Entry<T>>,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
         let slots = std::iter::repeat_with(Vec::new).take(LEVELS * SLOTS).collect();
-        Wheel { now: 0, next_no: 0, len: 0, slots, used: [0; LEVELS], far: Vec::new(), due: Vec::new() }
+        TimerWheel { now: 0, next_no: 0, len: 0, slots, used: [0; LEVELS], far: Vec::new(), due: Vec::new() }
     }
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     pub fn len(&self) -> usize {
         self.len
     }
@@ -136,7 +136,7 @@
     proptest! {
         #[test]
         fn what_is_due_comes_out_as_from_an_ordered_map(steps in proptest::collection::vec(step(), 1..200)) {
-            let (mut wheel, mut plain) = (Wheel::default(), BTreeMap::new());
+            let (mut wheel, mut plain) = (TimerWheel::default(), BTreeMap::new());
             let (mut now, mut no) = (1_000u64, 0u64);
             for s in steps {
                 match s {
--- a/crates/curlewpoint-engine/tests/beliefs.rs
+++ b/crates/curlewpoint-engine/tests/beliefs.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use curlewpoint::types::*;
 use curlewpoint_engine::{
-    Answer, ClientId, ConnId, Engine, Pool, PoolLimits, RequestId, UpstreamRequest, Wires, World,
+    Answer, ClientId, ConnId, Engine, EngineDriver, Pool, PoolDriver, PoolLimits, RequestId, UpstreamRequest,
 };
 use proptest::prelude::*;
 use serde_json::{json, Map, Value};
@@ -23,7 +23,7 @@
     ends: VecDeque<(RequestId, Outcome)>,
 }
 
-impl Wires<()> for Sockets {
+impl PoolDriver<()> for Sockets {
     fn dial(&mut self, conn: ConnId, _: WorkerId, _: &str) {
         self.dialled.push(conn);
     }
@@ -34,14 +34,14 @@
         }
         sent
     }
-    fn take_back(&mut self, _: ConnId, request: RequestId) -> bool {
+    fn withdraw(&mut self, _: ConnId, request: RequestId) -> bool {
         self.untouched && self.out.contains_key(&request)
     }
-    fn withdraw(&mut self, _: ConnId, _: RequestId) {}
+    fn send_withdraw(&mut self, _: ConnId, _: RequestId) {}
     fn close(&mut self, conn: ConnId) {
         assert!(self.up.remove(&conn), "closed twice, or never up");
     }
-    fn ended(&mut self, request: RequestId, outcome: Outcome) {
+    fn ended_locally(&mut self, request: RequestId, outcome: Outcome) {
         self.ends.push_back((request, outcome));
     }
 }
@@ -61,35 +61,35 @@
     }
 }
 
-impl World for Around {
+impl EngineDriver for Around {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, _: UpstreamRequest<'_>) {
         assert!(self.begun.insert(id));
         self.pool.request(now, &mut self.sockets, worker, id, ());
     }
-    fn take_back(&mut self, now: Time, id: RequestId) -> bool {
-        let untouched = self.pool.take_back(now, &mut self.sockets, id);
+    fn withdraw(&mut self, now: Time, id: RequestId) -> bool {
+        let untouched = self.pool.withdraw(now, &mut self.sockets, id);
         self.is_over(id);
         untouched
     }
     fn answer(&mut self, _: RpcId, _: ClientId, _: u64, _: Answer, _: &str, _: Time, _: Bytes) {}
-    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
         let end = self.sockets.ends.pop_front()?;
         self.is_over(end.0);
         Some(end)
     }
     fn unload(&mut self, _: Time, _: WorkerId, _: &str) {}
     fn watch_list(&mut self, _: Option<(u64, u64)>) {}
-    fn worker_at(&mut self, now: Time, worker: WorkerId, _: &str, address: &str, since: Time) {
-        self.pool.worker_at(now, &mut self.sockets, worker, address, since);
+    fn set_worker_address(&mut self, now: Time, worker: WorkerId, _: &str, address: &str, since: Time) {
+        self.pool.set_worker_address(now, &mut self.sockets, worker, address, since);
     }
-    fn worker_drains(&mut self, now: Time, worker: WorkerId) {
-        self.pool.send_nothing_more(now, &mut self.sockets, worker);
+    fn worker_draining(&mut self, now: Time, worker: WorkerId) {
+        self.pool.withdraw_unsent(now, &mut self.sockets, worker);
     }
     fn worker_gone(&mut self, now: Time, worker: WorkerId) {
         self.pool.worker_gone(now, &mut self.sockets, worker);
     }
-    fn taken(&mut self, _: RpcId) {}
-    fn forgotten(&mut self, _: RpcId) {}
+    fn rpc_accepted(&mut self, _: RpcId) {}
+    fn rpc_forgotten(&mut self, _: RpcId) {}
     fn log(&mut self, _: Option<RpcId>, _: &str) {}
 }
 
@@ -115,10 +115,10 @@
         }))
         .expect("an object");
         let limits = PoolLimits {
-            streams: 4,
-            conns: 2,
-            all: 64,
-            idle: Time(90_000),
+            requests_per_conn: 4,
+            conns_per_worker: 2,
+            total_conns: 64,
+            idle_timeout: Time(90_000),
             back_off: (Time(500), Time(10_000)),
         };
         let (begun, over, sockets) = Default::default();
@@ -142,18 +142,18 @@
         self.tag += 1;
         let from = (CLIENT, self.tag);
         let taken =
-            self.engine.rpc(self.now, from, method, model, "", Time(10_000), None, None, Bytes::new());
+            self.engine.submit_rpc(self.now, from, method, model, "", Time(10_000), None, None, Bytes::new());
         assert!(taken.is_ok(), "{taken:?}");
     }
 
     fn conn(&mut self, conn: ConnId, what: fn(&mut Pool<()>, Time, &mut Sockets, ConnId)) {
-        let world = self.engine.world();
+        let world = self.engine.driver();
         what(&mut world.pool, self.now, &mut world.sockets, conn);
-        self.engine.settle(self.now);
+        self.engine.process_ends(self.now);
     }
 
     fn dialled(&mut self, comes: bool) {
-        let sockets = &mut self.engine.world().sockets;
+        let sockets = &mut self.engine.driver().sockets;
         let Some(conn) = sockets.dialled.pop() else { return };
         if comes {
             sockets.up.insert(conn);
@@ -162,7 +162,7 @@
     }
 
     fn breaks(&mut self, which: usize) {
-        let up = &mut self.engine.world().sockets.up;
+        let up = &mut self.engine.driver().sockets.up;
         let Some(conn) = up.iter().nth(which % up.len().max(1)).copied() else { return };
         up.remove(&conn);
         self.conn(conn, Pool::conn_broken);
@@ -170,7 +170,7 @@
 
     /// A worker's word for what is out; it comes twice, and the second is nothing.
     fn answers(&mut self, which: usize, outcome: Outcome) {
-        let world = self.engine.world();
+        let world = self.engine.driver();
         let Some(id) = world.sockets.out.keys().nth(which % world.sockets.out.len().max(1)).copied() else {
             return;
         };
@@ -185,13 +185,13 @@
     fn pass(&mut self, span: u64) {
         self.now = self.now + Time(span);
         self.engine.advance(self.now);
-        let (now, world) = (self.now, self.engine.world());
-        world.pool.sweep(now, &mut world.sockets);
+        let (now, world) = (self.now, self.engine.driver());
+        world.pool.close_idle(now, &mut world.sockets);
     }
 
     fn mismatch(&mut self) -> Option<String> {
-        let open = self.engine.world().pool.open().collect();
-        self.engine.mismatch(&open)
+        let open = self.engine.driver().pool.open_requests().collect();
+        self.engine.find_mismatch(&open)
     }
 }
 
@@ -245,10 +245,10 @@
                 Step::Breaks(which) => day.breaks(which),
                 Step::Answers(which, end) => day.answers(which, ENDS[end]),
                 Step::Pass(span) => day.pass(span),
-                Step::Cancel(tag) => day.engine.cancelled(day.now, CLIENT, tag),
+                Step::Cancel(tag) => day.engine.cancel(day.now, CLIENT, tag),
                 Step::Leaves => day.engine.client_gone(day.now, CLIENT),
-                Step::Full(full) => day.engine.world().sockets.full = full,
-                Step::Untouched(untouched) => day.engine.world().sockets.untouched = untouched,
+                Step::Full(full) => day.engine.driver().sockets.full = full,
+                Step::Untouched(untouched) => day.engine.driver().sockets.untouched = untouched,
                 Step::List(named, drain, at) => day.list(workers(named, drain, at)),
             }
             prop_assert_eq!(day.mismatch(), None, "after {:?}", step);
@@ -257,7 +257,7 @@
             day.pass(10_000);
         }
         prop_assert_eq!(day.mismatch(), None);
-        let world = day.engine.world();
+        let world = day.engine.driver();
         prop_assert_eq!(&world.begun, &world.over, "each ended, and once");
     }
 }
@@ -274,19 +274,19 @@
         );
         for no in 0..functions {
             day.rpc("read", &format!("{:016x}", round * functions + no));
-            while !day.engine.world().sockets.dialled.is_empty() {
+            while !day.engine.driver().sockets.dialled.is_empty() {
                 day.dialled(true);
             }
-            while !day.engine.world().sockets.out.is_empty() {
+            while !day.engine.driver().sockets.out.is_empty() {
                 day.answers(0, Outcome::Ok);
             }
             // In steps that the module does not take for a stall of its own; a round is ten seconds.
             day.pass(500);
             day.pass(500);
         }
-        day.engine.world().begun.clear();
-        day.engine.world().over.clear();
-        let world = day.engine.world();
+        day.engine.driver().begun.clear();
+        day.engine.driver().over.clear();
+        let world = day.engine.driver();
         let sizes: Vec<_> = world.pool.sizes().into_iter().chain(day.engine.sizes()).collect();
         for (what, size) in sizes {
             let seen = most.entry(what).or_default();
--- a/crates/curlewpoint-engine/tests/cold.rs
+++ b/crates/curlewpoint-engine/tests/cold.rs
@@ -117,10 +117,11 @@
             let one = &mut all[rng.rand_range(0..instances as u64) as usize];
             let model = format!("m{tag}");
             let from = (ClientId(1), tag);
-            let _ = one.engine.rpc(now, from, "read", &model, "", Time(30_000), None, None, Bytes::new());
+            let _ =
+                one.engine.submit_rpc(now, from, "read", &model, "", Time(30_000), None, None, Bytes::new());
         }
         for one in &mut all {
-            for (when, id, worker, _, asked) in std::mem::take(&mut one.engine.world().sent) {
+            for (when, id, worker, _, asked) in std::mem::take(&mut one.engine.driver().sent) {
                 let attempt = asked == Asked::Attempt;
                 // One in ten is turned away, and goes to another worker.
                 let full = attempt && rng.rand_float() < 0.1;
--- a/crates/curlewpoint-engine/tests/pool.rs
+++ b/crates/curlewpoint-engine/tests/pool.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use curlewpoint::types::{Outcome, Time, WorkerId};
-use curlewpoint_engine::{ConnId, Pool, PoolLimits, RequestId, Wires};
+use curlewpoint_engine::{ConnId, Pool, PoolDriver, PoolLimits, RequestId};
 use test_case::test_case;
 
 #[derive(Default)]
@@ -19,7 +19,7 @@
     untouched: BTreeSet<RequestId>,
 }
 
-impl Wires<&'static str> for Fake {
+impl PoolDriver<&'static str> for Fake {
     fn dial(&mut self, conn: ConnId, _: WorkerId, _: &str) {
         self.dialled.push(conn);
     }
@@ -30,27 +30,32 @@
         }
         room
     }
-    fn take_back(&mut self, _: ConnId, request: RequestId) -> bool {
+    fn withdraw(&mut self, _: ConnId, request: RequestId) -> bool {
         self.untouched.contains(&request)
     }
-    fn withdraw(&mut self, _: ConnId, request: RequestId) {
+    fn send_withdraw(&mut self, _: ConnId, request: RequestId) {
         self.withdrawn.push(request);
     }
     fn close(&mut self, conn: ConnId) {
         self.closed.push(conn);
     }
-    fn ended(&mut self, request: RequestId, outcome: Outcome) {
+    fn ended_locally(&mut self, request: RequestId, outcome: Outcome) {
         self.ended.push((request, outcome));
     }
 }
 
 const W: WorkerId = WorkerId(5);
-const LIMITS: PoolLimits =
-    PoolLimits { streams: 2, conns: 2, all: 64, idle: Time(150_000), back_off: (Time(500), Time(20_000)) };
+const LIMITS: PoolLimits = PoolLimits {
+    requests_per_conn: 2,
+    conns_per_worker: 2,
+    total_conns: 64,
+    idle_timeout: Time(150_000),
+    back_off: (Time(500), Time(20_000)),
+};
 
 fn pool() -> (Pool<&'static str>, Fake) {
     let (mut pool, mut wires) = (Pool::new(LIMITS, 1), Fake::default());
-    pool.worker_at(Time(0), &mut wires, W, "here", Time(0));
+    pool.set_worker_address(Time(0), &mut wires, W, "here", Time(0));
     (pool, wires)
 }
 
@@ -98,7 +103,7 @@
     w.untouched.insert(RequestId(2));
     p.conn_broken(Time(50), &mut w, conn);
     assert_eq!(w.ended, [(RequestId(1), Outcome::Reset), (RequestId(2), Outcome::NotSent)]);
-    assert_eq!(p.conns(), 0);
+    assert_eq!(p.conn_count(), 0);
 }
 
 #[test]
@@ -121,13 +126,13 @@
     ask(&mut p, &mut w, 0, 1..=1);
     let conn = w.dialled[0];
     p.conn_up(Time(5), &mut w, conn);
-    p.sweep(Time(200_000), &mut w);
+    p.close_idle(Time(200_000), &mut w);
     assert!(w.closed.is_empty(), "something is out on it");
     p.worker_gone(Time(200_000), &mut w, W);
     ask(&mut p, &mut w, 200_001, 2..=2);
     assert_eq!(w.ended, [(RequestId(2), Outcome::ConnectFailed)], "nothing new goes to it");
     p.answered(Time(200_002), &mut w, RequestId(1));
-    assert_eq!((w.closed.as_slice(), p.conns()), (&[conn][..], 0));
+    assert_eq!((w.closed.as_slice(), p.conn_count()), (&[conn][..], 0));
 }
 
 /// Guards against attempts that reach a worker long after it was known to drain, as it did not read until then.
@@ -138,9 +143,9 @@
     let conn = w.dialled[0];
     p.conn_up(Time(5), &mut w, conn);
     w.untouched.insert(RequestId(2));
-    p.send_nothing_more(Time(6), &mut w, W);
+    p.withdraw_unsent(Time(6), &mut w, W);
     assert_eq!(w.ended, [(RequestId(3), Outcome::NotSent), (RequestId(2), Outcome::NotSent)]);
-    assert!(p.is_on(RequestId(1), conn) && w.withdrawn.is_empty(), "what was begun goes on to its end");
+    assert!(p.is_open_on(RequestId(1), conn) && w.withdrawn.is_empty(), "what was begun goes on to its end");
 }
 
 /// Guards against one connection's end that takes all attempts to a worker with it.
@@ -169,11 +174,11 @@
     let conn = w.dialled[0];
     p.conn_up(Time(5), &mut w, conn);
     if answers {
-        p.sweep(Time(50), &mut w);
+        p.close_idle(Time(50), &mut w);
         ask(&mut p, &mut w, 60, 9..=9);
         p.answered(Time(100), &mut w, RequestId(9));
     }
-    assert!(!p.take_back(Time(11_000), &mut w, RequestId(1)));
+    assert!(!p.withdraw(Time(11_000), &mut w, RequestId(1)));
     w.dialled.retain(|c| *c == conn);
     ask(&mut p, &mut w, 11_001, 2..=2);
     assert_eq!(w.dialled.len(), dials);
@@ -183,7 +188,7 @@
 fn what_waits_for_a_dial_can_be_taken_back_as_unsent() {
     let (mut p, mut w) = pool();
     ask(&mut p, &mut w, 0, 1..=1);
-    assert!(p.take_back(Time(1), &mut w, RequestId(1)));
+    assert!(p.withdraw(Time(1), &mut w, RequestId(1)));
     let conn = w.dialled[0];
     p.conn_up(Time(5), &mut w, conn);
     assert!(w.sent.is_empty() && w.ended.is_empty());
@@ -206,15 +211,15 @@
     p.answered(Time(20), &mut w, RequestId(3));
     ask(&mut p, &mut w, 30, 4..=4);
     assert_eq!(w.sent[3], (good, RequestId(4)));
-    p.take_back(Time(31), &mut w, RequestId(1));
+    p.withdraw(Time(31), &mut w, RequestId(1));
     assert!(w.closed.is_empty(), "all were sent in one moment: no evidence yet");
     p.answered(Time(40), &mut w, RequestId(4));
     ask(&mut p, &mut w, 50, 5..=6);
     assert!(w.sent[4..].iter().all(|(conn, _)| *conn == good), "though it has the fewest out");
     ask(&mut p, &mut w, 51, 7..=7);
     assert_eq!(w.sent.last(), Some(&(silent, RequestId(7))), "no other can come: it has to do");
-    p.take_back(Time(60), &mut w, RequestId(2));
-    p.take_back(Time(61), &mut w, RequestId(7));
+    p.withdraw(Time(60), &mut w, RequestId(2));
+    p.withdraw(Time(61), &mut w, RequestId(7));
     assert_eq!(w.closed, [silent]);
 }
 
@@ -225,7 +230,7 @@
     ask(&mut p, &mut w, 30, 4..=4);
     p.answered(Time(40), &mut w, RequestId(4));
     p.answered(Time(50), &mut w, RequestId(1));
-    p.take_back(Time(51), &mut w, RequestId(2));
+    p.withdraw(Time(51), &mut w, RequestId(2));
     ask(&mut p, &mut w, 60, 5..=6);
     assert!(w.closed.is_empty() && w.sent[4..].iter().any(|(conn, _)| *conn == slow));
 }
@@ -234,9 +239,9 @@
 #[test_case(false, 4 ; "as a rule it needs several out")]
 #[test_case(true, 1 ; "after a break one is enough")]
 fn connections_are_spread_where_they_were_seen_to_break(broke: bool, from: u64) {
-    let limits = PoolLimits { streams: 32, conns: 9, ..LIMITS };
+    let limits = PoolLimits { requests_per_conn: 32, conns_per_worker: 9, ..LIMITS };
     let (mut p, mut w) = (Pool::new(limits, 1), Fake::default());
-    p.worker_at(Time(0), &mut w, W, "here", Time(0));
+    p.set_worker_address(Time(0), &mut w, W, "here", Time(0));
     ask(&mut p, &mut w, 0, 100..=100);
     let mut conn = w.dialled[0];
     p.conn_up(Time(5), &mut w, conn);
@@ -265,10 +270,10 @@
     let first = w.dialled[0];
     p.conn_up(Time(5), &mut w, first);
     p.answered(Time(9), &mut w, RequestId(1));
-    p.worker_at(Time(10), &mut w, W, "here", Time(0));
+    p.set_worker_address(Time(10), &mut w, W, "here", Time(0));
     ask(&mut p, &mut w, 11, 2..=2);
     assert_eq!(w.dialled.len(), 1, "the same start told again is no restart");
-    p.worker_at(Time(20), &mut w, W, "here", Time(15));
+    p.set_worker_address(Time(20), &mut w, W, "here", Time(15));
     assert!(w.closed.is_empty(), "what is out on the old one may still be answered");
     p.answered(Time(21), &mut w, RequestId(2));
     assert_eq!(w.closed, [first], "it was the last");
@@ -292,9 +297,9 @@
 /// a bound, the one idle longest makes room, and one with something out never does.
 #[test]
 fn all_workers_together_have_a_bound_and_the_longest_idle_makes_room() {
-    let (mut p, mut w) = (Pool::new(PoolLimits { all: 3, ..LIMITS }, 1), Fake::default());
+    let (mut p, mut w) = (Pool::new(PoolLimits { total_conns: 3, ..LIMITS }, 1), Fake::default());
     for no in 1..=5 {
-        p.worker_at(Time(0), &mut w, WorkerId(no), "there", Time(0));
+        p.set_worker_address(Time(0), &mut w, WorkerId(no), "there", Time(0));
     }
     for no in 1..=3 {
         p.request(Time(no), &mut w, WorkerId(no), RequestId(no), "x");
@@ -307,5 +312,5 @@
     p.answered(Time(30), &mut w, RequestId(1));
     p.request(Time(40), &mut w, WorkerId(4), RequestId(5), "x");
     assert_eq!((w.closed.as_slice(), w.dialled.len()), (&[w.dialled[1]][..], 4));
-    assert_eq!(p.conns(), 3);
+    assert_eq!(p.conn_count(), 3);
 }
--- a/crates/curlewpoint-engine/tests/promises.rs
+++ b/crates/curlewpoint-engine/tests/promises.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use curlewpoint::types::*;
-use curlewpoint_engine::{Answer, ClientId, Engine, Refusal, RequestId, UpstreamRequest, World};
+use curlewpoint_engine::{Answer, ClientId, Engine, EngineDriver, Refusal, RequestId, UpstreamRequest};
 use proptest::prelude::*;
 use serde_json::{json, Map, Value};
 
@@ -24,7 +24,7 @@
     kept: BTreeSet<RpcId>,
 }
 
-impl World for Fake {
+impl EngineDriver for Fake {
     fn request(&mut self, _: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
         let rpc = if let UpstreamRequest::Attempt { rpc, .. } = request { Some(rpc) } else { None };
         self.sent_after_answer += usize::from(rpc.is_some_and(|r| self.answered.contains(&r)));
@@ -34,29 +34,29 @@
             self.out.insert(id, (rpc, worker));
         }
     }
-    fn take_back(&mut self, _: Time, id: RequestId) -> bool {
+    fn withdraw(&mut self, _: Time, id: RequestId) -> bool {
         self.out.remove(&id).is_some() && self.untouched
     }
     fn answer(&mut self, rpc: RpcId, _: ClientId, tag: u64, answer: Answer, _: &str, _: Time, body: Bytes) {
         self.answered.insert(rpc);
         self.answers.push((tag, answer, body));
     }
-    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
         self.ends.pop_front()
     }
     fn unload(&mut self, _: Time, _: WorkerId, _: &str) {}
     fn watch_list(&mut self, held: Option<(u64, u64)>) {
         self.asked_list.push(held);
     }
-    fn worker_at(&mut self, _: Time, _: WorkerId, _: &str, _: &str, _: Time) {}
-    fn worker_drains(&mut self, _: Time, _: WorkerId) {}
+    fn set_worker_address(&mut self, _: Time, _: WorkerId, _: &str, _: &str, _: Time) {}
+    fn worker_draining(&mut self, _: Time, _: WorkerId) {}
     fn worker_gone(&mut self, _: Time, worker: WorkerId) {
         self.told_gone.push(worker);
     }
-    fn taken(&mut self, rpc: RpcId) {
+    fn rpc_accepted(&mut self, rpc: RpcId) {
         assert!(self.kept.insert(rpc), "taken twice");
     }
-    fn forgotten(&mut self, rpc: RpcId) {
+    fn rpc_forgotten(&mut self, rpc: RpcId) {
         assert!(self.kept.remove(&rpc), "forgotten twice, or never taken");
     }
     fn log(&mut self, _: Option<RpcId>, _: &str) {}
@@ -104,18 +104,18 @@
 
     fn rpc(&mut self, tag: u64, method: &str) -> Result<RpcId, Refusal> {
         let body = Bytes::from_static(b"scan");
-        self.engine.rpc(self.now, (CLIENT, tag), method, "model", "", Time(10_000), None, None, body)
+        self.engine.submit_rpc(self.now, (CLIENT, tag), method, "model", "", Time(10_000), None, None, body)
     }
 
     fn end(&mut self, id: RequestId, outcome: Outcome) {
-        self.engine.world().out.remove(&id);
+        self.engine.driver().out.remove(&id);
         let body = Bytes::from_static(b"read");
         self.engine.request_ended(self.now, id, outcome, Copy::Warm, 0, 1, Vec::new(), body);
     }
 
     /// The attempt that is out, and nothing else.
     fn out(&mut self) -> RequestId {
-        let world = self.engine.world();
+        let world = self.engine.driver();
         *world.out.iter().rev().find(|(_, o)| o.0.is_some()).expect("an attempt is out").0
     }
 
@@ -125,7 +125,7 @@
     }
 
     fn answers(&mut self) -> Vec<Answer> {
-        self.engine.world().answers.iter().map(|a| a.1).collect()
+        self.engine.driver().answers.iter().map(|a| a.1).collect()
     }
 }
 
@@ -138,7 +138,7 @@
     s.end(out, Outcome::Ok);
     s.engine.advance(s.now);
     assert_eq!(s.answers(), [Answer::Ok]);
-    assert_eq!(s.engine.held(), 0);
+    assert_eq!(s.engine.held_rpcs(), 0);
 }
 
 #[test]
@@ -150,7 +150,7 @@
     assert_eq!(s.answers(), [Answer::Aborted]);
     s.end(out, Outcome::Ok);
     assert_eq!(s.answers(), [Answer::Aborted]);
-    assert_eq!((s.engine.held(), s.engine.figures().aborted, s.engine.figures().ok), (0, 1, 0));
+    assert_eq!((s.engine.held_rpcs(), s.engine.counters().aborted, s.engine.counters().ok), (0, 1, 0));
 }
 
 #[test]
@@ -170,8 +170,8 @@
     let mut s = Story::new(3);
     s.rpc(1, "issue").unwrap();
     s.engine.client_gone(s.now, CLIENT);
-    let f = s.engine.figures();
-    assert_eq!((s.engine.world().out.len(), f.left, s.engine.held()), (0, 1, 0));
+    let f = s.engine.counters();
+    assert_eq!((s.engine.driver().out.len(), f.left, s.engine.held_rpcs()), (0, 1, 0));
     s.pass(20_000);
     assert_eq!(s.answers(), []);
 }
@@ -186,7 +186,7 @@
     s.pass(10_000);
     assert_eq!(s.answers().len(), 5);
     s.pass(10_000);
-    assert_eq!((s.answers().len(), s.engine.figures().guarded), (5, 0));
+    assert_eq!((s.answers().len(), s.engine.counters().guarded), (5, 0));
 }
 
 #[test]
@@ -198,7 +198,7 @@
     let again = s.out();
     assert_ne!(out, again, "turned away unseen: another worker may take it");
     s.end(again, Outcome::Reset);
-    assert!(s.engine.world().out.values().all(|o| o.0.is_none()));
+    assert!(s.engine.driver().out.values().all(|o| o.0.is_none()));
     assert_eq!(s.answers(), [Answer::Aborted]);
 }
 
@@ -208,15 +208,15 @@
     assert_eq!(s.rpc(1, "no-such"), Err(Refusal::NoSuchMethod));
     s.rpc(2, "read").unwrap();
     assert_eq!(s.rpc(2, "read"), Err(Refusal::TagInUse));
-    let none = s.engine.rpc(s.now, (CLIENT, 3), "read", "m", "", Time(200), None, None, Bytes::new());
+    let none = s.engine.submit_rpc(s.now, (CLIENT, 3), "read", "m", "", Time(200), None, None, Bytes::new());
     assert_eq!(none, Err(Refusal::NoTime), "all of it is the slack");
     for tag in 10..59 {
         s.rpc(tag, "read").unwrap();
     }
     assert_eq!(s.rpc(90, "read"), Err(Refusal::Full));
-    s.engine.stop_taking();
+    s.engine.stop_accepting();
     assert_eq!(s.rpc(91, "read"), Err(Refusal::Stopping));
-    let f = s.engine.figures();
+    let f = s.engine.counters();
     assert_eq!((f.taken, f.refused), (50, 5));
 }
 
@@ -224,9 +224,19 @@
 #[test]
 fn a_tokened_method_is_not_taken_without_its_token() {
     let mut s = Story::new(1);
-    s.engine.serve(vec![method("read", "idempotency_key")]).unwrap();
+    s.engine.set_methods(vec![method("read", "idempotency_key")]).unwrap();
     let mut ask = |tag, token| {
-        s.engine.rpc(s.now, (CLIENT, tag), "read", "model", "", Time(10_000), token, None, Bytes::new())
+        s.engine.submit_rpc(
+            s.now,
+            (CLIENT, tag),
+            "read",
+            "model",
+            "",
+            Time(10_000),
+            token,
+            None,
+            Bytes::new(),
+        )
     };
     assert_eq!((ask(1, None), ask(2, Some(""))), (Err(Refusal::BadToken), Err(Refusal::BadToken)));
     assert!(ask(3, Some("k")).is_ok());
@@ -236,9 +246,9 @@
 fn a_full_list_without_a_worker_lets_it_go_and_a_gap_asks_anew() {
     let mut s = Story::new(3);
     s.list((1, 2), None, 2);
-    assert_eq!(s.engine.world().told_gone.len(), 1);
+    assert_eq!(s.engine.driver().told_gone.len(), 1);
     s.list((1, 9), Some(7), 2);
-    assert_eq!(s.engine.world().asked_list.last(), Some(&None));
+    assert_eq!(s.engine.driver().asked_list.last(), Some(&None));
 }
 
 #[test]
@@ -248,10 +258,10 @@
         let gain = json!(no % 9_000);
         let mut read = method("read", "read_like");
         read["gain"] = gain;
-        assert_eq!(s.engine.serve(vec![read]), Ok(()), "{no}");
+        assert_eq!(s.engine.set_methods(vec![read]), Ok(()), "{no}");
     }
     let many = (0..2_000).map(|no| method(&format!("m{no}"), "read_like")).collect();
-    assert!(s.engine.serve(many).is_err());
+    assert!(s.engine.set_methods(many).is_err());
     assert!(s.rpc(1, "read").is_ok(), "what was in force stays");
     assert_eq!(s.rpc(2, "m1"), Err(Refusal::NoSuchMethod));
 }
@@ -321,7 +331,7 @@
                     }
                 }
                 Step::End(which, outcome) => {
-                    let world = s.engine.world();
+                    let world = s.engine.driver();
                     let found = world.out.iter().nth(which % world.out.len().max(1)).map(|(id, o)| (*id, o.0));
                     if let Some((id, rpc)) = found {
                         let outcome = ENDS[outcome];
@@ -334,38 +344,38 @@
                     }
                 }
                 Step::Pass(span) => s.pass(span),
-                Step::Cancel(tag) => s.engine.cancelled(s.now, CLIENT, tag),
+                Step::Cancel(tag) => s.engine.cancel(s.now, CLIENT, tag),
                 Step::Kill(no) => {
                     let worker = WorkerId(curlewpoint_engine::id_of(&format!("w{no}")));
-                    s.engine.world().dead.insert(worker);
+                    s.engine.driver().dead.insert(worker);
                 }
-                Step::Untouched(untouched) => s.engine.world().untouched = untouched,
+                Step::Untouched(untouched) => s.engine.driver().untouched = untouched,
                 Step::Serve(which) => {
                     served = SETS[which];
                     let methods = served.iter().map(|(name, effect)| method(name, effect)).collect();
-                    prop_assert!(s.engine.serve(methods).is_ok());
+                    prop_assert!(s.engine.set_methods(methods).is_ok());
                 }
                 Step::Relist(workers) => {
                     version += 1;
                     s.list((1, version), None, workers);
                 }
             }
-            let answered: BTreeSet<u64> = s.engine.world().answers.iter().map(|a| a.0).collect();
-            prop_assert_eq!(answered.len(), s.engine.world().answers.len(), "one answer each");
+            let answered: BTreeSet<u64> = s.engine.driver().answers.iter().map(|a| a.0).collect();
+            prop_assert_eq!(answered.len(), s.engine.driver().answers.len(), "one answer each");
             for (tag, until) in &asked {
                 prop_assert!(answered.contains(tag) || s.now < *until, "RPC {} is late", tag);
             }
-            let out = &s.engine.world().out;
+            let out = &s.engine.driver().out;
             prop_assert!(!out.values().any(|o| o.0.is_some_and(|r| may_have_run.contains(&r))), "no effect twice");
-            let f = s.engine.figures();
-            prop_assert_eq!(s.engine.world().kept.len(), s.engine.held());
-            prop_assert_eq!(f.taken, f.ok + f.denied + f.aborted + f.left + s.engine.open() as u64);
+            let f = s.engine.counters();
+            prop_assert_eq!(s.engine.driver().kept.len(), s.engine.held_rpcs());
+            prop_assert_eq!(f.taken, f.ok + f.denied + f.aborted + f.left + s.engine.open_rpcs() as u64);
         }
         s.pass(30_000);
-        prop_assert_eq!(s.engine.world().answers.len(), asked.len());
-        prop_assert_eq!(s.engine.world().sent_after_answer, 0);
-        prop_assert_eq!(s.engine.held(), 0, "nothing is kept of what is over");
-        prop_assert!(s.engine.world().kept.is_empty());
-        prop_assert_eq!(s.engine.figures().guarded, 0, "the module answers by itself");
+        prop_assert_eq!(s.engine.driver().answers.len(), asked.len());
+        prop_assert_eq!(s.engine.driver().sent_after_answer, 0);
+        prop_assert_eq!(s.engine.held_rpcs(), 0, "nothing is kept of what is over");
+        prop_assert!(s.engine.driver().kept.is_empty());
+        prop_assert_eq!(s.engine.counters().guarded, 0, "the module answers by itself");
     }
 }
--- a/crates/curlewpoint-engine/tests/release.rs
+++ b/crates/curlewpoint-engine/tests/release.rs
@@ -67,9 +67,11 @@
             begun.insert(tag, ms);
             taken.push(ms);
             let from = (ClientId(1), tag);
-            engine.rpc(at(ms), from, "read", &model, "", Time(30_000), None, None, Bytes::new()).unwrap();
+            engine
+                .submit_rpc(at(ms), from, "read", &model, "", Time(30_000), None, None, Bytes::new())
+                .unwrap();
         }
-        for (_, id, worker, model, asked) in std::mem::take(&mut engine.world().sent) {
+        for (_, id, worker, model, asked) in std::mem::take(&mut engine.driver().sent) {
             let order = asked == Asked::Load;
             let stands = copies.get(&(worker, model.clone())).copied();
             if order {
@@ -88,7 +90,7 @@
             };
             coming.insert((ready.max(ms) + if order { 0 } else { 50 }, id), (Outcome::Ok, copy));
         }
-        for (tag, answer) in std::mem::take(&mut engine.world().answers) {
+        for (tag, answer) in std::mem::take(&mut engine.driver().answers) {
             if answer != Answer::Ok || ms - begun[&tag] > 500 {
                 (late, last_late) = (late + usize::from(ms >= RELEASE), ms);
             }
--- a/crates/curlewpoint-engine/tests/wire/mod.rs
+++ b/crates/curlewpoint-engine/tests/wire/mod.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use curlewpoint::types::*;
-use curlewpoint_engine::{Answer, ClientId, RequestId, UpstreamRequest, World};
+use curlewpoint_engine::{Answer, ClientId, EngineDriver, RequestId, UpstreamRequest};
 
 #[derive(Clone, Copy, PartialEq)]
 pub enum Asked {
@@ -20,7 +20,7 @@
     pub ended: VecDeque<(RequestId, Outcome)>,
 }
 
-impl World for Wire {
+impl EngineDriver for Wire {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
         let (model, asked) = match request {
             UpstreamRequest::Attempt { model, .. } => (model, Asked::Attempt),
@@ -29,21 +29,21 @@
         };
         self.sent.push((now, id, worker, model.to_owned(), asked));
     }
-    fn take_back(&mut self, _: Time, _: RequestId) -> bool {
+    fn withdraw(&mut self, _: Time, _: RequestId) -> bool {
         false
     }
     fn answer(&mut self, _: RpcId, _: ClientId, tag: u64, answer: Answer, _: &str, _: Time, _: Bytes) {
         self.answers.push((tag, answer));
     }
-    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
         self.ended.pop_front()
     }
     fn unload(&mut self, _: Time, _: WorkerId, _: &str) {}
     fn watch_list(&mut self, _: Option<(u64, u64)>) {}
-    fn worker_at(&mut self, _: Time, _: WorkerId, _: &str, _: &str, _: Time) {}
-    fn worker_drains(&mut self, _: Time, _: WorkerId) {}
+    fn set_worker_address(&mut self, _: Time, _: WorkerId, _: &str, _: &str, _: Time) {}
+    fn worker_draining(&mut self, _: Time, _: WorkerId) {}
     fn worker_gone(&mut self, _: Time, _: WorkerId) {}
-    fn taken(&mut self, _: RpcId) {}
-    fn forgotten(&mut self, _: RpcId) {}
+    fn rpc_accepted(&mut self, _: RpcId) {}
+    fn rpc_forgotten(&mut self, _: RpcId) {}
     fn log(&mut self, _: Option<RpcId>, _: &str) {}
 }
--- a/crates/curlewpoint-gateway/src/clients.rs
+++ b/crates/curlewpoint-gateway/src/clients.rs
@@ -4,7 +4,8 @@
 use curlewpoint_catalogue::Catalogue;
 use curlewpoint_engine::ClientId;
 use curlewpoint_link::{
-    at_once, is_of_one_accept, linger, next_at_once, open, Ahead, Bounds, Link, LINGER, METRICS,
+    handshake, is_transient_accept_error, linger, next_if_ready, now_or_never, Link, LinkLimits, ReadAhead,
+    LINGER_LIMITS, METRICS,
 };
 use curlewpoint_wire::{Field, Frame, Kind};
 use tokio::net::{TcpListener, TcpStream};
@@ -27,7 +28,7 @@
 #[derive(Clone)]
 pub(crate) struct Desk {
     pub name: String,
-    pub bounds: Bounds,
+    pub bounds: LinkLimits,
     pub in_force: watch::Receiver<Arc<InForce>>,
     /// What ends something, and what begins something.
     pub endings: mpsc::Sender<Note>,
@@ -80,7 +81,7 @@
         };
         match accepted {
             Ok((stream, _)) => doors.let_in(stream),
-            Err(e) if is_of_one_accept(&e) => METRICS.local_errors.add(1),
+            Err(e) if is_transient_accept_error(&e) => METRICS.local_errors.add(1),
             Err(e) => {
                 // Out of descriptors, most likely: those in use go on, and closing ones make room.
                 warn!("a connection could not be accepted: {e}");
@@ -90,17 +91,17 @@
     }
     // What the machine has accepted is asked for once more after the driver has looked.
     yield_now().await;
-    while let Some(Ok((stream, _))) = at_once(listener.accept()).await {
+    while let Some(Ok((stream, _))) = now_or_never(listener.accept()).await {
         doors.let_in(stream);
     }
 }
 
 async fn turn_away(stream: TcpStream, desk: Desk, place: OwnedSemaphorePermit) {
-    if let Ok(Link { outbox, mut reader, writer, .. }) = open(stream, &desk.name, desk.bounds).await {
+    if let Ok(Link { outbox, mut reader, writer, .. }) = handshake(stream, &desk.name, desk.bounds).await {
         let _ = outbox.send(Frame::new(Kind::FAULT).text(Field::WHY, "too many connections"), None);
         drop(outbox);
         let _ = writer.await;
-        linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+        linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
     }
     drop(place);
 }
@@ -122,7 +123,7 @@
 async fn client(id: ClientId, stream: TcpStream, desk: Desk, _place: OwnedSemaphorePermit) {
     let opened = tokio::select! {
         biased;
-        opened = open(stream, &desk.name, desk.bounds) => opened,
+        opened = handshake(stream, &desk.name, desk.bounds) => opened,
         // One that has said nothing by then is not waited for.
         () = async { desk.closing.cancelled().await; yield_now().await } => return,
     };
@@ -134,7 +135,7 @@
     if desk.endings.send(Note::ClientIn(id, Client::new(outbox, writer.abort_handle()))).await.is_err() {
         return;
     }
-    let (mut ahead, mut passed, mut came) = (Ahead::new(AHEAD), 0, None::<Frame>);
+    let (mut ahead, mut passed, mut came) = (ReadAhead::new(AHEAD), 0, None::<Frame>);
     let (mut writing, mut why) = (true, None);
     loop {
         if let Some(frame) = came.take() {
@@ -146,7 +147,8 @@
                         break;
                     }
                 };
-                let after = ahead.withdraw(|told: &Told| told.tag == Some(tag)).is_none().then_some(passed);
+                let after =
+                    ahead.remove_last(|told: &Told| told.tag == Some(tag)).is_none().then_some(passed);
                 if desk.endings.send(Note::Cancel(id, tag, after)).await.is_err() {
                     break;
                 }
@@ -185,7 +187,7 @@
                 }
                 _ => break,
             },
-            () = desk.closing.cancelled(), if ahead.is_empty() => match next_at_once(&mut reader).await {
+            () = desk.closing.cancelled(), if ahead.is_empty() => match next_if_ready(&mut reader).await {
                 Some(Ok(frame)) => came = Some(frame),
                 Some(Err(e)) => {
                     why = Some(e);
@@ -202,7 +204,7 @@
     if writing {
         let _ = writer.await;
     }
-    linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+    linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
 }
 
 #[cfg(test)]
--- a/crates/curlewpoint-gateway/src/clients/tests.rs
+++ b/crates/curlewpoint-gateway/src/clients/tests.rs
@@ -20,7 +20,7 @@
     let now = InForce { release: releases.in_force(), prepared, withdrawn: releases.withdrawn().clone() };
     let (_, in_force) = watch::channel(Arc::new(now));
     let (closing, tasks) = (CancellationToken::new(), TaskTracker::new());
-    let (name, bounds) = ("x".to_owned(), Bounds::default());
+    let (name, bounds) = ("x".to_owned(), LinkLimits::default());
     let desk = Desk { name, bounds, in_force, endings, asks, closing, tasks };
     let (no_more, stopped) = watch::channel(false);
     tokio::spawn(async move {
@@ -36,7 +36,7 @@
 }
 
 async fn connected(address: SocketAddr) -> Link {
-    open(TcpStream::connect(address).await.unwrap(), "c", Bounds::default()).await.unwrap()
+    handshake(TcpStream::connect(address).await.unwrap(), "c", LinkLimits::default()).await.unwrap()
 }
 
 fn say(outbox: &Outbox, kind: Kind, tag: u64) {
--- a/crates/curlewpoint-gateway/src/http.rs
+++ b/crates/curlewpoint-gateway/src/http.rs
@@ -12,7 +12,7 @@
 use curlewpoint::types::Time;
 use curlewpoint_catalogue::{method_in, Effect, Method as Described, Misfit, Release};
 use curlewpoint_engine::{Answer, ClientId, Refusal};
-use curlewpoint_link::{linger, Clock, LINGER};
+use curlewpoint_link::{linger, Clock, LINGER_LIMITS};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto;
@@ -137,7 +137,7 @@
     let (mut read, write) = stream.into_split();
     // With it the writing side is shut.
     drop(write);
-    linger(&mut read, LINGER.0, LINGER.1).await;
+    linger(&mut read, LINGER_LIMITS.0, LINGER_LIMITS.1).await;
 }
 
 async fn connection(
@@ -176,7 +176,7 @@
         debug!(?peer, "http: {e}");
     }
     // With the server the writing side was shut.
-    linger(&mut lent, LINGER.0, LINGER.1).await;
+    linger(&mut lent, LINGER_LIMITS.0, LINGER_LIMITS.1).await;
 }
 
 /// Serves HTTP/1.1 and HTTP/2 without TLS until `stop` says so; what has come by then is still let in and answered, and
--- a/crates/curlewpoint-gateway/src/list.rs
+++ b/crates/curlewpoint-gateway/src/list.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use curlewpoint_link::{open, Bounds};
+use curlewpoint_link::{handshake, LinkLimits};
 use curlewpoint_wire::WireError;
 use oorandom::Rand64;
 use tokio::net::TcpStream;
@@ -17,7 +17,7 @@
 /// Keeps a connection to the list service while one is wanted, and another for each number that is. While there is none the list held goes on to be used; dials pause longer
 /// each time, with jitter, so that a service that comes back is not met by the whole fleet in step.
 pub(crate) async fn follow(
-    address: String, name: String, bounds: Bounds, dial: Duration, notes: mpsc::Sender<Note>, seed: u128,
+    address: String, name: String, bounds: LinkLimits, dial: Duration, notes: mpsc::Sender<Note>, seed: u128,
     mut wanted: watch::Receiver<Option<u64>>,
 ) {
     let mut rng = Rand64::new(seed);
@@ -27,7 +27,7 @@
         let Ok(number) = wanted.wait_for(Option::is_some).await.map(|w| *w) else { return };
         let dialled = timeout(dial, async {
             let stream = TcpStream::connect(&address).await.map_err(WireError::from)?;
-            open(stream, &name, bounds).await
+            handshake(stream, &name, bounds).await
         });
         match dialled.await {
             Ok(Ok(mut link)) => {
--- a/crates/curlewpoint-gateway/src/outside.rs
+++ b/crates/curlewpoint-gateway/src/outside.rs
@@ -3,7 +3,9 @@
 use bytes::Bytes;
 use curlewpoint::types::{FunctionId, Hint, Outcome, RpcId, Time, WorkerId};
 use curlewpoint_catalogue::{Catalogue, Release, Releases};
-use curlewpoint_engine::{Answer, ClientId, ConnId, Pool, RequestId, UpstreamRequest, Wires, World};
+use curlewpoint_engine::{
+    Answer, ClientId, ConnId, EngineDriver, Pool, PoolDriver, RequestId, UpstreamRequest,
+};
 use curlewpoint_link::{Outbox, Ticket};
 use curlewpoint_wire::{Field, Frame, Kind};
 use tokio::sync::oneshot;
@@ -66,7 +68,7 @@
     ended: VecDeque<(RequestId, Outcome)>,
 }
 
-impl Wires<Frame> for Sockets {
+impl PoolDriver<Frame> for Sockets {
     fn dial(&mut self, conn: ConnId, worker: WorkerId, address: &str) {
         debug!(conn = conn.0, worker = worker.0, address, "dialling");
         self.dialler.dial(conn, address.to_owned());
@@ -82,19 +84,19 @@
         sent
     }
 
-    fn take_back(&mut self, _conn: ConnId, request: RequestId) -> bool {
-        self.tickets.get(&request).is_some_and(|(ticket, _)| ticket.take_back())
+    fn withdraw(&mut self, _conn: ConnId, request: RequestId) -> bool {
+        self.tickets.get(&request).is_some_and(|(ticket, _)| ticket.withdraw())
     }
 
-    fn take_back_at_drain(&mut self, _conn: ConnId, request: RequestId) -> bool {
+    fn withdraw_on_drain(&mut self, _conn: ConnId, request: RequestId) -> bool {
         match self.tickets.get(&request) {
             None => false,
-            Some((ticket, true)) => ticket.take_back_unbegun(),
-            Some((ticket, false)) => ticket.take_back(),
+            Some((ticket, true)) => ticket.withdraw_if_queued(),
+            Some((ticket, false)) => ticket.withdraw(),
         }
     }
 
-    fn withdraw(&mut self, conn: ConnId, request: RequestId) {
+    fn send_withdraw(&mut self, conn: ConnId, request: RequestId) {
         if let Some(outbox) = self.outboxes.get(&conn) {
             // The worker may be spared what nobody waits for; where its outbox is full it is not told.
             let _ = outbox.send(Frame::new(Kind::WITHDRAW).int(Field::TAG, request.0), None);
@@ -105,7 +107,7 @@
         self.outboxes.remove(&conn);
     }
 
-    fn ended(&mut self, request: RequestId, outcome: Outcome) {
+    fn ended_locally(&mut self, request: RequestId, outcome: Outcome) {
         self.tickets.remove(&request);
         self.ended.push_back((request, outcome));
     }
@@ -181,12 +183,12 @@
     }
 
     pub fn conn_leaves(&mut self, conn: ConnId) {
-        self.pool.leave(&mut self.sockets, conn);
+        self.pool.drain_conn(&mut self.sockets, conn);
     }
 
     /// An answer came on this connection; false: nothing was asked there under this number, or it has ended since.
     pub fn answered(&mut self, now: Time, conn: ConnId, request: RequestId) -> bool {
-        let asked = self.pool.is_on(request, conn);
+        let asked = self.pool.is_open_on(request, conn);
         if asked {
             self.sockets.tickets.remove(&request);
             self.pool.answered(now, &mut self.sockets, request);
@@ -195,11 +197,11 @@
     }
 
     pub fn sweep(&mut self, now: Time) {
-        self.pool.sweep(now, &mut self.sockets);
+        self.pool.close_idle(now, &mut self.sockets);
     }
 
     pub fn conns(&self) -> usize {
-        self.pool.conns()
+        self.pool.conn_count()
     }
 
     fn rpc_name(&self, rpc: RpcId) -> String {
@@ -207,20 +209,20 @@
     }
 }
 
-impl World for Outside {
+impl EngineDriver for Outside {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
         let frame = match request {
-            UpstreamRequest::Attempt { rpc, no, method, model, tenant, token, left, body } => {
+            UpstreamRequest::Attempt { rpc, number, method, model, tenant, token, time_left, body } => {
                 let name = self.rpc_name(rpc);
-                debug!(rpc = name, no = no.0, worker = worker.0, "attempt");
+                debug!(rpc = name, no = number.0, worker = worker.0, "attempt");
                 let mut f = Frame::new(Kind::CALL_OUT)
                     .int(Field::TAG, id.0)
                     .text(Field::RPC, &name)
-                    .int(Field::NO, no.0 as u64)
+                    .int(Field::NO, number.0 as u64)
                     .text(Field::METHOD, method)
                     .text(Field::MODEL, model)
                     .text(Field::TENANT, tenant)
-                    .int(Field::LEFT, left.0);
+                    .int(Field::LEFT, time_left.0);
                 if let Some(token) = token {
                     f = f.text(Field::TOKEN, token);
                 }
@@ -235,8 +237,8 @@
         self.pool.request(now, &mut self.sockets, worker, id, frame);
     }
 
-    fn take_back(&mut self, now: Time, id: RequestId) -> bool {
-        let untouched = self.pool.take_back(now, &mut self.sockets, id);
+    fn withdraw(&mut self, now: Time, id: RequestId) -> bool {
+        let untouched = self.pool.withdraw(now, &mut self.sockets, id);
         self.sockets.tickets.remove(&id);
         untouched
     }
@@ -267,12 +269,12 @@
         self.tell_client(client, f.body(body));
     }
 
-    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
         self.sockets.ended.pop_front()
     }
 
     fn unload(&mut self, now: Time, worker: WorkerId, model: &str) {
-        self.pool.tell(now, &mut self.sockets, worker, |sockets, conn| {
+        self.pool.with_open_conn(now, &mut self.sockets, worker, |sockets, conn| {
             if let Some(outbox) = sockets.outboxes.get(&conn) {
                 let _ = outbox.send(Frame::new(Kind::UNLOAD).text(Field::MODEL, model), None);
             }
@@ -289,33 +291,33 @@
         }
     }
 
-    fn worker_at(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time) {
+    fn set_worker_address(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time) {
         debug!(worker = worker.0, name, address, "listed");
-        self.pool.worker_at(now, &mut self.sockets, worker, address, since);
+        self.pool.set_worker_address(now, &mut self.sockets, worker, address, since);
     }
 
-    fn worker_drains(&mut self, now: Time, worker: WorkerId) {
-        self.pool.send_nothing_more(now, &mut self.sockets, worker);
+    fn worker_draining(&mut self, now: Time, worker: WorkerId) {
+        self.pool.withdraw_unsent(now, &mut self.sockets, worker);
     }
 
     fn worker_gone(&mut self, now: Time, worker: WorkerId) {
         self.pool.worker_gone(now, &mut self.sockets, worker);
     }
 
-    fn seen(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
         self.seen.push((worker, function, hint, held));
     }
 
-    fn wanted(&mut self, function: FunctionId) {
+    fn function_requested(&mut self, function: FunctionId) {
         self.wanted.as_mut().map(|all| all.insert(function));
     }
 
-    fn taken(&mut self, rpc: RpcId) {
+    fn rpc_accepted(&mut self, rpc: RpcId) {
         let release = self.releases.taken();
         self.under.insert(rpc, release);
     }
 
-    fn forgotten(&mut self, rpc: RpcId) {
+    fn rpc_forgotten(&mut self, rpc: RpcId) {
         if let Some(release) = self.under.remove(&rpc) {
             self.releases.ended(release);
         }
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -12,7 +12,7 @@
 use curlewpoint_fleet::{
     frames, Bounds as FleetBounds, Entry, Fleet, LinkId, Member, MemberId, Outside as Others, Run, Seen,
 };
-use curlewpoint_link::{open, Bounds, Link, LinkError, Outbox};
+use curlewpoint_link::{handshake, Link, LinkError, LinkLimits, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 use futures_util::FutureExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -38,7 +38,7 @@
 #[derive(Clone)]
 struct Door {
     name: String,
-    bounds: Bounds,
+    bounds: LinkLimits,
     limit: Duration,
     notes: mpsc::Sender<Note>,
     tasks: TaskTracker,
@@ -79,7 +79,7 @@
     async fn dial(self, link: LinkId, address: String) {
         let dialled = timeout(self.limit, async {
             let stream = TcpStream::connect(&address).await.map_err(WireError::from)?;
-            open(stream, &self.name, self.bounds).await
+            handshake(stream, &self.name, self.bounds).await
         });
         match dialled.await {
             Ok(Ok(opened)) => self.converse(link, opened, Note::PeerUp).await,
@@ -137,7 +137,7 @@
             next += 1;
             let (link, door) = (LinkId(next), self.clone());
             self.tasks.spawn(async move {
-                match open(stream, &door.name, door.bounds).await {
+                match handshake(stream, &door.name, door.bounds).await {
                     Ok(opened) => door.converse(link, opened, Note::PeerIn).await,
                     Err(why) => info!("fleet: no hello from a peer: {why}"),
                 }
@@ -229,12 +229,12 @@
         self.peers.watched += 1;
         self.peers.watch.send_replace(on.then_some(self.peers.watched));
         if !on {
-            self.engine.world().list = None;
+            self.engine.driver().list = None;
         }
     }
 
     fn ask_service(&mut self, held: Option<(u64, u64)>) {
-        if let Some(outbox) = &self.engine.world().list {
+        if let Some(outbox) = &self.engine.driver().list {
             let _ = outbox.send(frames::ask_list_frame(held), None);
         }
     }
@@ -266,7 +266,7 @@
     }
 
     fn instances(&mut self, number: u64) {
-        self.engine.instances(number);
+        self.engine.set_instance_count(number);
     }
 
     fn log(&mut self, line: &str) {
@@ -310,11 +310,11 @@
             Kept { path, fleet: fleet_name, written: (None, 0, Instant::now()), writing: None, failed: false }
         });
         info!(address = at, run = format!("{:016x}", fleet.me().run.0), "fleet: peers may come");
-        let bounds = Bounds {
-            frame: MOST_FRAME,
-            outbox: (16 << 10, 4 << 20),
-            hello: config.time("connections", "hello-limit"),
-            write: config.time("connections", "write-limit"),
+        let bounds = LinkLimits {
+            max_frame: MOST_FRAME,
+            max_outbox: (16 << 10, 4 << 20),
+            hello_timeout: config.time("connections", "hello-limit"),
+            write_timeout: config.time("connections", "write-limit"),
         };
         let door = Door {
             name: name.to_owned(),
@@ -415,7 +415,7 @@
         if self.fleet.directory().is_none() {
             return;
         }
-        for function in engine.world().wanted.replace(BTreeSet::new()).into_iter().flatten() {
+        for function in engine.driver().wanted.replace(BTreeSet::new()).into_iter().flatten() {
             self.call(now, engine, |me, hands| me.wanted(now, hands, function));
         }
     }
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -7,9 +7,9 @@
 use curlewpoint_amqp::Login;
 use curlewpoint_catalogue::{Release, Releases, Standing};
 use curlewpoint_config::Config;
-use curlewpoint_engine::{ClientId, ConnId, Engine, Figures, Pool, PoolLimits, Refusal, RequestId};
+use curlewpoint_engine::{ClientId, ConnId, Engine, EngineCounters, Pool, PoolLimits, Refusal, RequestId};
 use curlewpoint_journal::{Journal, JournalError, Limits as JournalLimits};
-use curlewpoint_link::{Bounds, Clock, Turns};
+use curlewpoint_link::{Clock, EventQueue, LinkLimits};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
@@ -60,7 +60,7 @@
     pub http: Option<SocketAddr>,
     stop: mpsc::Sender<Note>,
     started: Arc<Config>,
-    end: JoinHandle<Figures>,
+    end: JoinHandle<EngineCounters>,
     helpers: Vec<AbortHandle>,
 }
 
@@ -89,7 +89,7 @@
     }
 
     /// Waits for the end, and tells where every RPC went.
-    pub async fn wait(self) -> Figures {
+    pub async fn wait(self) -> EngineCounters {
         let figures = self.end.await.unwrap_or_default();
         self.helpers.iter().for_each(AbortHandle::abort);
         figures
@@ -142,11 +142,11 @@
         Some(at) => Some(curlewpoint_link::listen(at).map_err(|e| StartError::Listen(at.to_owned(), e))?),
     };
     let http = door.as_ref().and_then(|d| d.local_addr().ok());
-    let bounds = Bounds {
-        frame: of("most-frame") as usize,
-        outbox: (of("outbox-frames") as usize, of("outbox") as usize),
-        hello: config.time("connections", "hello-limit"),
-        write: config.time("connections", "write-limit"),
+    let bounds = LinkLimits {
+        max_frame: of("most-frame") as usize,
+        max_outbox: (of("outbox-frames") as usize, of("outbox") as usize),
+        hello_timeout: config.time("connections", "hello-limit"),
+        write_timeout: config.time("connections", "write-limit"),
     };
     let seed = match config.value("", "seed") {
         Some(_) => u128::from(config.number("", "seed") as u64),
@@ -163,11 +163,11 @@
     let dialler = Dialler { name: name.clone(), bounds, limit: dial, notes: answers_in.clone() };
     let ms = |name| Time::from_ms(of(name));
     let limits = PoolLimits {
-        streams: of("streams") as usize,
-        conns: of("to-worker") as usize,
+        requests_per_conn: of("streams") as usize,
+        conns_per_worker: of("to-worker") as usize,
         // The configuration states no bound on all of them together.
-        all: usize::MAX,
-        idle: ms("idle"),
+        total_conns: usize::MAX,
+        idle_timeout: ms("idle"),
         back_off: (ms("back-off"), ms("most-back-off")),
     };
     let run = format!("{name}.{:08x}", oorandom::Rand64::new(seed).rand_u64() as u32);
@@ -183,7 +183,7 @@
     let (tasks, closing) = (TaskTracker::new(), CancellationToken::new());
     let most = of("clients") as usize;
     // What a client sends must fit a worker's frame with the longer head of an attempt.
-    let of_clients = Bounds { frame: bounds.frame.saturating_sub(HEADROOM), ..bounds };
+    let of_clients = LinkLimits { max_frame: bounds.max_frame.saturating_sub(HEADROOM), ..bounds };
     let desk = clients::Desk {
         name: name.clone(),
         bounds: of_clients,
@@ -199,7 +199,7 @@
     if let Some(door) = door {
         let limits = Limits {
             connections: of("http-clients") as usize,
-            body: of_clients.frame,
+            body: of_clients.max_frame,
             slow: config.time("connections", "http-slow"),
             head: of("http-head") as usize,
         };
@@ -288,8 +288,8 @@
     async fn run(
         mut self, answers: mpsc::Receiver<Note>, asks: mpsc::Receiver<Note>, tasks: TaskTracker,
         stop_limit: Duration,
-    ) -> Figures {
-        let mut turns = Turns::new(answers, asks, TURN);
+    ) -> EngineCounters {
+        let mut turns = EventQueue::new(answers, asks, TURN);
         let mut swept = Instant::now();
         loop {
             let mut wake = self.engine.next_wake().map_or(SWEEP, |at| self.clock.until(at)).min(SWEEP);
@@ -298,7 +298,7 @@
                 let holds = mesh.holds(self.clock.now());
                 wake = self.clock.until(mesh.next_wake()).min(if holds { HOLD_LOOK.max(wake) } else { wake });
             }
-            let notes = turns.next(wake).await;
+            let notes = turns.next_batch(wake).await;
             let now = self.clock.now();
             if let Some(mesh) = &mut self.mesh {
                 mesh.advance(now, &mut self.engine);
@@ -318,16 +318,16 @@
             }
             let now = self.clock.now();
             self.engine.advance(now);
-            let seen = std::mem::take(&mut self.engine.world().seen);
+            let seen = std::mem::take(&mut self.engine.driver().seen);
             if let Some(mesh) = &mut self.mesh {
                 mesh.saw(now, &mut self.engine, seen);
             }
-            for client in std::mem::take(&mut self.engine.world().lost) {
+            for client in std::mem::take(&mut self.engine.driver().lost) {
                 self.engine.client_gone(now, client);
             }
             if swept.elapsed() >= SWEEP {
                 swept = Instant::now();
-                self.engine.world().sweep(now);
+                self.engine.driver().sweep(now);
                 if let Some(mesh) = &mut self.mesh {
                     mesh.keep(now);
                 }
@@ -336,7 +336,7 @@
                 break;
             }
         }
-        let open = self.engine.open();
+        let open = self.engine.open_rpcs();
         if open > 0 {
             warn!(open, "ended with RPCs open: they are aborted");
             self.engine.abort_all(self.clock.now());
@@ -354,12 +354,12 @@
             let notes: Vec<Note> = tokio::select! {
                 () = &mut all => break,
                 () = &mut until => break,
-                notes = turns.next(SWEEP) => notes.filter(Note::is_of_client).collect(),
+                notes = turns.next_batch(SWEEP) => notes.filter(Note::is_of_client).collect(),
             };
             notes.into_iter().for_each(|note| self.note(note, stop_limit));
         }
-        let f = self.engine.figures();
-        let conns = self.engine.world().conns();
+        let f = self.engine.counters();
+        let conns = self.engine.driver().conns();
         info!(f.taken, f.ok, f.denied, f.aborted, f.left, f.refused, f.attempts, conns, "stopped");
         f
     }
@@ -369,8 +369,8 @@
     fn is_over(&mut self) -> bool {
         let Some(ending) = &self.ending else { return false };
         let (now, leave, limit) = (Instant::now(), ending.leave, ending.limit);
-        let gone = now >= leave || self.engine.world().clients.values().all(|c| c.leaving);
-        self.over || now >= limit || (gone && self.engine.open() == 0)
+        let gone = now >= leave || self.engine.driver().clients.values().all(|c| c.leaving);
+        self.over || now >= limit || (gone && self.engine.open_rpcs() == 0)
     }
 
     fn holds(&self) -> bool {
@@ -387,18 +387,18 @@
             Note::PeerDown(link) => mesh.link_down(now, engine, link),
             Note::Peer(link, frame) => mesh.peer(now, engine, link, &frame),
             Note::ListUp(outbox) => {
-                engine.world().list = Some(outbox);
+                engine.driver().list = Some(outbox);
                 mesh.service_up(now, engine);
             }
             Note::List(frame) => {
                 if let Err(e) = mesh.list(now, engine, None, &frame) {
                     info!("list service: {e}");
-                    engine.world().list = None;
+                    engine.driver().list = None;
                     mesh.service_down(now);
                 }
             }
             Note::ListBroke => {
-                engine.world().list = None;
+                engine.driver().list = None;
                 mesh.service_down(now);
             }
             other => return Some(other),
@@ -412,19 +412,19 @@
         let engine = &mut self.engine;
         match note {
             Note::ClientIn(id, client) => {
-                engine.world().clients.insert(id, client);
+                engine.driver().clients.insert(id, client);
                 if self.ending.is_some() {
-                    engine.world().tell_client(id, Frame::new(Kind::GO_AWAY));
+                    engine.driver().tell_client(id, Frame::new(Kind::GO_AWAY));
                 }
             }
             Note::ClientOut(id, why, forgotten) => {
                 // What was read of it and never taken.
-                (0..forgotten).for_each(|_| engine.refused());
+                (0..forgotten).for_each(|_| engine.count_refused());
                 match why {
                     Some(why) => self.close_client(now, id, &why.to_string()),
                     None => {
-                        engine.world().clients.remove(&id);
-                        engine.world().calls.remove(&id);
+                        engine.driver().clients.remove(&id);
+                        engine.driver().calls.remove(&id);
                         engine.client_gone(now, id);
                     }
                 }
@@ -438,9 +438,9 @@
             }
             Note::Cancel(id, tag, None) => self.withdrawn(id, tag),
             Note::Cancel(id, tag, Some(after)) => {
-                let Some(client) = engine.world().clients.get_mut(&id) else { return };
+                let Some(client) = engine.driver().clients.get_mut(&id) else { return };
                 if client.withdraws(tag, after) {
-                    engine.cancelled(now, id, tag);
+                    engine.cancel(now, id, tag);
                 } else {
                     self.close_client(now, id, "too much is withdrawn");
                 }
@@ -458,50 +458,50 @@
                 }
             }
             Note::Up(conn, outbox) => {
-                engine.world().conn_up(now, conn, outbox);
-                engine.settle(now);
+                engine.driver().conn_up(now, conn, outbox);
+                engine.process_ends(now);
             }
             Note::Down(conn, ours) => {
-                engine.world().conn_failed(now, conn, ours);
-                engine.settle(now);
+                engine.driver().conn_failed(now, conn, ours);
+                engine.process_ends(now);
             }
             Note::Broken(conn) => {
-                engine.world().conn_broken(now, conn);
-                engine.settle(now);
+                engine.driver().conn_broken(now, conn);
+                engine.process_ends(now);
             }
             Note::Worker(conn, frame) => {
                 if let Err(e) = self.worker(now, conn, &frame) {
                     info!(conn = conn.0, "connection to a worker closed: {e}");
-                    self.engine.world().conn_broken(now, conn);
-                    self.engine.settle(now);
+                    self.engine.driver().conn_broken(now, conn);
+                    self.engine.process_ends(now);
                 }
             }
             Note::ListUp(outbox) => {
-                engine.world().list = Some(outbox);
-                engine.list_up();
+                engine.driver().list = Some(outbox);
+                engine.list_connected();
             }
             Note::List(frame) => {
                 if let Err(e) = self.list(now, &frame) {
                     info!("list service: {e}");
-                    self.engine.world().list = None;
-                    self.engine.list_broke();
+                    self.engine.driver().list = None;
+                    self.engine.list_disconnected();
                 }
             }
             Note::ListBroke => {
-                engine.world().list = None;
-                engine.list_broke();
+                engine.driver().list = None;
+                engine.list_disconnected();
             }
             Note::PeerIn(..) | Note::PeerUp(..) | Note::PeerDown(_) | Note::Peer(..) => {}
             Note::Stop if self.ending.is_some() => self.over = true,
             Note::Stop => {
-                info!(open = engine.open(), "stopping: nothing more is taken");
+                info!(open = engine.open_rpcs(), "stopping: nothing more is taken");
                 let now = Instant::now();
                 self.ending = Some(Ending { leave: now + LEAVE.min(stop_limit), limit: now + stop_limit });
                 let _ = self.no_more.send(true);
-                engine.stop_taking();
-                let all: Vec<ClientId> = engine.world().clients.keys().copied().collect();
+                engine.stop_accepting();
+                let all: Vec<ClientId> = engine.driver().clients.keys().copied().collect();
                 for id in all {
-                    engine.world().tell_client(id, Frame::new(Kind::GO_AWAY));
+                    engine.driver().tell_client(id, Frame::new(Kind::GO_AWAY));
                 }
             }
         }
@@ -511,10 +511,10 @@
     /// it; what it has withdrawn meanwhile is refused.
     fn is_wanted(&mut self, id: ClientId, frame: &Frame) -> bool {
         let tag = frame.get_int(Field::TAG).ok().filter(|_| frame.kind == Kind::RPC);
-        match (self.engine.world().clients.get_mut(&id).map(|client| client.takes(tag)), tag) {
+        match (self.engine.driver().clients.get_mut(&id).map(|client| client.takes(tag)), tag) {
             (Some(true), Some(tag)) => self.withdrawn(id, tag),
             (Some(_), _) => return true,
-            (None, Some(_)) => self.engine.refused(),
+            (None, Some(_)) => self.engine.count_refused(),
             (None, None) => {}
         }
         false
@@ -522,15 +522,15 @@
 
     /// What a client asked and withdrew before it was taken.
     fn withdrawn(&mut self, id: ClientId, tag: u64) {
-        self.engine.refused();
+        self.engine.count_refused();
         let refused = Frame::new(Kind::REFUSED).int(Field::TAG, tag).text(Field::WHY, "cancelled");
-        self.engine.world().tell_client(id, refused);
+        self.engine.driver().tell_client(id, refused);
     }
 
     fn client(&mut self, now: Time, id: ClientId, release: Release, frame: Frame) -> Result<(), WireError> {
         match frame.kind {
             Kind::RPC => {
-                let releases = &self.engine.world().releases;
+                let releases = &self.engine.driver().releases;
                 let in_force = releases.in_force();
                 if release != in_force {
                     // Other methods came into force on its way here: it is taken under those, if at all.
@@ -540,7 +540,7 @@
                     }
                 }
                 let (tag, method) = (frame.get_int(Field::TAG)?, frame.get_text(Field::METHOD)?);
-                let taken = self.engine.rpc(
+                let taken = self.engine.submit_rpc(
                     now,
                     (id, tag),
                     method,
@@ -554,11 +554,11 @@
                 if let Err(why) = taken {
                     let why = codes::refusal_name(self.refusal(now, method, why));
                     let refused = Frame::new(Kind::REFUSED).int(Field::TAG, tag);
-                    self.engine.world().tell_client(id, refused.text(Field::WHY, why));
+                    self.engine.driver().tell_client(id, refused.text(Field::WHY, why));
                 }
             }
             Kind::GO_AWAY => {
-                self.engine.world().clients.get_mut(&id).into_iter().for_each(|c| c.leaving = true);
+                self.engine.driver().clients.get_mut(&id).into_iter().for_each(|c| c.leaving = true);
             }
             // What later versions may say is passed over.
             _ => {}
@@ -568,15 +568,15 @@
 
     fn unfit(&mut self, id: ClientId, frame: &Frame, why: &str) -> Result<(), WireError> {
         let tag = frame.get_int(Field::TAG)?;
-        self.engine.refused();
+        self.engine.count_refused();
         let f = Frame::new(Kind::REFUSED).int(Field::TAG, tag).text(Field::WHY, &format!("unfit: {why}"));
-        self.engine.world().tell_client(id, f);
+        self.engine.driver().tell_client(id, f);
         Ok(())
     }
 
     /// A method that was withdrawn of late is not one that never was.
     fn refusal(&mut self, now: Time, method: &str, why: Refusal) -> Refusal {
-        match (why, self.engine.world().releases.standing(now, method)) {
+        match (why, self.engine.driver().releases.standing(now, method)) {
             (Refusal::NoSuchMethod, Standing::Withdrawn { .. }) => Refusal::Withdrawn,
             _ => why,
         }
@@ -586,9 +586,9 @@
     fn reload(
         &mut self, now: Time, prepared: Arc<Prepared>, terms: Vec<serde_json::Value>,
     ) -> Result<Release, ReloadError> {
-        self.engine.world().releases.has_room().map_err(|e| ReloadError::TooMany(e.0))?;
-        self.engine.serve(terms).map_err(|_| ReloadError::TooManyTerms)?;
-        let releases = &mut self.engine.world().releases;
+        self.engine.driver().releases.has_room().map_err(|e| ReloadError::TooMany(e.0))?;
+        self.engine.set_methods(terms).map_err(|_| ReloadError::TooManyTerms)?;
+        let releases = &mut self.engine.driver().releases;
         let release =
             releases.reload(now, Arc::clone(&prepared.catalogue)).map_err(|e| ReloadError::TooMany(e.0))?;
         let (held, withdrawn) = (releases.held(), releases.withdrawn().clone());
@@ -602,17 +602,19 @@
         let Ask { release, method, model, tenant, left, token, body, reply } = ask;
         // Its client has gone: nothing was taken.
         if reply.is_closed() {
-            return self.engine.refused();
+            return self.engine.count_refused();
         }
-        if release != self.engine.world().releases.in_force() {
+        if release != self.engine.driver().releases.in_force() {
             let _ = reply.send(Reply::Changed);
             return;
         }
         // The answer may come within the call.
-        self.engine.world().calls.insert(id, reply);
+        self.engine.driver().calls.insert(id, reply);
         let token = token.as_deref();
-        if let Err(why) = self.engine.rpc(now, (id, 1), &method, &model, &tenant, left, token, None, body) {
-            if let Some(reply) = self.engine.world().calls.remove(&id) {
+        if let Err(why) =
+            self.engine.submit_rpc(now, (id, 1), &method, &model, &tenant, left, token, None, body)
+        {
+            if let Some(reply) = self.engine.driver().calls.remove(&id) {
                 let _ = reply.send(Reply::Refused(self.refusal(now, &method, why)));
             }
         }
@@ -620,9 +622,9 @@
 
     /// Whether what a worker answered is what the method's description promised when the RPC was taken.
     fn fits(&mut self, request: RequestId, body: &[u8]) -> bool {
-        let Some((rpc, method)) = self.engine.asked_by(request) else { return true };
+        let Some((rpc, method)) = self.engine.rpc_of_attempt(request) else { return true };
         let method = method.to_owned();
-        let catalogue = self.engine.world().taken_under(rpc);
+        let catalogue = self.engine.driver().taken_under(rpc);
         let checked = catalogue.and_then(|c| c.method(&method)).map_or(Ok(()), |m| m.answer.check(body));
         if let Err(why) = &checked {
             info!(method, "an answer does not fit its schema, {why}");
@@ -632,8 +634,8 @@
 
     fn close_client(&mut self, now: Time, id: ClientId, why: &str) {
         info!(client = id.0, "closed: {why}");
-        self.engine.world().tell_client(id, Frame::new(Kind::FAULT).text(Field::WHY, why));
-        self.engine.world().clients.remove(&id);
+        self.engine.driver().tell_client(id, Frame::new(Kind::FAULT).text(Field::WHY, why));
+        self.engine.driver().clients.remove(&id);
         self.engine.client_gone(now, id);
     }
 
@@ -649,12 +651,12 @@
                 // It has run, so it is no denial; what was promised did not come, so it is not ok: an error.
                 let unfit = f.kind == Kind::ANSWER && outcome == Outcome::Ok && !self.fits(request, &f.body);
                 let outcome = if unfit { Outcome::Error } else { outcome };
-                if self.engine.world().answered(now, conn, request) {
+                if self.engine.driver().answered(now, conn, request) {
                     let body = f.body.clone();
                     self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
                 }
             }
-            Kind::GO_AWAY => self.engine.world().conn_leaves(conn),
+            Kind::GO_AWAY => self.engine.driver().conn_leaves(conn),
             _ => {}
         }
         Ok(())
--- a/crates/curlewpoint-gateway/src/workers.rs
+++ b/crates/curlewpoint-gateway/src/workers.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use curlewpoint_engine::ConnId;
-use curlewpoint_link::{dial, is_ours, open, Bounds, Link, LinkError};
+use curlewpoint_link::{dial, handshake, is_local_error, Link, LinkError, LinkLimits};
 use curlewpoint_wire::WireError;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -13,7 +13,7 @@
 /// Opens connections to workers, each in a task of its own.
 pub(crate) struct Dialler {
     pub name: String,
-    pub bounds: Bounds,
+    pub bounds: LinkLimits,
     pub limit: Duration,
     pub notes: mpsc::Sender<Note>,
 }
@@ -24,8 +24,9 @@
         tokio::spawn(async move {
             let dialled = timeout(limit, async {
                 let dialled = dial(&address).await;
-                let stream = dialled.map_err(|e| (is_ours(&e), LinkError::from(WireError::from(e))))?;
-                open(stream, &name, bounds).await.map_err(|why| (false, why))
+                let stream =
+                    dialled.map_err(|e| (is_local_error(&e), LinkError::from(WireError::from(e))))?;
+                handshake(stream, &name, bounds).await.map_err(|why| (false, why))
             });
             let (ours, why) = match dialled.await {
                 Ok(Ok(link)) => return converse(conn, link, notes).await,
--- a/crates/curlewpoint-lab/benches/forward.rs
+++ b/crates/curlewpoint-lab/benches/forward.rs
@@ -15,7 +15,7 @@
 use curlewpoint_lab::stand::wire::{Door, Heard, Say};
 use curlewpoint_lab::stand::ListStand;
 use curlewpoint_lab::{Record, CONFIG};
-use curlewpoint_link::{open, Bounds, Link, Outbox};
+use curlewpoint_link::{handshake, Link, LinkLimits, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind};
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
@@ -92,7 +92,8 @@
         while let Ok((stream, _)) = listener.accept().await {
             let (to, next, waiting) = (Arc::clone(&to), Arc::clone(&next), Arc::clone(&waiting));
             tokio::spawn(async move {
-                let Ok(Link { outbox, mut reader, .. }) = open(stream, "forwarder", Bounds::default()).await
+                let Ok(Link { outbox, mut reader, .. }) =
+                    handshake(stream, "forwarder", LinkLimits::default()).await
                 else {
                     return;
                 };
@@ -112,7 +113,7 @@
 }
 
 async fn link(address: SocketAddr) -> Link {
-    open(TcpStream::connect(address).await.expect("it listens"), "bench", Bounds::default())
+    handshake(TcpStream::connect(address).await.expect("it listens"), "bench", LinkLimits::default())
         .await
         .expect("it speaks")
 }
--- a/crates/curlewpoint-lab/src/client.rs
+++ b/crates/curlewpoint-lab/src/client.rs
@@ -5,7 +5,7 @@
 use curlewpoint::types::Time;
 use curlewpoint_engine::Answer;
 use curlewpoint_gateway::answer_of;
-use curlewpoint_link::{open, Bounds, Link, LinkError, Outbox};
+use curlewpoint_link::{handshake, Link, LinkError, LinkLimits, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
@@ -42,7 +42,7 @@
     address: &str, method: &str, model: &str, tenant: &str, left: Time, token: Option<&str>, body: Bytes,
 ) -> Result<Called, LinkError> {
     let stream = TcpStream::connect(address).await.map_err(WireError::from)?;
-    let mut link = open(stream, "call", Bounds::default()).await?;
+    let mut link = handshake(stream, "call", LinkLimits::default()).await?;
     let _ = link.outbox.send(rpc_frame(1, method, model, tenant, left, token).body(body), None);
     let answer = async {
         while let Some(frame) = link.reader.next().await {
@@ -78,7 +78,7 @@
 impl Office {
     pub async fn open(address: &str, scheduler: &str, record: &Record) -> Result<Office, LinkError> {
         let stream = TcpStream::connect(address).await.map_err(WireError::from)?;
-        let Link { outbox, mut reader, .. } = open(stream, "office", Bounds::default()).await?;
+        let Link { outbox, mut reader, .. } = handshake(stream, "office", LinkLimits::default()).await?;
         let (seen, away) = (record.clone(), Arc::new(Mutex::new(false)));
         let (say, go_away) = (outbox.clone(), Arc::clone(&away));
         let reading = tokio::spawn(async move {
--- a/crates/curlewpoint-lab/src/day.rs
+++ b/crates/curlewpoint-lab/src/day.rs
@@ -6,7 +6,7 @@
 use curlewpoint::types::{Standing, Time};
 use curlewpoint_config::{milliseconds, Config};
 use curlewpoint_emulator::{Row, StoreSpec};
-use curlewpoint_engine::Figures;
+use curlewpoint_engine::EngineCounters;
 use oorandom::Rand64;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinSet;
@@ -25,7 +25,7 @@
     pub seen: Vec<(Time, Seen)>,
     pub verdict: Verdict,
     /// What each scheduler says of itself; those killed say nothing.
-    pub figures: BTreeMap<String, Figures>,
+    pub figures: BTreeMap<String, EngineCounters>,
     pub drawn: String,
 }
 
@@ -78,7 +78,7 @@
     address: SocketAddr,
     runtime: tokio::runtime::Handle,
     stop: mpsc::UnboundedSender<bool>,
-    ended: oneshot::Receiver<Figures>,
+    ended: oneshot::Receiver<EngineCounters>,
 }
 
 impl Instance {
@@ -131,7 +131,7 @@
         let _ = self.ended.await;
     }
 
-    async fn end(self) -> Option<Figures> {
+    async fn end(self) -> Option<EngineCounters> {
         let _ = self.stop.send(true);
         self.ended.await.ok()
     }
--- a/crates/curlewpoint-lab/src/stand/worker.rs
+++ b/crates/curlewpoint-lab/src/stand/worker.rs
@@ -8,7 +8,7 @@
 use curlewpoint_emulator::{Caller, Faults, Job, Neighbours, WorkerModel, WorkerSpec};
 use curlewpoint_engine::id_of;
 use curlewpoint_gateway::{copy_code, outcome_code};
-use curlewpoint_link::{open, Bounds, Link};
+use curlewpoint_link::{handshake, Link, LinkLimits};
 use curlewpoint_wire::{Field, Frame, Kind};
 use oorandom::Rand64;
 use tokio::net::{TcpListener, TcpStream};
@@ -377,7 +377,7 @@
             }
             let Some(first) = wanted.recv().await else { return };
             if let Ok(stream) = TcpStream::connect(store).await {
-                link = open(stream, &name, Bounds::default()).await.ok();
+                link = handshake(stream, &name, LinkLimits::default()).await.ok();
             }
             next += 1;
             ask(&link, &mut waiting, next, first);
--- a/crates/curlewpoint-lab/tests/caught.rs
+++ b/crates/curlewpoint-lab/tests/caught.rs
@@ -8,7 +8,7 @@
 use curlewpoint_gateway::answer_code;
 use curlewpoint_lab::stand::{ListStand, StoreStand, Trade, WorkerStand};
 use curlewpoint_lab::{judge, Office, Record, Script, Seen, Terms, Verdict, CONFIG};
-use curlewpoint_link::{open, Bounds, Link};
+use curlewpoint_link::{handshake, Link, LinkLimits};
 use curlewpoint_wire::{Field, Frame, Kind};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -75,7 +75,7 @@
 }
 
 async fn link(address: SocketAddr) -> Link {
-    open(TcpStream::connect(address).await.unwrap(), "front", Bounds::default()).await.unwrap()
+    handshake(TcpStream::connect(address).await.unwrap(), "front", LinkLimits::default()).await.unwrap()
 }
 
 /// Plays one RPC of this method through a scheduler that breaks something, and judges what passed.
@@ -132,7 +132,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let accepting = tokio::spawn(async move {
-        open(listener.accept().await.unwrap().0, "front", Bounds::default()).await.unwrap()
+        handshake(listener.accept().await.unwrap().0, "front", LinkLimits::default()).await.unwrap()
     });
     let office = Office::open(&address.to_string(), "front", &record).await.unwrap();
     let client = accepting.await.unwrap();
--- a/crates/curlewpoint-lab/tests/sockets/amqp.rs
+++ b/crates/curlewpoint-lab/tests/sockets/amqp.rs
@@ -139,7 +139,7 @@
     }
 }
 
-async fn end(gateway: Running) -> curlewpoint_engine::Figures {
+async fn end(gateway: Running) -> curlewpoint_engine::EngineCounters {
     gateway.stop().await;
     gateway.wait().await
 }
--- a/crates/curlewpoint-lab/tests/sockets/hard.rs
+++ b/crates/curlewpoint-lab/tests/sockets/hard.rs
@@ -5,7 +5,7 @@
 use curlewpoint_engine::Answer;
 use curlewpoint_lab::stand::wire::Say;
 use curlewpoint_lab::{call, Called, Office, Record, Seen, CONFIG};
-use curlewpoint_link::{open, Bounds};
+use curlewpoint_link::{handshake, LinkLimits};
 use curlewpoint_wire::{Field, Frame, Kind};
 use tokio::net::TcpStream;
 use tokio_stream::StreamExt;
@@ -197,7 +197,7 @@
     tokio::time::pause();
     tokio::time::advance(std::time::Duration::from_millis(300)).await;
     tokio::time::resume();
-    let mut link = open(stream, "a", Bounds::default()).await.unwrap();
+    let mut link = handshake(stream, "a", LinkLimits::default()).await.unwrap();
     let asked = loop {
         match link.reader.next().await {
             Some(Ok(f)) if f.kind == Kind::CALL_OUT => break f,
@@ -280,7 +280,7 @@
     let a = Puppet::start("a").await;
     let stage = Stage::new(&[&a]).await;
     let stream = TcpStream::connect(stage.gateway.address).await.unwrap();
-    let mut link = open(stream, "x", Bounds::default()).await.unwrap();
+    let mut link = handshake(stream, "x", LinkLimits::default()).await.unwrap();
     link.outbox.send(Frame::new(Kind::RPC).text(Field::TAG, "seven"), None).unwrap();
     let fault = link.reader.next().await.unwrap().unwrap();
     assert_eq!(fault.kind, Kind::FAULT);
@@ -304,7 +304,7 @@
     for _ in 0..ALL {
         dials.spawn(async move {
             let mut link =
-                open(TcpStream::connect(address).await.ok()?, "x", Bounds::default()).await.ok()?;
+                handshake(TcpStream::connect(address).await.ok()?, "x", LinkLimits::default()).await.ok()?;
             link.outbox
                 .send(
                     Frame::new(Kind::RPC)
@@ -326,7 +326,7 @@
     drop(all);
     loop {
         let stream = TcpStream::connect(address).await.unwrap();
-        if let Ok(mut link) = open(stream, "x", Bounds::default()).await {
+        if let Ok(mut link) = handshake(stream, "x", LinkLimits::default()).await {
             let ask =
                 Frame::new(Kind::RPC).int(Field::TAG, 1).text(Field::METHOD, "none").text(Field::MODEL, "m");
             link.outbox.send(ask.int(Field::LEFT, 9), None).unwrap();
@@ -339,7 +339,7 @@
     }
 }
 
-async fn stop(stage: Stage) -> curlewpoint_engine::Figures {
+async fn stop(stage: Stage) -> curlewpoint_engine::EngineCounters {
     stage.gateway.stop().await;
     stage.office.ended().await;
     stage.gateway.wait().await
--- a/crates/curlewpoint-link/src/ahead.rs
+++ b/crates/curlewpoint-link/src/ahead.rs
@@ -6,16 +6,16 @@
 
 /// What was read from one peer and not yet passed on: as long as there is room the peer is read, so that a cancel or its
 /// going is seen behind all that it has sent before.
-pub struct Ahead<T> {
+pub struct ReadAhead<T> {
     waiting: VecDeque<(T, usize)>,
     bytes: usize,
     /// How many, and how many bytes; the last one may go over.
     most: (usize, usize),
 }
 
-impl<T> Ahead<T> {
-    pub fn new(most: (usize, usize)) -> Ahead<T> {
-        Ahead { waiting: VecDeque::new(), bytes: 0, most }
+impl<T> ReadAhead<T> {
+    pub fn new(most: (usize, usize)) -> ReadAhead<T> {
+        ReadAhead { waiting: VecDeque::new(), bytes: 0, most }
     }
 
     pub fn has_room(&self) -> bool {
@@ -38,7 +38,7 @@
     }
 
     /// Takes out the last one of these, if there is any.
-    pub fn withdraw(&mut self, is_it: impl Fn(&T) -> bool) -> Option<T> {
+    pub fn remove_last(&mut self, is_it: impl Fn(&T) -> bool) -> Option<T> {
         let at = self.waiting.iter().rposition(|(what, _)| is_it(what))?;
         let (what, bytes) = self.waiting.remove(at)?;
         self.bytes -= bytes;
@@ -52,7 +52,7 @@
 }
 
 /// What there is without waiting. A time-out of nought would wait for the next tick of the timers, a millisecond.
-pub async fn at_once<T>(what: impl Future<Output = T>) -> Option<T> {
+pub async fn now_or_never<T>(what: impl Future<Output = T>) -> Option<T> {
     tokio::select! {
         biased;
         what = what => Some(what),
@@ -61,7 +61,7 @@
 }
 
 /// The next that has come already, asked for once the driver has looked; none: nothing has, or it has ended.
-pub async fn next_at_once<S: Stream + Unpin>(from: &mut S) -> Option<S::Item> {
+pub async fn next_if_ready<S: Stream + Unpin>(from: &mut S) -> Option<S::Item> {
     yield_now().await;
-    at_once(from.next()).await.flatten()
+    now_or_never(from.next()).await.flatten()
 }
--- a/crates/curlewpoint-link/src/ending.rs
+++ b/crates/curlewpoint-link/src/ending.rs
@@ -10,7 +10,7 @@
 use crate::metrics::METRICS;
 
 /// What is still read, and for how long, from a peer that was answered and shut off.
-pub const LINGER: (Duration, usize) = (Duration::from_millis(300), 256 * 1024);
+pub const LINGER_LIMITS: (Duration, usize) = (Duration::from_millis(300), 256 * 1024);
 
 /// Reads to the end what a peer still sends after our side was shut down, up to a time and so many bytes. A socket that
 /// is closed with unread bytes in it is reset, which destroys what was written before and not yet read over there.
@@ -31,7 +31,7 @@
 
 /// Whether a connection could not be made for want of something on this side, as of descriptors, ports or a route, or was
 /// interrupted: it says nothing of the peer.
-pub fn is_ours(why: &Error) -> bool {
+pub fn is_local_error(why: &Error) -> bool {
     let ours = [
         Errno::MFILE,
         Errno::NFILE,
@@ -47,7 +47,7 @@
 }
 
 /// Whether an accept failed for a connection that has ended meanwhile, or was interrupted: the next may follow at once.
-pub fn is_of_one_accept(why: &Error) -> bool {
+pub fn is_transient_accept_error(why: &Error) -> bool {
     let passing = [
         Errno::CONNABORTED,
         Errno::INTR,
@@ -67,7 +67,7 @@
 pub async fn dial(address: &str) -> std::io::Result<TcpStream> {
     for pause in DIAL_PAUSES_MS.map(Duration::from_millis) {
         match TcpStream::connect(address).await {
-            Err(why) if is_ours(&why) => {
+            Err(why) if is_local_error(&why) => {
                 METRICS.local_errors.add(1);
                 debug!("dialled again: {why}");
                 sleep(pause).await;
--- a/crates/curlewpoint-link/src/lib.rs
+++ b/crates/curlewpoint-link/src/lib.rs
@@ -12,11 +12,11 @@
 mod stream;
 mod turn;
 
-pub use ahead::{at_once, next_at_once, Ahead};
+pub use ahead::{next_if_ready, now_or_never, ReadAhead};
 pub use clock::Clock;
-pub use ending::{dial, is_of_one_accept, is_ours, linger, LINGER};
-pub use link::{listen, listen_again, open, outbox, Bounds, Link, LinkError, Reader};
+pub use ending::{dial, is_local_error, is_transient_accept_error, linger, LINGER_LIMITS};
+pub use link::{handshake, listen, listen_with_retry, spawn_writer, Link, LinkError, LinkLimits, Reader};
 pub use metrics::{Counter, Metrics, METRICS};
-pub use outbox::{Outbox, Parcel, SendError, Ticket, SLOW_FRAME_MS};
+pub use outbox::{Outbox, OutboxMessage, SendError, Ticket, SLOW_FRAME_MS};
 pub use stream::{split, ReadHalf, WriteHalf};
-pub use turn::Turns;
+pub use turn::EventQueue;
--- a/crates/curlewpoint-link/src/link.rs
+++ b/crates/curlewpoint-link/src/link.rs
@@ -10,31 +10,31 @@
 use tokio_util::codec::FramedRead;
 use tracing::Instrument;
 
-use crate::ending::{is_ours, linger, LINGER};
+use crate::ending::{is_local_error, linger, LINGER_LIMITS};
 use crate::metrics::METRICS;
-use crate::outbox::{write_all, Outbox, Parcel};
+use crate::outbox::{write_all, Outbox, OutboxMessage};
 use crate::stream::{split, ReadHalf, WriteHalf};
 
 /// What a connection may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct LinkLimits {
     /// The longest frame, in bytes.
-    pub frame: usize,
+    pub max_frame: usize,
     /// Frames and bytes that may wait to be written.
-    pub outbox: (usize, usize),
+    pub max_outbox: (usize, usize),
     /// How long the peer may take for its hello.
-    pub hello: Duration,
+    pub hello_timeout: Duration,
     /// A peer that takes not a byte for so long is cut off.
-    pub write: Duration,
+    pub write_timeout: Duration,
 }
 
-impl Default for Bounds {
+impl Default for LinkLimits {
     fn default() -> Self {
-        Bounds {
-            frame: 17 << 20,
-            outbox: (1024, 32 << 20),
-            hello: Duration::from_secs(2),
-            write: Duration::from_secs(10),
+        LinkLimits {
+            max_frame: 17 << 20,
+            max_outbox: (1024, 32 << 20),
+            hello_timeout: Duration::from_secs(2),
+            write_timeout: Duration::from_secs(10),
         }
     }
 }
@@ -86,10 +86,10 @@
 const LISTEN_PAUSE: Duration = Duration::from_millis(20);
 
 /// The same, tried again where something on this side lacks for a moment: a start does not fail for it.
-pub async fn listen_again(address: &str) -> std::io::Result<TcpListener> {
+pub async fn listen_with_retry(address: &str) -> std::io::Result<TcpListener> {
     for _ in 1..LISTEN_TRIES {
         match listen(address) {
-            Err(why) if is_ours(&why) => {
+            Err(why) if is_local_error(&why) => {
                 METRICS.local_errors.add(1);
                 sleep(LISTEN_PAUSE).await;
             }
@@ -100,23 +100,25 @@
 }
 
 /// The outbox of a connection, whatever is spoken on it, and the task that writes.
-pub fn outbox<P: Parcel>(write: WriteHalf, bounds: Bounds) -> (Outbox<P>, JoinHandle<std::io::Result<()>>) {
-    let (outbox, inside) = Outbox::new(bounds.outbox.0, bounds.outbox.1);
-    (outbox, tokio::spawn(write_all(inside, write, bounds.write).in_current_span()))
+pub fn spawn_writer<P: OutboxMessage>(
+    write: WriteHalf, bounds: LinkLimits,
+) -> (Outbox<P>, JoinHandle<std::io::Result<()>>) {
+    let (outbox, inside) = Outbox::new(bounds.max_outbox.0, bounds.max_outbox.1);
+    (outbox, tokio::spawn(write_all(inside, write, bounds.write_timeout).in_current_span()))
 }
 
 /// Says hello on a new connection and waits for the peer's. A peer of another version is told so.
-pub async fn open(stream: TcpStream, name: &str, bounds: Bounds) -> Result<Link, LinkError> {
+pub async fn handshake(stream: TcpStream, name: &str, bounds: LinkLimits) -> Result<Link, LinkError> {
     // A delay for the sake of fuller packets would add to every answer.
     stream.set_nodelay(true).map_err(WireError::from)?;
     let (read, write) = split(stream);
-    let mut reader = FramedRead::new(read, Codec { most: bounds.frame });
-    let (outbox, writer) = outbox(write, bounds);
+    let mut reader = FramedRead::new(read, Codec { most: bounds.max_frame });
+    let (outbox, writer) = spawn_writer(write, bounds);
     let hello = Frame::new(Kind::HELLO).int(Field::VERSION, VERSION).text(Field::INSTANCE, name);
     let _ = outbox.send(hello, None);
-    let first = tokio::time::timeout(bounds.hello, reader.next()).await;
+    let first = tokio::time::timeout(bounds.hello_timeout, reader.next()).await;
     let told = match first {
-        Err(_) => Err(LinkError::NoHello(bounds.hello)),
+        Err(_) => Err(LinkError::NoHello(bounds.hello_timeout)),
         Ok(None) => Err(LinkError::Ended),
         Ok(Some(Err(e))) => Err(e.into()),
         Ok(Some(Ok(f))) if f.kind == Kind::FAULT => {
@@ -137,7 +139,7 @@
             // Flushed and shut, then read to its end: a peer that sends on would not read why else.
             tokio::spawn(async move {
                 let _ = writer.await;
-                linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+                linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
             });
             Err(why)
         }
--- a/crates/curlewpoint-link/src/outbox.rs
+++ b/crates/curlewpoint-link/src/outbox.rs
@@ -32,7 +32,7 @@
     }
 
     /// True: not one byte was, or ever will be, handed to the kernel.
-    pub fn take_back(&self) -> bool {
+    pub fn withdraw(&self) -> bool {
         let back = self.step(QUEUED, TAKEN_BACK) || self.0.load(Ordering::Acquire) == TAKEN_BACK;
         if !back {
             self.step(BEGUN, UNWANTED);
@@ -41,7 +41,7 @@
     }
 
     /// The same for one that may finish once it is begun: true, or false with nothing changed.
-    pub fn take_back_unbegun(&self) -> bool {
+    pub fn withdraw_if_queued(&self) -> bool {
         self.step(QUEUED, TAKEN_BACK) || self.0.load(Ordering::Acquire) == TAKEN_BACK
     }
 
@@ -58,18 +58,18 @@
 }
 
 /// What an outbox holds: its front is gathered with those of others, its body may be written from where it lies.
-pub trait Parcel: Send + 'static {
-    fn size(&self) -> usize;
-    fn front(&self, dst: &mut BytesMut);
+pub trait OutboxMessage: Send + 'static {
+    fn encoded_len(&self) -> usize;
+    fn encode_head(&self, dst: &mut BytesMut);
     fn body(&self) -> Bytes;
 }
 
-impl Parcel for Frame {
-    fn size(&self) -> usize {
+impl OutboxMessage for Frame {
+    fn encoded_len(&self) -> usize {
         self.body.len() + self.head().len() + HEAD_BYTES
     }
 
-    fn front(&self, dst: &mut BytesMut) {
+    fn encode_head(&self, dst: &mut BytesMut) {
         Codec::front(self, dst);
     }
 
@@ -79,12 +79,12 @@
 }
 
 /// Bytes of another protocol, already as they are to be written.
-impl Parcel for Bytes {
-    fn size(&self) -> usize {
+impl OutboxMessage for Bytes {
+    fn encoded_len(&self) -> usize {
         self.len()
     }
 
-    fn front(&self, _dst: &mut BytesMut) {}
+    fn encode_head(&self, _dst: &mut BytesMut) {}
 
     fn body(&self) -> Bytes {
         self.clone()
@@ -112,7 +112,7 @@
     most_bytes: usize,
 }
 
-impl<P: Parcel> Outbox<P> {
+impl<P: OutboxMessage> Outbox<P> {
     pub(crate) fn new(most_frames: usize, most_bytes: usize) -> (Outbox<P>, Inside<P>) {
         let (items, taken) = mpsc::channel(most_frames);
         let bytes = Arc::new(AtomicUsize::new(0));
@@ -121,7 +121,7 @@
 
     /// Queues a frame. One frame is taken whatever its size while nothing else waits.
     pub fn send(&self, frame: P, ticket: Option<Ticket>) -> Result<(), SendError> {
-        let size = frame.size();
+        let size = frame.encoded_len();
         let before = self.bytes.fetch_add(size, Ordering::AcqRel);
         if before > 0 && before + size > self.most_bytes {
             self.bytes.fetch_sub(size, Ordering::AcqRel);
@@ -170,7 +170,7 @@
     rest_ticket: Option<Ticket>,
 }
 
-impl<P: Parcel> Taken<P> {
+impl<P: OutboxMessage> Taken<P> {
     fn new() -> Taken<P> {
         Taken { queued: VecDeque::new(), rest: VecDeque::new(), rest_size: 0, begun: None, rest_ticket: None }
     }
@@ -226,12 +226,12 @@
             }
             let Item { frame, ticket } = &self.queued[starts.len()];
             if ticket.as_ref().is_some_and(|t| !t.step(QUEUED, BEGUN)) {
-                freed(frame.size());
+                freed(frame.encoded_len());
                 self.queued.remove(starts.len());
                 continue;
             }
             starts.push(small.len());
-            frame.front(&mut small);
+            frame.encode_head(&mut small);
             let body = frame.body();
             if body.len() < LARGE {
                 small.extend_from_slice(&body);
@@ -260,7 +260,7 @@
         }
         for (no, _) in starts.iter().enumerate().take_while(|(_, start)| **start < n) {
             let Some(Item { frame, ticket }) = self.queued.pop_front() else { break };
-            let size = frame.size();
+            let size = frame.encoded_len();
             let end = starts.get(no + 1).copied().unwrap_or(small.len());
             let body = large.take_if(|_| no + 1 == starts.len());
             self.rest.extend((n < end).then(|| small.slice(n..end)).into_iter().chain(body));
@@ -280,7 +280,7 @@
 
 /// Writes until the outbox is dropped or the connection breaks. After that the tickets of frames that had no byte
 /// written can be taken back.
-pub(crate) async fn write_all<P: Parcel>(
+pub(crate) async fn write_all<P: OutboxMessage>(
     mut inside: Inside<P>, mut to: impl AsyncWrite + Unpin, limit: Duration,
 ) -> std::io::Result<()> {
     let mut taken = Taken::new();
--- a/crates/curlewpoint-link/src/outbox/tests.rs
+++ b/crates/curlewpoint-link/src/outbox/tests.rs
@@ -43,7 +43,7 @@
         let whole = write_all(inside, Breaks(broken_at, Vec::new()), LIMIT).await.is_ok();
         assert_eq!(whole, broken_at == 3 * size);
         for (no, ticket) in tickets.iter().enumerate() {
-            assert_eq!(ticket.take_back(), broken_at <= no * size, "frame {no}, broken at {broken_at}");
+            assert_eq!(ticket.withdraw(), broken_at <= no * size, "frame {no}, broken at {broken_at}");
         }
     }
 }
@@ -53,7 +53,7 @@
     let (outbox, inside) = Outbox::new(8, 1 << 20);
     let ticket = Ticket::default();
     outbox.send(frame(), Some(ticket.clone())).unwrap();
-    assert!(ticket.take_back());
+    assert!(ticket.withdraw());
     drop(outbox);
     let mut to = Vec::new();
     write_all(inside, &mut to, LIMIT).await.unwrap();
@@ -110,13 +110,13 @@
     let to = Holds { open: Arc::clone(&open), asked: Some(told), got: Arc::clone(&got) };
     let writer = tokio::spawn(write_all(inside, to, LIMIT));
     let waker = asked.await.unwrap();
-    assert!(tickets[1].take_back(), "not a byte of it was taken");
+    assert!(tickets[1].withdraw(), "not a byte of it was taken");
     open.store(true, Ordering::Release);
     waker.wake();
     drop(outbox);
     writer.await.unwrap().unwrap();
     assert_eq!(*got.lock().unwrap(), b"aaaaaaaaaacccccccccc");
-    assert!(!tickets[0].take_back() && !tickets[2].take_back());
+    assert!(!tickets[0].withdraw() && !tickets[2].withdraw());
 }
 
 /// Frames of all sizes, cut anywhere, arrive whole and in order, and what the outbox counts comes back to nought.
@@ -153,12 +153,12 @@
     let writer = tokio::spawn(write_all(inside, to, LIMIT));
     let mut first = [0; TAKEN];
     tokio::io::AsyncReadExt::read_exact(&mut peer, &mut first[..1]).await.unwrap();
-    assert!(!begun.take_back(), "it was begun");
+    assert!(!begun.withdraw(), "it was begun");
     let mut rest = Vec::new();
     tokio::io::AsyncReadExt::read_to_end(&mut peer, &mut rest).await.unwrap();
     assert!(rest.len() < 2 * TAKEN, "{} bytes of a frame that nobody wants", rest.len());
     assert_eq!(writer.await.unwrap().unwrap_err().kind(), ErrorKind::ConnectionAborted);
-    assert!(behind.take_back(), "nothing of the next was begun");
+    assert!(behind.withdraw(), "nothing of the next was begun");
 }
 
 /// The same of an attempt as its worker drains: it was begun before, and finishes.
@@ -171,7 +171,7 @@
     let writer = tokio::spawn(write_all(inside, to, LIMIT));
     let mut first = [0; 1];
     tokio::io::AsyncReadExt::read_exact(&mut peer, &mut first).await.unwrap();
-    assert!(!begun.take_back_unbegun());
+    assert!(!begun.withdraw_if_queued());
     drop(outbox);
     let mut rest = Vec::new();
     tokio::io::AsyncReadExt::read_to_end(&mut peer, &mut rest).await.unwrap();
--- a/crates/curlewpoint-link/src/turn.rs
+++ b/crates/curlewpoint-link/src/turn.rs
@@ -5,7 +5,7 @@
 /// What has come for the one task that owns a scheduler, gathered in turns.
 ///
 /// Answers before asks: they end what is held, and there are no more of them than were asked for.
-pub struct Turns<N> {
+pub struct EventQueue<N> {
     answers: mpsc::Receiver<N>,
     asks: mpsc::Receiver<N>,
     notes: Vec<N>,
@@ -13,17 +13,17 @@
     most: usize,
 }
 
-impl<N> Turns<N> {
+impl<N> EventQueue<N> {
     /// Up to `most` asks are taken in a turn, before time is looked at again, and all answers that there are: as many as
     /// their channel holds.
-    pub fn new(answers: mpsc::Receiver<N>, asks: mpsc::Receiver<N>, most: usize) -> Turns<N> {
-        Turns { answers, asks, notes: Vec::with_capacity(most), asked: Vec::with_capacity(most), most }
+    pub fn new(answers: mpsc::Receiver<N>, asks: mpsc::Receiver<N>, most: usize) -> EventQueue<N> {
+        EventQueue { answers, asks, notes: Vec::with_capacity(most), asked: Vec::with_capacity(most), most }
     }
 
     /// Waits until something has come or the time is up, and hands over what there is, answers first. Asks are taken in
     /// each turn: answers that never end, as from a worker that floods, hold back no client's word and no stop. What was
     /// sent as an answer before an ask is handed over before it.
-    pub async fn next(&mut self, at_most: Duration) -> impl Iterator<Item = N> + '_ {
+    pub async fn next_batch(&mut self, at_most: Duration) -> impl Iterator<Item = N> + '_ {
         tokio::select! {
             biased;
             _ = self.answers.recv_many(&mut self.notes, self.most) => {}
--- a/crates/curlewpoint-node/src/clients.rs
+++ b/crates/curlewpoint-node/src/clients.rs
@@ -4,7 +4,8 @@
 use bytes::Bytes;
 use curlewpoint_engine::ClientId;
 use curlewpoint_link::{
-    at_once, is_of_one_accept, linger, next_at_once, outbox, split, Ahead, Bounds, Clock, LINGER, METRICS,
+    is_transient_accept_error, linger, next_if_ready, now_or_never, spawn_writer, split, Clock, LinkLimits,
+    ReadAhead, LINGER_LIMITS, METRICS,
 };
 use curlewpoint_platform::asked::CANCEL;
 use curlewpoint_platform::resp::{Commands, RespError};
@@ -48,7 +49,7 @@
 /// What the tasks of clients share.
 #[derive(Clone)]
 pub(crate) struct Desk {
-    pub bounds: Bounds,
+    pub bounds: LinkLimits,
     pub clock: Clock,
     /// What ends something, and what begins something.
     pub endings: mpsc::Sender<Note>,
@@ -99,7 +100,7 @@
                 }
                 comes = Some(stream);
             }
-            Err(e) if is_of_one_accept(&e) => METRICS.local_errors.add(1),
+            Err(e) if is_transient_accept_error(&e) => METRICS.local_errors.add(1),
             Err(e) => {
                 // Out of descriptors, most likely. Room is made as at the cap, and nothing spins meanwhile.
                 say_once(&mut doors, true, &e.to_string());
@@ -116,9 +117,9 @@
     yield_now().await;
     comes.into_iter().for_each(|stream| let_in(&mut doors, stream, waited));
     loop {
-        match at_once(listener.accept()).await {
+        match now_or_never(listener.accept()).await {
             Some(Ok((stream, _))) => let_in(&mut doors, stream, false),
-            Some(Err(e)) if is_of_one_accept(&e) => {}
+            Some(Err(e)) if is_transient_accept_error(&e) => {}
             _ => break,
         }
     }
@@ -154,7 +155,7 @@
 async fn client(id: ClientId, stream: TcpStream, desk: Desk, presence: Arc<Presence>, place: Place) {
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let codec = Commands { most_words: 8, most_word: desk.bounds.frame };
+    let codec = Commands { most_words: 8, most_word: desk.bounds.max_frame };
     let mut reader = FramedRead::new(read, codec);
     // Nothing is kept for it, here or with the engine, until it has said a first thing.
     let until = Instant::now() + 2 * QUIET;
@@ -163,30 +164,30 @@
             biased;
             first = timeout_at(until, reader.next()) => break first.unwrap_or_default(),
             () = presence.leave.notified() => {
-                let first = next_at_once(&mut reader).await;
+                let first = next_if_ready(&mut reader).await;
                 if first.is_some() || reader.read_buffer().is_empty() || presence.asked() == Some(true) {
                     break first;
                 }
                 stays(&presence, &desk, &place, true);
             }
-            () = desk.closing.cancelled() => break next_at_once(&mut reader).await,
+            () = desk.closing.cancelled() => break next_if_ready(&mut reader).await,
         }
     };
     let first = match first {
         Some(Ok(words)) => words,
         Some(Err(why)) => {
             info!(client = id.0, "a first command that cannot be read: {why}");
-            return linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+            return linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
         }
         None => return,
     };
     stays(&presence, &desk, &place, false);
-    let (outbox, mut writer) = outbox::<Bytes>(write, desk.bounds);
+    let (outbox, mut writer) = spawn_writer::<Bytes>(write, desk.bounds);
     let client = Client::new(outbox, writer.abort_handle(), Arc::clone(&presence));
     if desk.endings.send(Note::ClientIn(id, client)).await.is_err() {
         return;
     }
-    let (mut ahead, mut half, mut why) = (Ahead::new(AHEAD), false, None);
+    let (mut ahead, mut half, mut why) = (ReadAhead::new(AHEAD), false, None);
     let (mut writing, mut lingers) = (true, true);
     let mut came = Some(first);
     let mut silent_at = Instant::now() + QUIET;
@@ -196,7 +197,7 @@
             presence.reads();
             stays(&presence, &desk, &place, false);
             if words.first().is_some_and(|w| w == CANCEL) {
-                if ahead.withdraw(|call: &Vec<Bytes>| call.get(1) == words.get(1)).is_some() {
+                if ahead.remove_last(|call: &Vec<Bytes>| call.get(1) == words.get(1)).is_some() {
                     // Neither was heard of elsewhere.
                     presence.dealt_with(presence.open());
                     presence.dealt_with(presence.open());
@@ -231,7 +232,7 @@
                 _ => break,
             },
             () = presence.leave.notified() => {
-                let (next, begun) = (next_at_once(&mut reader).await, !reader.read_buffer().is_empty());
+                let (next, begun) = (next_if_ready(&mut reader).await, !reader.read_buffer().is_empty());
                 match (next, presence.asked()) {
                     (Some(Ok(words)), _) => came = Some(words),
                     (Some(Err(e)), _) => {
@@ -248,7 +249,7 @@
                     (None, None) => {}
                 }
             }
-            () = desk.closing.cancelled(), if ahead.is_empty() => match next_at_once(&mut reader).await {
+            () = desk.closing.cancelled(), if ahead.is_empty() => match next_if_ready(&mut reader).await {
                 Some(Ok(words)) => came = Some(words),
                 Some(Err(e)) => {
                     why = Some(e);
@@ -278,7 +279,7 @@
     }
     debug!(client = id.0, spoilt, "closed");
     if lingers {
-        linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+        linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
     }
 }
 
--- a/crates/curlewpoint-node/src/clients/tests.rs
+++ b/crates/curlewpoint-node/src/clients/tests.rs
@@ -10,7 +10,7 @@
     let ((endings, ended), (asks, asked)) = (mpsc::channel(64), mpsc::channel(1));
     asks.try_send(Note::Stop).unwrap_or_default();
     let (closing, tasks, clock) = (CancellationToken::new(), TaskTracker::new(), Clock::start());
-    let bounds = Bounds { frame: 1024, ..Bounds::default() };
+    let bounds = LinkLimits { max_frame: 1024, ..LinkLimits::default() };
     tokio::spawn(accept(listener, most, Desk { bounds, clock, endings, asks, closing, tasks }));
     (address, ended, asked)
 }
@@ -69,7 +69,7 @@
 #[test_case(1, 64 ; "commands")]
 #[test_case(16 * 1024, 2 ; "bytes")]
 fn what_is_read_ahead_is_bounded(bytes: usize, most: usize) {
-    let mut ahead = Ahead::new(AHEAD);
+    let mut ahead = ReadAhead::new(AHEAD);
     while ahead.has_room() {
         let words = vec![Bytes::from(vec![0; bytes])];
         let bytes = size(&words);
--- a/crates/curlewpoint-node/src/directory.rs
+++ b/crates/curlewpoint-node/src/directory.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use curlewpoint::types::Standing;
-use curlewpoint_link::{is_ours, METRICS};
+use curlewpoint_link::{is_local_error, METRICS};
 use curlewpoint_platform::dns::{self, DirectoryError, MOST_ANSWER};
 use curlewpoint_platform::Roll;
 use oorandom::Rand64;
@@ -150,7 +150,7 @@
     /// Where descriptors lack, the places before make room.
     async fn move_to(&mut self, address: SocketAddr) -> std::io::Result<()> {
         let place = match Place::reach(address).await {
-            Err(why) if is_ours(&why) && (self.now.is_some() || !self.before.is_empty()) => {
+            Err(why) if is_local_error(&why) && (self.now.is_some() || !self.before.is_empty()) => {
                 (self.now, self.before) = Default::default();
                 Place::reach(address).await
             }
--- a/crates/curlewpoint-node/src/line.rs
+++ b/crates/curlewpoint-node/src/line.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use curlewpoint::types::Time;
-use curlewpoint_link::{Clock, Parcel};
+use curlewpoint_link::{Clock, OutboxMessage};
 use curlewpoint_platform::lines::Invoke;
 
 /// One line to a worker.
@@ -14,15 +14,15 @@
     Ready(Bytes),
 }
 
-impl Parcel for WorkerLine {
-    fn size(&self) -> usize {
+impl OutboxMessage for WorkerLine {
+    fn encoded_len(&self) -> usize {
         match self {
             WorkerLine::Attempt { invoke, .. } => invoke.size(),
             WorkerLine::Ready(line) => line.len(),
         }
     }
 
-    fn front(&self, to: &mut BytesMut) {
+    fn encode_head(&self, to: &mut BytesMut) {
         match self {
             WorkerLine::Attempt { invoke, deadline, clock } => invoke.write(*deadline - clock.now(), to),
             WorkerLine::Ready(line) => to.extend_from_slice(line),
--- a/crates/curlewpoint-node/src/outside.rs
+++ b/crates/curlewpoint-node/src/outside.rs
@@ -4,7 +4,9 @@
 
 use bytes::Bytes;
 use curlewpoint::types::{Outcome, RpcId, Time, WorkerId};
-use curlewpoint_engine::{Answer, ClientId, ConnId, Pool, RequestId, UpstreamRequest, Wires, World};
+use curlewpoint_engine::{
+    Answer, ClientId, ConnId, EngineDriver, Pool, PoolDriver, RequestId, UpstreamRequest,
+};
 use curlewpoint_link::{Clock, Outbox, Ticket};
 use curlewpoint_platform::asked::{self, Tags};
 use curlewpoint_platform::{lines, resp};
@@ -68,7 +70,7 @@
     }
 }
 
-impl Wires<Asked> for Sockets {
+impl PoolDriver<Asked> for Sockets {
     fn dial(&mut self, conn: ConnId, worker: WorkerId, address: &str) {
         debug!(conn = conn.0, worker = worker.0, address, "dialling");
         self.dialler.dial(conn, address.to_owned());
@@ -90,20 +92,20 @@
         true
     }
 
-    fn take_back(&mut self, _conn: ConnId, request: RequestId) -> bool {
-        self.tickets.get(&request).is_some_and(|(ticket, ..)| ticket.take_back())
+    fn withdraw(&mut self, _conn: ConnId, request: RequestId) -> bool {
+        self.tickets.get(&request).is_some_and(|(ticket, ..)| ticket.withdraw())
     }
 
-    fn take_back_at_drain(&mut self, _conn: ConnId, request: RequestId) -> bool {
+    fn withdraw_on_drain(&mut self, _conn: ConnId, request: RequestId) -> bool {
         let Some((ticket, _, name)) = self.tickets.get(&request) else { return false };
         if name.starts_with(OWN) {
-            ticket.take_back()
+            ticket.withdraw()
         } else {
-            ticket.take_back_unbegun()
+            ticket.withdraw_if_queued()
         }
     }
 
-    fn withdraw(&mut self, conn: ConnId, request: RequestId) {
+    fn send_withdraw(&mut self, conn: ConnId, request: RequestId) {
         let (Some(outbox), Some((_, _, name))) = (self.outboxes.get(&conn), self.tickets.get(&request))
         else {
             return;
@@ -118,7 +120,7 @@
         self.outboxes.remove(&conn);
     }
 
-    fn ended(&mut self, request: RequestId, outcome: Outcome) {
+    fn ended_locally(&mut self, request: RequestId, outcome: Outcome) {
         self.forget(request);
         self.ended.push_back((request, outcome));
     }
@@ -211,12 +213,12 @@
 
     pub fn sweep(&mut self, now: Time) {
         self.forget_lately(MOST_LATELY);
-        self.pool.sweep(now, &mut self.sockets);
+        self.pool.close_idle(now, &mut self.sockets);
     }
 
     /// What the pool has open, and at which worker.
     pub fn open(&self) -> BTreeMap<RequestId, WorkerId> {
-        self.pool.open().collect()
+        self.pool.open_requests().collect()
     }
 
     /// How much is kept, by kind.
@@ -234,18 +236,18 @@
     }
 
     pub fn conns(&self) -> usize {
-        self.pool.conns()
+        self.pool.conn_count()
     }
 }
 
-impl World for Outside {
+impl EngineDriver for Outside {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
         let name = || Arc::from(format!("{OWN}{}", id.0));
         let asked = match request {
-            UpstreamRequest::Attempt { rpc, method, model, token, left, body, .. } => {
+            UpstreamRequest::Attempt { rpc, method, model, token, time_left, body, .. } => {
                 let name = Arc::clone(&self.ids[&rpc]);
                 let invoke = lines::Invoke::new(&name, method, model, token, body);
-                let line = WorkerLine::Attempt { invoke, deadline: now + left, clock: self.clock };
+                let line = WorkerLine::Attempt { invoke, deadline: now + time_left, clock: self.clock };
                 Asked { name, line, attempt: true }
             }
             UpstreamRequest::Load { model, copies } => {
@@ -261,8 +263,8 @@
         self.pool.request(now, &mut self.sockets, worker, id, asked);
     }
 
-    fn take_back(&mut self, now: Time, id: RequestId) -> bool {
-        let untouched = self.pool.take_back(now, &mut self.sockets, id);
+    fn withdraw(&mut self, now: Time, id: RequestId) -> bool {
+        let untouched = self.pool.withdraw(now, &mut self.sockets, id);
         self.sockets.forget(id);
         untouched
     }
@@ -287,12 +289,12 @@
         self.tell(client, tag, word, &asked::answer_fields(retry_after), &body);
     }
 
-    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
         self.sockets.ended.pop_front()
     }
 
     fn unload(&mut self, now: Time, worker: WorkerId, model: &str) {
-        self.pool.tell(now, &mut self.sockets, worker, |sockets, conn| {
+        self.pool.with_open_conn(now, &mut self.sockets, worker, |sockets, conn| {
             if let Some(outbox) = sockets.outboxes.get(&conn) {
                 let _ = outbox.send(WorkerLine::Ready(lines::evict(model)), None);
             }
@@ -302,26 +304,26 @@
     /// The whole list is asked for again and again; there is nothing to ask for beside.
     fn watch_list(&mut self, _held: Option<(u64, u64)>) {}
 
-    fn worker_at(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time) {
+    fn set_worker_address(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time) {
         debug!(worker = worker.0, name, address, "listed");
-        self.pool.worker_at(now, &mut self.sockets, worker, address, since);
+        self.pool.set_worker_address(now, &mut self.sockets, worker, address, since);
     }
 
-    fn worker_drains(&mut self, now: Time, worker: WorkerId) {
-        self.pool.send_nothing_more(now, &mut self.sockets, worker);
+    fn worker_draining(&mut self, now: Time, worker: WorkerId) {
+        self.pool.withdraw_unsent(now, &mut self.sockets, worker);
     }
 
     fn worker_gone(&mut self, now: Time, worker: WorkerId) {
         self.pool.worker_gone(now, &mut self.sockets, worker);
     }
 
-    fn taken(&mut self, rpc: RpcId) {
+    fn rpc_accepted(&mut self, rpc: RpcId) {
         let id = std::mem::replace(&mut self.coming, "".into());
         self.held.insert(Arc::clone(&id));
         self.ids.insert(rpc, id);
     }
 
-    fn forgotten(&mut self, rpc: RpcId) {
+    fn rpc_forgotten(&mut self, rpc: RpcId) {
         let Some(id) = self.ids.remove(&rpc) else { return };
         self.sockets.spent.remove(&id);
         self.lately.push_back((Instant::now(), id));
--- a/crates/curlewpoint-node/src/run.rs
+++ b/crates/curlewpoint-node/src/run.rs
@@ -3,8 +3,8 @@
 
 use bytes::Bytes;
 use curlewpoint::types::{Copy, Standing, Time};
-use curlewpoint_engine::{ClientId, ConnId, Engine, Figures, Pool, PoolLimits, Refusal};
-use curlewpoint_link::{listen_again, Bounds, Clock, Turns, METRICS};
+use curlewpoint_engine::{ClientId, ConnId, Engine, EngineCounters, Pool, PoolLimits, Refusal};
+use curlewpoint_link::{listen_with_retry, Clock, EventQueue, LinkLimits, METRICS};
 use curlewpoint_platform::told::{self, Told, ToldError};
 use curlewpoint_platform::{asked, lines, Roll};
 use oorandom::Rand64;
@@ -79,7 +79,7 @@
     /// Where the directory is; another may be told at any time.
     pub resolver: watch::Sender<SocketAddr>,
     /// Ends with where every RPC went.
-    pub end: JoinHandle<Figures>,
+    pub end: JoinHandle<EngineCounters>,
 }
 
 /// Takes the list for the engine.
@@ -123,21 +123,21 @@
 /// Starts a scheduler. It serves from the moment this returns.
 pub async fn start(told: Told) -> Result<Running, StartError> {
     let Told { name, listen: at, seed, sockets, memory_mb, resolver, mut settings, known } = told;
-    let listener = listen_again(&at.to_string()).await.map_err(|e| StartError::Listen(at, e))?;
+    let listener = listen_with_retry(&at.to_string()).await.map_err(|e| StartError::Listen(at, e))?;
     let address = listener.local_addr().map_err(|e| StartError::Listen(at, e))?;
     info!(name, %address, seed = %seed, sockets, memory_mb, "serving");
 
     let (endings, ended) = mpsc::channel(ENDINGS);
     let (asks_in, asks) = mpsc::channel(ASKS);
-    let bounds = Bounds { frame: MOST_LINE, outbox: (512, 1 << 20), ..Bounds::default() };
+    let bounds = LinkLimits { max_frame: MOST_LINE, max_outbox: (512, 1 << 20), ..LinkLimits::default() };
     let dial = Duration::from_millis(limit(&settings, "dialTimeout", 250));
     let dialler = Dialler { bounds, limit: dial, notes: endings.clone() };
     let limits = PoolLimits {
-        streams: limit(&settings, "streamsPerConn", 32) as usize,
-        conns: (sockets / 64).clamp(2, 16),
-        all: sockets - sockets / 2 - OWN,
+        requests_per_conn: limit(&settings, "streamsPerConn", 32) as usize,
+        conns_per_worker: (sockets / 64).clamp(2, 16),
+        total_conns: sockets - sockets / 2 - OWN,
         // Before the worker closes it: what crosses that may have run.
-        idle: Time::from_ms(limit(&settings, "keepalive", 15_000) as f64 * 0.6),
+        idle_timeout: Time::from_ms(limit(&settings, "keepalive", 15_000) as f64 * 0.6),
         back_off: (Time::from_ms(50.0), Time::from_ms(1_000.0)),
     };
     // Each RPC held may hold a body: half of the memory is for them.
@@ -158,7 +158,7 @@
 
     let (tasks, closing) = (TaskTracker::new(), CancellationToken::new());
     let desk = clients::Desk {
-        bounds: Bounds { frame: MOST_BODY, ..bounds },
+        bounds: LinkLimits { max_frame: MOST_BODY, ..bounds },
         clock,
         endings: endings.clone(),
         asks: asks_in,
@@ -183,7 +183,7 @@
         checked: false,
     };
     let end = tokio::spawn(async move {
-        let figures = turn.run(Turns::new(ended, asks, ASKS), tasks, closing).await;
+        let figures = turn.run(EventQueue::new(ended, asks, ASKS), tasks, closing).await;
         following.abort();
         accepting.abort();
         figures
@@ -205,7 +205,7 @@
     /// Tells in one line of a scheduler that is up and answers nobody well, as with a list that names nobody and a
     /// directory that says nothing; and in one that it serves again. Nothing else is done: it goes on asking, dialling and
     /// refusing. Where clients alone are at fault it says so as well.
-    fn look(&mut self, f: Figures, listed: u64, conns: usize) {
+    fn look(&mut self, f: EngineCounters, listed: u64, conns: usize) {
         let not = f.denied + f.aborted + f.refused;
         if f.ok > self.ok {
             if self.none >= NOBODY {
@@ -246,23 +246,23 @@
 
 impl Turn {
     async fn run(
-        mut self, mut turns: Turns<Note>, tasks: TaskTracker, closing: CancellationToken,
-    ) -> Figures {
+        mut self, mut turns: EventQueue<Note>, tasks: TaskTracker, closing: CancellationToken,
+    ) -> EngineCounters {
         let mut swept = Instant::now();
         while !self.is_over() {
             self.turn(&mut turns, SWEEP).await;
             if swept.elapsed() >= SWEEP {
                 swept = Instant::now();
                 let now = self.clock.now();
-                self.engine.world().sweep(now);
+                self.engine.driver().sweep(now);
                 self.look_into_books();
-                let conns = self.engine.world().conns();
-                self.service.look(self.engine.figures(), self.listed, conns);
+                let conns = self.engine.driver().conns();
+                self.service.look(self.engine.counters(), self.listed, conns);
             }
         }
         // From here on all that comes is refused. What has come is read to its last word, answered, flushed; then each
         // connection is shut, read to its end and closed, within the time for last words.
-        self.engine.stop_taking();
+        self.engine.stop_accepting();
         self.engine.abort_all(self.clock.now());
         closing.cancel();
         tasks.close();
@@ -277,41 +277,41 @@
         }
         self.engine.abort_all(self.clock.now());
         self.log_figures("stopped");
-        self.engine.figures()
+        self.engine.counters()
     }
 
     fn log_figures(&mut self, why: &str) {
-        let conns = self.engine.world().conns();
-        let f = self.engine.figures();
+        let conns = self.engine.driver().conns();
+        let f = self.engine.counters();
         let (loads, probes, list) = (f.loads, f.probes, self.listed);
         info!(f.taken, f.ok, f.denied, f.aborted, f.left, f.refused, f.attempts, conns, f.cut_off, "{why}");
         info!(loads, probes, list, "sockets: {METRICS}");
     }
 
     /// Waits until something has come, and takes it.
-    async fn turn(&mut self, turns: &mut Turns<Note>, at_most: Duration) {
+    async fn turn(&mut self, turns: &mut EventQueue<Note>, at_most: Duration) {
         let wake = self.engine.next_wake().map_or(at_most, |at| self.clock.until(at)).min(at_most);
-        let notes = turns.next(wake).await;
+        let notes = turns.next_batch(wake).await;
         self.stalls.turns(self.clock.now());
         for note in notes {
             self.note(note);
         }
         let now = self.clock.now();
         self.engine.advance(now);
-        for client in std::mem::take(&mut self.engine.world().lost) {
+        for client in std::mem::take(&mut self.engine.driver().lost) {
             self.engine.client_gone(now, client);
         }
     }
 
     /// Holds what the module believes out against what is open on the sockets, and tells how much is kept.
     fn look_into_books(&mut self) {
-        let open = self.engine.world().open();
-        if let Some(what) = self.engine.mismatch(&open).filter(|_| !self.mismatched) {
+        let open = self.engine.driver().open();
+        if let Some(what) = self.engine.find_mismatch(&open).filter(|_| !self.mismatched) {
             self.mismatched = true;
             warn!("books differ, said once: {what}");
         }
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let world = self.engine.world().sizes();
+            let world = self.engine.driver().sizes();
             debug!("kept: {:?} {world:?}", self.engine.sizes());
         }
     }
@@ -323,10 +323,10 @@
         let Some(since) = self.ending.map(|at| at.elapsed()) else { return false };
         if since + LAST_WORDS >= self.killed && !self.refusing {
             self.refusing = true;
-            self.engine.stop_taking();
+            self.engine.stop_accepting();
             self.engine.abort_all(self.clock.now());
         }
-        let is_idle = self.engine.open() == 0 && self.engine.world().clients.is_empty();
+        let is_idle = self.engine.open_rpcs() == 0 && self.engine.driver().clients.is_empty();
         since >= self.killed + UNKILLED || (since >= COMING && is_idle)
     }
 
@@ -334,45 +334,45 @@
         let now = self.clock.now();
         let engine = &mut self.engine;
         match note {
-            Note::ClientIn(id, client) => drop(engine.world().clients.insert(id, client)),
+            Note::ClientIn(id, client) => drop(engine.driver().clients.insert(id, client)),
             Note::Client(id, words) | Note::Cancel(id, words) => {
                 if let Err(why) = self.client(now, id, words) {
                     self.close_client(now, id, why);
                 }
-                if let Some(client) = self.engine.world().clients.get(&id) {
+                if let Some(client) = self.engine.driver().clients.get(&id) {
                     client.presence.dealt_with(client.open.len());
                 }
             }
             Note::Quiet(id) => {
-                let Some(client) = engine.world().clients.get_mut(&id) else { return };
+                let Some(client) = engine.driver().clients.get_mut(&id) else { return };
                 client.quiet += 1;
                 if client.presence.is_idle() && client.quiet >= MOST_QUIET {
-                    engine.world().clients.remove(&id);
+                    engine.driver().clients.remove(&id);
                 }
             }
             Note::ClientOut(id, Some(why)) => self.close_client(now, id, &why.to_string()),
             Note::ClientOut(id, None) => {
-                engine.world().clients.remove(&id);
+                engine.driver().clients.remove(&id);
                 engine.client_gone(now, id);
             }
             Note::Up(conn, outbox) => {
-                engine.world().conn_up(now, conn, outbox);
-                engine.settle(now);
+                engine.driver().conn_up(now, conn, outbox);
+                engine.process_ends(now);
             }
             Note::Down(conn, ours) => {
-                engine.world().conn_failed(now, conn, ours);
-                engine.settle(now);
+                engine.driver().conn_failed(now, conn, ours);
+                engine.process_ends(now);
             }
             Note::Worker(conn, row) => {
                 if let Err(why) = self.worker(now, conn, &row) {
                     info!(conn = conn.0, "connection to a worker closed: {why}");
-                    self.engine.world().conn_broken(now, conn);
-                    self.engine.settle(now);
+                    self.engine.driver().conn_broken(now, conn);
+                    self.engine.process_ends(now);
                 }
             }
             Note::Broken(conn) => {
-                engine.world().conn_broken(now, conn);
-                engine.settle(now);
+                engine.driver().conn_broken(now, conn);
+                engine.process_ends(now);
             }
             Note::List(list) => {
                 if self.listed < list.version() {
@@ -383,7 +383,7 @@
             }
             Note::Figures => self.log_figures("figures"),
             Note::Stop => {
-                info!(open = self.engine.open(), "stopping");
+                info!(open = self.engine.open_rpcs(), "stopping");
                 self.ending.get_or_insert_with(Instant::now);
             }
         }
@@ -392,7 +392,7 @@
     /// What a client asks; an error is one after which its connection is of no use.
     fn client(&mut self, now: Time, id: ClientId, words: Vec<Bytes>) -> Result<(), &'static str> {
         let stopping = self.ending.is_some();
-        let Some(client) = self.engine.world().clients.get_mut(&id) else { return Ok(()) };
+        let Some(client) = self.engine.driver().clients.get_mut(&id) else { return Ok(()) };
         client.quiet = 0;
         let word = |no: usize| words.get(no).map_or(&b""[..], |w| &w[..]);
         let tag = asked::tag(word(1)).ok_or("a tag that is none")?;
@@ -405,8 +405,8 @@
                     return Ok(());
                 }
                 if client.open.len() >= MOST_OPEN {
-                    self.engine.refused();
-                    self.engine.world().tell(id, tag, asked::ENOUGH, "", b"");
+                    self.engine.count_refused();
+                    self.engine.driver().tell(id, tag, asked::ENOUGH, "", b"");
                     return Ok(());
                 }
                 let body = words.get(4).cloned().unwrap_or_default();
@@ -422,9 +422,9 @@
                 }
             }
             asked::CANCEL => {
-                self.engine.world().withdrawn = Some((id, tag));
-                self.engine.cancelled(now, id, tag);
-                self.engine.world().withdrawn = None;
+                self.engine.driver().withdrawn = Some((id, tag));
+                self.engine.cancel(now, id, tag);
+                self.engine.driver().withdrawn = None;
             }
             asked::CHECK => {
                 let said = if stopping { asked::UNFIT } else { asked::FIT };
@@ -432,7 +432,7 @@
                     let after = self.begun.elapsed().as_millis() as u64;
                     info!(after, "first asked whether it is {said}, milliseconds from the start");
                 }
-                self.engine.world().tell(id, tag, said, "", b"");
+                self.engine.driver().tell(id, tag, said, "", b"");
             }
             _ => return Err("a command that is none"),
         }
@@ -441,7 +441,7 @@
 
     /// An RPC was not taken. A client whose own fault that is, again and again, is cut off.
     fn turned_down(&mut self, id: ClientId, tag: u64, word: &str) -> Result<(), &'static str> {
-        let world = self.engine.world();
+        let world = self.engine.driver();
         world.tell(id, tag, word, "", b"");
         if let Some(client) = world.clients.get_mut(&id).filter(|_| word == asked::BROKEN) {
             client.faults += 1;
@@ -471,18 +471,19 @@
         if lanes.is_some_and(|lanes| lanes < 1.0) {
             return Err(unfit("its lanes"));
         }
-        if self.engine.world().holds(req) {
+        if self.engine.driver().holds(req) {
             return Err(unfit("its id is one that is open"));
         }
         let (method, tenant) = (field("kind").unwrap_or(method), field("owner").unwrap_or(""));
-        let world = self.engine.world();
+        let world = self.engine.driver();
         world.coming = req.into();
         world.clients.get_mut(&id).into_iter().for_each(|c| c.open.extend([tag]));
         let left = left - self.stalls.waited(now);
-        let taken = self.engine.rpc(now, (id, tag), method, model, tenant, left, field("opkey"), lanes, body);
+        let taken =
+            self.engine.submit_rpc(now, (id, tag), method, model, tenant, left, field("opkey"), lanes, body);
         let Err(why) = taken else { return Ok(()) };
         debug!(client = id.0, tag, "not taken: {why:?}");
-        let world = self.engine.world();
+        let world = self.engine.driver();
         world.clients.get_mut(&id).into_iter().for_each(|c| c.open.retain(|t| *t != tag));
         match why {
             Refusal::Full | Refusal::NoTime | Refusal::Stopping => Err(asked::REFUSED),
@@ -493,25 +494,25 @@
     /// Answers what a client has open, and closes its connection.
     fn close_client(&mut self, now: Time, id: ClientId, why: &str) {
         debug!(client = id.0, "closed: {why}");
-        let open = self.engine.world().clients.get(&id).map(|c| c.open.clone()).unwrap_or_default();
+        let open = self.engine.driver().clients.get(&id).map(|c| c.open.clone()).unwrap_or_default();
         for tag in open {
-            self.engine.cancelled(now, id, tag);
+            self.engine.cancel(now, id, tag);
         }
-        self.engine.world().clients.remove(&id);
+        self.engine.driver().clients.remove(&id);
         self.engine.client_gone(now, id);
     }
 
     /// What a worker says; what nobody waits for is passed over.
     fn worker(&mut self, now: Time, conn: ConnId, row: &Map<String, Value>) -> Result<(), lines::LineError> {
         let outcome = lines::outcome(row)?;
-        let Some(request) = self.engine.world().asked_as(conn, lines::text(row, "req")?) else {
+        let Some(request) = self.engine.driver().asked_as(conn, lines::text(row, "req")?) else {
             return Ok(());
         };
         let body = lines::body(row)?;
-        let is_attempt = self.engine.asked_by(request).is_some();
+        let is_attempt = self.engine.rpc_of_attempt(request).is_some();
         let copy = if is_attempt { lines::copy(row) } else { Copy::Untold };
         let (held, copies, report) = (lines::held(row), lines::copies(row), lines::report(row, &self.report));
-        self.engine.world().answered(now, request);
+        self.engine.driver().answered(now, request);
         self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
         Ok(())
     }
--- a/crates/curlewpoint-node/src/workers.rs
+++ b/crates/curlewpoint-node/src/workers.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use curlewpoint_engine::ConnId;
-use curlewpoint_link::{dial, is_ours, linger, outbox, split, Bounds};
+use curlewpoint_link::{dial, is_local_error, linger, spawn_writer, split, LinkLimits};
 use curlewpoint_platform::lines::{LineError, Lines};
 use serde_json::{Map, Value};
 use tokio::net::TcpStream;
@@ -16,7 +16,7 @@
 
 /// Opens connections to workers, each in a task of its own.
 pub(crate) struct Dialler {
-    pub bounds: Bounds,
+    pub bounds: LinkLimits,
     pub limit: Duration,
     pub notes: mpsc::Sender<Note>,
 }
@@ -34,7 +34,7 @@
             let dialled = timeout(limit, dial(&address)).await;
             let (why, ours) = match dialled {
                 Ok(Ok(stream)) => return converse(conn, stream, bounds, notes).await,
-                Ok(Err(why)) => (why.to_string(), is_ours(&why)),
+                Ok(Err(why)) => (why.to_string(), is_local_error(&why)),
                 Err(_) => ("no answer in time".to_owned(), false),
             };
             debug!(ours, "not connected: {why}");
@@ -60,12 +60,12 @@
 
 /// Hands on what comes until the connection breaks. What cannot be read ends it: nothing that follows can be trusted
 /// to begin where a line begins.
-async fn converse(conn: ConnId, stream: TcpStream, bounds: Bounds, notes: mpsc::Sender<Note>) {
+async fn converse(conn: ConnId, stream: TcpStream, bounds: LinkLimits, notes: mpsc::Sender<Note>) {
     // A delay for the sake of fuller packets would add to every answer.
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let (outbox, mut writer) = outbox::<WorkerLine>(write, bounds);
-    let mut reader = FramedRead::new(read, Lines { most: bounds.frame, looked_at: 0 });
+    let (outbox, mut writer) = spawn_writer::<WorkerLine>(write, bounds);
+    let mut reader = FramedRead::new(read, Lines { most: bounds.max_frame, looked_at: 0 });
     if notes.send(Note::Up(conn, outbox)).await.is_err() {
         return;
     }
--- a/crates/curlewpoint-rig/src/forge.rs
+++ b/crates/curlewpoint-rig/src/forge.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use curlewpoint_link::{open, Bounds, Link};
+use curlewpoint_link::{handshake, Link, LinkLimits};
 use curlewpoint_wire::{Codec, Field, Frame, Kind, VERSION};
 use oorandom::Rand64;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -27,7 +27,9 @@
 /// Says all this after the hellos, and waits until the other side has ended the connection.
 async fn say(at: SocketAddr, name: &str, frames: Vec<Frame>) {
     let Ok(stream) = TcpStream::connect(at).await else { return };
-    let Ok(Link { outbox, mut reader, .. }) = open(stream, name, Bounds::default()).await else { return };
+    let Ok(Link { outbox, mut reader, .. }) = handshake(stream, name, LinkLimits::default()).await else {
+        return;
+    };
     for frame in frames {
         let _ = outbox.send(frame, None);
     }
--- a/crates/curlewpoint-rig/src/scale/worker_part.rs
+++ b/crates/curlewpoint-rig/src/scale/worker_part.rs
@@ -6,7 +6,8 @@
 use bytes::{Bytes, BytesMut};
 use curlewpoint::types::*;
 use curlewpoint_engine::{
-    id_of, Answer, ClientId, ConnId, Engine, Pool, PoolLimits, RequestId, UpstreamRequest, Wires, World,
+    id_of, Answer, ClientId, ConnId, Engine, EngineDriver, Pool, PoolDriver, PoolLimits, RequestId,
+    UpstreamRequest,
 };
 use curlewpoint_fleet::{Hints, Run};
 use curlewpoint_wire::{Codec, Field, Frame, Kind};
@@ -24,10 +25,10 @@
 const TICK: Time = Time(10_000);
 /// As the settings' defaults.
 const LIMITS: PoolLimits = PoolLimits {
-    streams: 32,
-    conns: 4,
-    all: usize::MAX,
-    idle: Time(150_000),
+    requests_per_conn: 32,
+    conns_per_worker: 4,
+    total_conns: usize::MAX,
+    idle_timeout: Time(150_000),
     back_off: (Time(1_000), Time(20_000)),
 };
 
@@ -114,7 +115,7 @@
 /// What was asked, and the bytes of its frame where that is control's.
 type Payload = (Asked, usize);
 
-impl Wires<Payload> for Sockets {
+impl PoolDriver<Payload> for Sockets {
     fn dial(&mut self, conn: ConnId, worker: WorkerId, _: &str) {
         self.acts.push(Act::Dial(conn, worker));
     }
@@ -122,14 +123,14 @@
         self.acts.push(Act::Send(conn, request, *asked, *bytes));
         true
     }
-    fn take_back(&mut self, _: ConnId, _: RequestId) -> bool {
+    fn withdraw(&mut self, _: ConnId, _: RequestId) -> bool {
         false
     }
-    fn withdraw(&mut self, _: ConnId, _: RequestId) {}
+    fn send_withdraw(&mut self, _: ConnId, _: RequestId) {}
     fn close(&mut self, conn: ConnId) {
         self.acts.push(Act::Close(conn));
     }
-    fn ended(&mut self, request: RequestId, outcome: Outcome) {
+    fn ended_locally(&mut self, request: RequestId, outcome: Outcome) {
         self.ended.push_back((request, outcome));
     }
 }
@@ -148,7 +149,7 @@
     bytes.len()
 }
 
-impl World for Desk {
+impl EngineDriver for Desk {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
         let payload = match request {
             UpstreamRequest::Attempt { model, .. } => (Asked::Attempt(FunctionId(id_of(model))), 0),
@@ -160,27 +161,27 @@
         };
         self.pool.request(now, &mut self.sockets, worker, id, payload);
     }
-    fn take_back(&mut self, now: Time, id: RequestId) -> bool {
-        self.pool.take_back(now, &mut self.sockets, id)
+    fn withdraw(&mut self, now: Time, id: RequestId) -> bool {
+        self.pool.withdraw(now, &mut self.sockets, id)
     }
     fn answer(&mut self, _: RpcId, _: ClientId, _: u64, answer: Answer, _: &str, _: Time, _: Bytes) {
         self.denied += u64::from(answer != Answer::Ok);
     }
-    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
         self.sockets.ended.pop_front()
     }
     fn unload(&mut self, _: Time, _: WorkerId, _: &str) {}
     fn watch_list(&mut self, _: Option<(u64, u64)>) {}
-    fn worker_at(&mut self, now: Time, worker: WorkerId, _: &str, address: &str, since: Time) {
-        self.pool.worker_at(now, &mut self.sockets, worker, address, since);
+    fn set_worker_address(&mut self, now: Time, worker: WorkerId, _: &str, address: &str, since: Time) {
+        self.pool.set_worker_address(now, &mut self.sockets, worker, address, since);
     }
-    fn worker_drains(&mut self, _: Time, _: WorkerId) {}
+    fn worker_draining(&mut self, _: Time, _: WorkerId) {}
     fn worker_gone(&mut self, _: Time, _: WorkerId) {}
-    fn seen(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
         self.seen.push((worker, function, hint, held));
     }
-    fn taken(&mut self, _: RpcId) {}
-    fn forgotten(&mut self, _: RpcId) {}
+    fn rpc_accepted(&mut self, _: RpcId) {}
+    fn rpc_forgotten(&mut self, _: RpcId) {}
     fn log(&mut self, _: Option<RpcId>, _: &str) {}
 }
 
@@ -340,10 +341,10 @@
     /// Carries out what a scheduler's pool has done, and plans its next wake-up.
     fn settle(&mut self, no: usize) {
         let s = &mut self.schedulers[no];
-        for (worker, function, hint, held) in std::mem::take(&mut s.engine.world().seen) {
+        for (worker, function, hint, held) in std::mem::take(&mut s.engine.driver().seen) {
             self.sights += u64::from(s.hints.saw(self.now, s.run, worker, function, hint, held).is_some());
         }
-        let acts = std::mem::take(&mut s.engine.world().sockets.acts);
+        let acts = std::mem::take(&mut s.engine.driver().sockets.acts);
         let wake = s.engine.next_wake().filter(|at| s.wake.is_none_or(|planned| *at < planned));
         if let Some(at) = wake {
             s.wake = Some(at);
@@ -421,7 +422,8 @@
                 let s = &mut self.schedulers[no];
                 s.tag += 1;
                 let (model, from) = (format!("function-{rank:05}"), (ClientId(1), s.tag));
-                let _ = s.engine.rpc(now, from, "m", &model, "", Time(50_000), None, None, Bytes::new());
+                let _ =
+                    s.engine.submit_rpc(now, from, "m", &model, "", Time(50_000), None, None, Bytes::new());
                 self.settle(no);
                 let mean = 10_000.0 / plan::calls_each();
                 let pause = -(1.0 - self.rng.rand_float()).ln() * mean;
@@ -434,16 +436,16 @@
                 self.settle(no);
             }
             What::Sweep(no) => {
-                let desk = self.schedulers[no].engine.world();
-                desk.pool.sweep(now, &mut desk.sockets);
+                let desk = self.schedulers[no].engine.driver();
+                desk.pool.close_idle(now, &mut desk.sockets);
                 self.settle(no);
                 self.schedulers[no].hints.sweep(now);
                 self.plan(TICK, What::Sweep(no));
             }
             What::Up(no, conn) => {
-                let desk = self.schedulers[no].engine.world();
+                let desk = self.schedulers[no].engine.driver();
                 desk.pool.conn_up(now, &mut desk.sockets, conn);
-                self.schedulers[no].engine.settle(now);
+                self.schedulers[no].engine.process_ends(now);
                 self.settle(no);
             }
             What::AtWorker(no, conn, request, asked, bytes) => {
@@ -451,8 +453,8 @@
             }
             What::Told(no, conn, request, outcome, copy, held) => {
                 let s = &mut self.schedulers[no];
-                let desk = s.engine.world();
-                if desk.pool.is_on(request, conn) {
+                let desk = s.engine.driver();
+                if desk.pool.is_open_on(request, conn) {
                     desk.pool.answered(now, &mut desk.sockets, request);
                     let (report, body) = (REPORT.to_vec(), Bytes::new());
                     s.engine.request_ended(now, request, outcome, copy, held, 1, report, body);
@@ -473,7 +475,7 @@
     }
 
     fn denied(&mut self) -> u64 {
-        self.schedulers.iter_mut().map(|s| s.engine.world().denied).sum()
+        self.schedulers.iter_mut().map(|s| s.engine.driver().denied).sum()
     }
 }
 
--- a/crates/curlewpoint-rig/tests/relay.rs
+++ b/crates/curlewpoint-rig/tests/relay.rs
@@ -5,7 +5,7 @@
 
 use curlewpoint::types::Time;
 use curlewpoint_lab::Record;
-use curlewpoint_link::{listen, open, Bounds, Link};
+use curlewpoint_link::{handshake, listen, Link, LinkLimits};
 use curlewpoint_rig::{Effect, Relay, Rules, Shared, Taped};
 use curlewpoint_wire::{Field, Frame, Kind};
 use tokio::net::TcpStream;
@@ -22,8 +22,9 @@
     let listener = listen("127.0.0.1:0").unwrap();
     let relay = Relay::start(far, Some(listener.local_addr().unwrap()), None, shared).await.unwrap();
     let stream = TcpStream::connect(relay.address).await.unwrap();
-    let accepted = async { open(listener.accept().await.unwrap().0, far, Bounds::default()).await.unwrap() };
-    let (near, far) = tokio::join!(open(stream, near, Bounds::default()), accepted);
+    let accepted =
+        async { handshake(listener.accept().await.unwrap().0, far, LinkLimits::default()).await.unwrap() };
+    let (near, far) = tokio::join!(handshake(stream, near, LinkLimits::default()), accepted);
     Pair { near: near.unwrap(), far, _relay: relay }
 }
 
@@ -143,13 +144,13 @@
     tokio::spawn(async move {
         let mut open_links = Vec::new();
         while let Ok((stream, _)) = listener.accept().await {
-            open_links.push(open(stream, "list", Bounds::default()).await);
+            open_links.push(handshake(stream, "list", LinkLimits::default()).await);
         }
     });
     let began = Instant::now();
     for _ in 0..4 {
         let stream = TcpStream::connect(relay.address).await.unwrap();
-        open(stream, "front-0", Bounds::default()).await.unwrap();
+        handshake(stream, "front-0", LinkLimits::default()).await.unwrap();
     }
     assert!(began.elapsed() >= Duration::from_millis(150), "{:?}", began.elapsed());
     let dials = shared.tape.all().iter().filter(|t| t.3 == Taped::Dialled && t.0 > Time(0)).count();
