--- a/benches/module.rs
+++ b/benches/module.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeSet;
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use curlewpoint::brain::Scheduler;
 use curlewpoint::host::Host;
+use curlewpoint::scheduler::Scheduler;
 use curlewpoint::types::*;
 use oorandom::Rand64;
 use serde_json::json;
@@ -20,18 +20,18 @@
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, _: Time) {
         self.calls.push((rpc, worker));
     }
-    fn cancel(&mut self, _: RpcId, _: AttemptNo) {}
+    fn cancel(&mut self, _: RpcId, _: AttemptNumber) {}
     fn deny(&mut self, _: RpcId, _: Time) {}
     fn abort(&mut self, _: RpcId) {}
     fn load(&mut self, _: WorkerId, _: FunctionId, _: u64) {}
     fn unload(&mut self, _: WorkerId, _: FunctionId) {}
     fn probe(&mut self, _: WorkerId) {}
-    fn wake(&mut self, _: Time, _: WakeId) {}
+    fn set_timer(&mut self, _: Time, _: TimerId) {}
     fn watch_list(&mut self) {}
     fn log(&mut self, _: &str) {}
 }
 
-const TICK: WakeId = WakeId(u64::MAX >> 1);
+const TICK: TimerId = TimerId(u64::MAX >> 1);
 const FUNCTIONS: u64 = 300;
 
 struct Day {
@@ -57,15 +57,15 @@
         let mut now = Time(1_000_000);
         for id in 0..workers + gone {
             let id = WorkerId(id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-            module.worker_listed(now, id, Standing::Ready, Time(0), ZoneId(0), CellId(0), 1.0);
+            module.worker_listed(now, id, Lifecycle::Ready, Time(0), ZoneId(0), CellId(0), 1.0);
         }
         let left: BTreeSet<_> =
             (0..workers).map(|id| WorkerId(id.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect();
-        module.list_read(now, Some(&left));
+        module.list_received(now, Some(&left));
         // Those gone have been so for ten minutes.
         for _ in 0..30_000 {
             now = now + Time(200);
-            module.woken(now, TICK);
+            module.timer_fired(now, TICK);
         }
         let mut day = Day { module, rng: Rand64::new(3), now, next: 0 };
         (0..20_000).for_each(|_| day.rpc());
@@ -77,19 +77,37 @@
         // Functions are asked for unevenly, as a power law has it.
         let rank = (FUNCTIONS as f64).powf(self.rng.rand_float()) as u64;
         let function = FunctionId(rank.wrapping_mul(0xbf58_476d_1ce4_e5b9));
-        self.module.rpc(self.now, RpcId(self.next), MethodId(0), function, TenantId(0), Time(50_000), 2.0);
+        self.module.rpc_received(
+            self.now,
+            RpcId(self.next),
+            MethodId(0),
+            function,
+            TenantId(0),
+            Time(50_000),
+            2.0,
+        );
     }
 
     fn rpc(&mut self) {
         self.now = self.now + Time(20);
         if self.next.is_multiple_of(10) {
-            self.module.woken(self.now, TICK);
+            self.module.timer_fired(self.now, TICK);
         }
         self.ask();
         for (rpc, worker) in std::mem::take(&mut self.module.host().calls) {
-            let (no, elapsed) = (AttemptNo(0), Time(400));
+            let (no, elapsed) = (AttemptNumber(0), Time(400));
             let report = [0.4, 3.0, 0.3];
-            self.module.attempt_ended(self.now, rpc, no, Outcome::Ok, elapsed, true, Copy::Warm, 1, &report);
+            self.module.attempt_ended(
+                self.now,
+                rpc,
+                no,
+                Outcome::Ok,
+                elapsed,
+                true,
+                CopyReport::Warm,
+                1,
+                &report,
+            );
             let _ = worker;
         }
     }
--- a/crates/curlewpoint-cli/src/commands/stand.rs
+++ b/crates/curlewpoint-cli/src/commands/stand.rs
@@ -2,7 +2,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_emulator::{Row, StoreSpec, WorkerSpec};
 use curlewpoint_lab::stand::{BrokerStand, ListStand, StoreStand, WorkerStand};
 use curlewpoint_lab::{Record, Script, BAD_DAY};
@@ -123,7 +123,7 @@
                 let (zone, cell) = (word(), word());
                 Some((
                     name,
-                    Row { address, standing: Standing::Ready, start: 1, since: None, zone, cell, size: 1.0 },
+                    Row { address, standing: Lifecycle::Ready, start: 1, since: None, zone, cell, size: 1.0 },
                 ))
             });
             match read {
--- a/crates/curlewpoint-cli/tests/crashes.rs
+++ b/crates/curlewpoint-cli/tests/crashes.rs
@@ -9,7 +9,7 @@
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
-use curlewpoint::types::{Outcome, Standing, Time};
+use curlewpoint::types::{Lifecycle, Outcome, Time};
 use curlewpoint_emulator::{Message, Row};
 use curlewpoint_lab::stand::{BrokerStand, ListStand, Puppet};
 use curlewpoint_lab::{Record, CONFIG};
@@ -61,7 +61,7 @@
         let broker = BrokerStand::start("127.0.0.1:0", &QUEUES).await.expect("loopback");
         let list = ListStand::start("127.0.0.1:0", &Record::default(), Time(0)).await.expect("loopback");
         let (zone, cell) = ("z".to_owned(), "c".to_owned());
-        let (address, standing) = (worker.address.to_string(), Standing::Ready);
+        let (address, standing) = (worker.address.to_string(), Lifecycle::Ready);
         list.set(&worker.name, Row { address, standing, start: 1, since: None, zone, cell, size: 1.0 });
         let folder = std::env::temp_dir().join(format!("curlewpoint-crash-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
--- a/crates/curlewpoint-drill/src/main.rs
+++ b/crates/curlewpoint-drill/src/main.rs
@@ -7,8 +7,8 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use curlewpoint::brain::Scheduler;
 use curlewpoint::host::Host;
+use curlewpoint::scheduler::Scheduler;
 use curlewpoint::types::*;
 use serde_json::{Map, Value};
 
@@ -30,7 +30,7 @@
         let limit = limit.ms();
         self.say("PASS_ON", format_args!(" req={} worker={} allowFor={limit:.1}", rpc.0, worker.0));
     }
-    fn cancel(&mut self, rpc: RpcId, no: AttemptNo) {
+    fn cancel(&mut self, rpc: RpcId, no: AttemptNumber) {
         self.say("UNDO_SEND", format_args!(" req={} seqNo={}", rpc.0, no.0));
     }
     fn deny(&mut self, rpc: RpcId, retry_after: Time) {
@@ -49,7 +49,7 @@
     fn probe(&mut self, worker: WorkerId) {
         self.say("SOUND_OUT", format_args!(" worker={}", worker.0));
     }
-    fn wake(&mut self, delay: Time, id: WakeId) {
+    fn set_timer(&mut self, delay: Time, id: TimerId) {
         self.say("SET_TIMER", format_args!(" offset={:.1} ref={}", delay.ms(), id.0));
     }
     fn watch_list(&mut self) {
@@ -180,9 +180,9 @@
                     let row = Line { text, number: line.number };
                     let worker = WorkerId(row.get("worker")?);
                     let standing = match row.maybe("lifecycle")?.unwrap_or(0u64) {
-                        0 => Standing::Ready,
-                        2 => Standing::Draining,
-                        _ => Standing::Gone,
+                        0 => Lifecycle::Ready,
+                        2 => Lifecycle::Draining,
+                        _ => Lifecycle::Gone,
                     };
                     named.insert(worker);
                     srv.worker_listed(
@@ -195,9 +195,9 @@
                         row.maybe("heft")?.unwrap_or(1.0),
                     );
                 }
-                srv.list_read(now, (kind != 0).then_some(&named));
+                srv.list_received(now, (kind != 0).then_some(&named));
             }
-            "SUBMIT" => srv.rpc(
+            "SUBMIT" => srv.rpc_received(
                 now,
                 RpcId(line.get("req")?),
                 MethodId(line.maybe("cls")?.unwrap_or(0)),
@@ -206,18 +206,18 @@
                 line.ms("timeLeft")?,
                 line.maybe("width")?.unwrap_or(1.0),
             ),
-            "VANISHED" => srv.rpc_gone(RpcId(line.get("req")?)),
+            "VANISHED" => srv.rpc_abandoned(RpcId(line.get("req")?)),
             "OPENED" => srv.answer_started(RpcId(line.get("req")?)),
             "ATTEMPT_END" => {
                 let remark: u64 = line.maybe("remark")?.unwrap_or(0);
                 let copy = match remark % 8 {
-                    1 => Copy::Warm,
-                    2 => Copy::BeganLoad,
-                    3 => Copy::WaitedForLoad,
-                    4 => Copy::LoadFailed,
-                    _ => Copy::Untold,
+                    1 => CopyReport::Warm,
+                    2 => CopyReport::BeganLoad,
+                    3 => CopyReport::WaitedForLoad,
+                    4 => CopyReport::LoadFailed,
+                    _ => CopyReport::Unreported,
                 };
-                let no = AttemptNo(line.get("seqNo")?);
+                let no = AttemptNumber(line.get("seqNo")?);
                 let done = line.maybe("final")?.unwrap_or(0u64) == 1;
                 let (outcome, report) = (line.outcome()?, line.report()?);
                 let elapsed = line.ms("elapsed")?;
@@ -225,14 +225,14 @@
                 srv.attempt_ended(now, rpc, no, outcome, elapsed, done, copy, remark / 8, &report);
             }
             "STATUS_BACK" => {
-                srv.report_read(now, WorkerId(line.get("worker")?), &line.report()?);
+                srv.load_report_received(now, WorkerId(line.get("worker")?), &line.report()?);
             }
             "LOAD_RESULT" => {
                 // A load order ends in 'F' (no room), 'E' (a load failed) and the like; all but 'S' leave no copy.
                 let (worker, function) = (WorkerId(line.get("worker")?), FunctionId(line.get("callee")?));
                 srv.load_ended(now, worker, function, line.outcome()?, line.maybe("instances")?.unwrap_or(0));
             }
-            "REMINDER" => srv.woken(now, WakeId(line.get("ref")?)),
+            "REMINDER" => srv.timer_fired(now, TimerId(line.get("ref")?)),
             // Schedulers share nothing here, and events of later wires are passed over.
             _ => {}
         }
--- a/crates/curlewpoint-emulator/src/list.rs
+++ b/crates/curlewpoint-emulator/src/list.rs
@@ -1,12 +1,12 @@
 use std::collections::{BTreeMap, VecDeque};
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 
 /// What the list says of one worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub address: String,
-    pub standing: Standing,
+    pub standing: Lifecycle,
     /// One start of its process, and when that was; none: long ago.
     pub start: u64,
     pub since: Option<Time>,
@@ -53,7 +53,7 @@
         }
     }
 
-    pub fn standing(&mut self, name: &str, standing: Standing) {
+    pub fn standing(&mut self, name: &str, standing: Lifecycle) {
         if let Some(row) = self.rows.get(name).cloned() {
             self.set(name, Row { standing, ..row });
         }
@@ -77,7 +77,7 @@
 
     fn row(start: u64) -> Row {
         let (address, zone, cell) = ("a".into(), "z".into(), "c".into());
-        Row { address, standing: Standing::Ready, start, since: None, zone, cell, size: 1.0 }
+        Row { address, standing: Lifecycle::Ready, start, since: None, zone, cell, size: 1.0 }
     }
 
     #[test]
--- a/crates/curlewpoint-emulator/src/worker.rs
+++ b/crates/curlewpoint-emulator/src/worker.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, VecDeque};
 
-use curlewpoint::types::{Copy, Outcome, Time};
+use curlewpoint::types::{CopyReport, Outcome, Time};
 use oorandom::Rand64;
 
 use crate::share::Share;
@@ -72,7 +72,7 @@
 pub trait Neighbours {
     /// An RPC has had its effect.
     fn ran(&mut self, caller: Caller);
-    fn answer(&mut self, caller: Caller, outcome: Outcome, copy: Copy, held: u64);
+    fn answer(&mut self, caller: Caller, outcome: Outcome, copy: CopyReport, held: u64);
     fn loaded(&mut self, caller: Caller, outcome: Outcome, copies: u64);
     /// Asks the store for a model.
     fn fetch(&mut self, model: &str, work_ms: f64);
@@ -86,7 +86,7 @@
     loading: usize,
     busy: usize,
     idle_since: Time,
-    waiting: VecDeque<(Job, Copy)>,
+    waiting: VecDeque<(Job, CopyReport)>,
     orders: Vec<(Caller, usize)>,
     memory_mb: f64,
     load_ms: f64,
@@ -103,7 +103,7 @@
     faults: Faults,
     paused_until: Time,
     models: BTreeMap<String, Model>,
-    running: Share<(Job, Copy)>,
+    running: Share<(Job, CopyReport)>,
     /// Starts under way after their fetch: when each is done.
     starting: Vec<(Time, String)>,
     /// Loads that wait for their turn, and those that fetch or start.
@@ -193,28 +193,28 @@
             if self.rng.rand_float() < 0.5 {
                 near.ran(job.caller);
             }
-            return near.answer(job.caller, Outcome::Error, Copy::Untold, held as u64);
+            return near.answer(job.caller, Outcome::Error, CopyReport::Unreported, held as u64);
         }
         let waiting: usize = self.models.values().map(|m| m.waiting.len()).sum();
         let m = self.models.get_mut(&job.model).expect("entered above");
         let copy = match (m.standing, m.loading) {
-            (0, 0) => Copy::BeganLoad,
-            (0, _) => Copy::WaitedForLoad,
-            _ => Copy::Warm,
+            (0, 0) => CopyReport::BeganLoad,
+            (0, _) => CopyReport::WaitedForLoad,
+            _ => CopyReport::Warm,
         };
-        if self.spec.answers_miss && copy == Copy::BeganLoad {
-            return near.answer(job.caller, Outcome::Miss, Copy::Untold, held as u64);
+        if self.spec.answers_miss && copy == CopyReport::BeganLoad {
+            return near.answer(job.caller, Outcome::Miss, CopyReport::Unreported, held as u64);
         }
         if waiting >= self.spec.queue {
-            return near.answer(job.caller, Outcome::Full, Copy::Untold, held as u64);
+            return near.answer(job.caller, Outcome::Full, CopyReport::Unreported, held as u64);
         }
         let crowded =
             m.standing > 0 && m.loading == 0 && m.busy >= m.standing * job.lanes && self.spec.adds_copies;
         let model = job.model.clone();
         // One more copy is a wish; without the first there is nothing to wait for.
-        let began = (copy == Copy::BeganLoad || crowded) && self.load(now, &model);
-        if copy == Copy::BeganLoad && !began {
-            return near.answer(job.caller, Outcome::Full, Copy::Untold, held as u64);
+        let began = (copy == CopyReport::BeganLoad || crowded) && self.load(now, &model);
+        if copy == CopyReport::BeganLoad && !began {
+            return near.answer(job.caller, Outcome::Full, CopyReport::Unreported, held as u64);
         }
         self.models.get_mut(&model).expect("entered above").waiting.push_back((job, copy));
         self.turn(now, near);
@@ -323,7 +323,7 @@
             m.idle_since = now;
         } else if m.standing + m.loading == 0 {
             for (job, _) in std::mem::take(&mut m.waiting) {
-                near.answer(job.caller, Outcome::Miss, Copy::LoadFailed, 0);
+                near.answer(job.caller, Outcome::Miss, CopyReport::LoadFailed, 0);
             }
         }
         let (standing, loading) = (m.standing, m.loading);
@@ -417,7 +417,7 @@
     #[derive(Default)]
     struct Seen {
         ran: Vec<u64>,
-        answers: Vec<(u64, Outcome, Copy)>,
+        answers: Vec<(u64, Outcome, CopyReport)>,
         loaded: Vec<(u64, Outcome, u64)>,
         fetches: Vec<String>,
         fell: bool,
@@ -427,7 +427,7 @@
         fn ran(&mut self, caller: Caller) {
             self.ran.push(caller.0);
         }
-        fn answer(&mut self, caller: Caller, outcome: Outcome, copy: Copy, _held: u64) {
+        fn answer(&mut self, caller: Caller, outcome: Outcome, copy: CopyReport, _held: u64) {
             self.answers.push((caller.0, outcome, copy));
         }
         fn loaded(&mut self, caller: Caller, outcome: Outcome, copies: u64) {
@@ -483,10 +483,13 @@
         w.call(Time(0), &mut seen, job(1, "a"));
         w.call(Time(0), &mut seen, job(2, "a"));
         pass(&mut w, &mut seen, Time(0), Time(6_000));
-        assert_eq!(seen.answers, [(1, Outcome::Ok, Copy::BeganLoad), (2, Outcome::Ok, Copy::WaitedForLoad)]);
+        assert_eq!(
+            seen.answers,
+            [(1, Outcome::Ok, CopyReport::BeganLoad), (2, Outcome::Ok, CopyReport::WaitedForLoad)]
+        );
         w.call(Time(7_000), &mut seen, job(3, "a"));
         pass(&mut w, &mut seen, Time(7_000), Time(9_000));
-        assert_eq!(seen.answers[2], (3, Outcome::Ok, Copy::Warm));
+        assert_eq!(seen.answers[2], (3, Outcome::Ok, CopyReport::Warm));
         assert_eq!(seen.ran, [1, 2, 3]);
     }
 
@@ -494,7 +497,7 @@
     fn beyond_its_queue_it_turns_away_and_what_is_withdrawn_does_not_run() {
         let (mut w, mut seen) = (WorkerModel::new(SPEC, 1, None), Seen::default());
         (1..=4).for_each(|i| w.call(Time(0), &mut seen, job(i, "a")));
-        assert_eq!(seen.answers, [(4, Outcome::Full, Copy::Untold)]);
+        assert_eq!(seen.answers, [(4, Outcome::Full, CopyReport::Unreported)]);
         w.withdrawn(Caller(2));
         pass(&mut w, &mut seen, Time(0), Time(9_000));
         assert_eq!(seen.ran, [1, 3]);
@@ -509,11 +512,15 @@
         pass(&mut w, &mut seen, Time(10), Time(5_500));
         w.call(Time(5_600), &mut seen, job(2, "b"));
         pass(&mut w, &mut seen, Time(5_600), Time(9_000));
-        assert_eq!(seen.answers[1], (2, Outcome::Ok, Copy::Warm), "b had been idle for less long than a");
+        assert_eq!(
+            seen.answers[1],
+            (2, Outcome::Ok, CopyReport::Warm),
+            "b had been idle for less long than a"
+        );
         w.call(Time(9_100), &mut seen, job(3, "b"));
         w.call(Time(9_100), &mut seen, job(4, "c"));
         w.call(Time(9_100), &mut seen, job(5, "d"));
-        assert_eq!(seen.answers.last(), Some(&(5, Outcome::Full, Copy::Untold)));
+        assert_eq!(seen.answers.last(), Some(&(5, Outcome::Full, CopyReport::Unreported)));
     }
 
     #[test]
@@ -522,7 +529,7 @@
         w.call(Time(0), &mut seen, job(1, "a"));
         w.order(Time(0), &mut seen, Caller(9), "a", 1);
         w.fetched(Time(100), &mut seen, "a", false);
-        assert_eq!(seen.answers, [(1, Outcome::Miss, Copy::LoadFailed)]);
+        assert_eq!(seen.answers, [(1, Outcome::Miss, CopyReport::LoadFailed)]);
         assert_eq!(seen.loaded, [(9, Outcome::Error, 0)]);
     }
 
@@ -553,6 +560,6 @@
         assert_eq!(seen.ran.len(), 1);
         w.set_faults(Time(9_000), Faults::default());
         pass(&mut w, &mut seen, Time(9_000), Time(11_000));
-        assert_eq!(seen.answers, [(2, Outcome::Ok, Copy::Warm)]);
+        assert_eq!(seen.answers, [(2, Outcome::Ok, CopyReport::Warm)]);
     }
 }
--- a/crates/curlewpoint-engine/benches/held.rs
+++ b/crates/curlewpoint-engine/benches/held.rs
@@ -59,7 +59,7 @@
         let mut engine = Engine::start(now, Quiet::default(), 1, settings);
         engine.list_begins(1, 1, None);
         for no in 0..87 {
-            engine.list_row(now, &format!("w{no}"), "x", Standing::Ready, 1, None, "", "", 1.0);
+            engine.list_row(now, &format!("w{no}"), "x", Lifecycle::Ready, 1, None, "", "", 1.0);
         }
         engine.list_ends(now);
         let body = Bytes::from_static(&[7; 256]);
@@ -80,7 +80,7 @@
             let _ = ask(&mut engine, now, tag);
             if let Some(out) = engine.world().last {
                 answered += 1;
-                engine.request_ended(now, out, Outcome::Ok, Copy::Warm, 0, 0, Vec::new(), Bytes::new());
+                engine.request_ended(now, out, Outcome::Ok, CopyReport::Warm, 0, 0, Vec::new(), Bytes::new());
             }
         }
         let us = began.elapsed().as_secs_f64() * 1e6 / MORE as f64;
--- a/crates/curlewpoint-engine/src/engine.rs
+++ b/crates/curlewpoint-engine/src/engine.rs
@@ -1,8 +1,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use bytes::Bytes;
-use curlewpoint::brain::Scheduler;
 use curlewpoint::host::Host;
+use curlewpoint::scheduler::Scheduler;
 use curlewpoint::types::*;
 use serde_json::{Map, Value};
 
@@ -43,7 +43,7 @@
 pub enum UpstreamRequest<'a> {
     Attempt {
         rpc: RpcId,
-        no: AttemptNo,
+        no: AttemptNumber,
         method: &'a str,
         model: &'a str,
         tenant: &'a str,
@@ -150,12 +150,12 @@
     body: Bytes,
     answered: bool,
     attempts: usize,
-    open: BTreeMap<AttemptNo, RequestId>,
+    open: BTreeMap<AttemptNumber, RequestId>,
 }
 
 #[derive(Clone, Copy)]
 enum What {
-    Attempt(RpcId, AttemptNo),
+    Attempt(RpcId, AttemptNumber),
     Load(FunctionId),
     Probe,
 }
@@ -167,7 +167,7 @@
 }
 
 enum Wake {
-    Module(WakeId),
+    Module(TimerId),
     Guard(RpcId),
     UpstreamRequest(RequestId),
 }
@@ -176,7 +176,7 @@
 struct End {
     id: RequestId,
     outcome: Outcome,
-    copy: Copy,
+    copy: CopyReport,
     held: u64,
     copies: u64,
     report: Vec<f64>,
@@ -220,7 +220,7 @@
     }
 
     fn end(&mut self, id: RequestId, outcome: Outcome) {
-        let (copy, held, copies) = (Copy::Untold, 0, 0);
+        let (copy, held, copies) = (CopyReport::Unreported, 0, 0);
         self.ends.push_back(End { id, outcome, copy, held, copies, report: Vec::new(), body: Bytes::new() });
     }
 
@@ -285,7 +285,7 @@
         let now = self.now;
         let Some(owed) = self.rpcs.get_mut(&rpc) else { return self.pass_over(rpc, "an attempt") };
         // Numbers count what the module asked for, also what is not sent.
-        let no = AttemptNo(owed.attempts);
+        let no = AttemptNumber(owed.attempts);
         owed.attempts += 1;
         let (answered, spent) = (owed.answered, owed.attempts > self.most_attempts);
         let until = if limit == Time(0) { owed.deadline } else { owed.deadline.min(now + limit) };
@@ -309,7 +309,7 @@
         self.world.request(now, id, worker, request);
     }
 
-    fn cancel(&mut self, rpc: RpcId, no: AttemptNo) {
+    fn cancel(&mut self, rpc: RpcId, no: AttemptNumber) {
         if let Some(&id) = self.rpcs.get(&rpc).and_then(|o| o.open.get(&no)) {
             if !self.ends.iter().any(|e| e.id == id) {
                 self.take_back(id, Outcome::Cancelled);
@@ -344,7 +344,7 @@
         self.world.request(self.now, id, worker, UpstreamRequest::Probe);
     }
 
-    fn wake(&mut self, delay: Time, id: WakeId) {
+    fn set_timer(&mut self, delay: Time, id: TimerId) {
         self.wheel.set(self.now + delay, Wake::Module(id));
     }
 
@@ -352,7 +352,7 @@
         self.world.watch_list(self.roster.held());
     }
 
-    fn seen(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
         self.world.seen(worker, function, hint, held);
     }
 
@@ -466,7 +466,7 @@
         for o in outs.values().filter(|o| matches!(o.what, What::Attempt(..))) {
             *attempts.entry(o.worker).or_default() += 1;
         }
-        let believed: BTreeMap<WorkerId, u64> = self.module.believed_out().collect();
+        let believed: BTreeMap<WorkerId, u64> = self.module.believed_in_flight().collect();
         (believed != attempts).then(|| format!("believed out {believed:?}, and out {attempts:?}"))
     }
 
@@ -480,7 +480,7 @@
             ("function names", desk.functions.len()),
             ("worker names", desk.roster.len()),
         ];
-        here.into_iter().chain(self.module.sizes()).collect()
+        here.into_iter().chain(self.module.table_sizes()).collect()
     }
 
     /// The RPC that an attempt which is out is for, and its method.
@@ -515,14 +515,14 @@
 
     /// So many instances feed these workers from here on.
     pub fn instances(&mut self, number: u64) {
-        self.module.instances_changed(number);
+        self.module.instance_count_changed(number);
     }
 
     /// Another scheduler saw this of a function at a worker so long ago.
     pub fn hinted(
         &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time,
     ) {
-        self.module.hinted(now, worker, function, hint, held, age);
+        self.module.hint_received(now, worker, function, hint, held, age);
     }
 
     /// The moment of the next wake-up, or one before it.
@@ -603,7 +603,7 @@
         desk.world.wanted(function);
         // The module has said nothing by then: half the slack is left for the answer's way.
         desk.wheel.set(deadline + Time(slack.0 / 2), Wake::Guard(id));
-        self.module.rpc(now, id, method, function, tenant, left, lanes.unwrap_or(usual));
+        self.module.rpc_received(now, id, method, function, tenant, left, lanes.unwrap_or(usual));
         self.settle(now);
         Ok(id)
     }
@@ -633,7 +633,7 @@
 
     /// The module lets go of an RPC that has its answer, and what is still out for it is taken back.
     fn end_rpc(&mut self, now: Time, id: RpcId) {
-        self.module.rpc_gone(id);
+        self.module.rpc_abandoned(id);
         let desk = self.module.host();
         let open: Vec<RequestId> =
             desk.rpcs.get(&id).map(|o| o.open.values().copied().collect()).unwrap_or_default();
@@ -648,7 +648,7 @@
 
     /// An upstream request was answered, or is known to have ended. A second end, or one for what was never asked, is nothing.
     pub fn request_ended(
-        &mut self, now: Time, id: RequestId, outcome: Outcome, copy: Copy, held: u64, copies: u64,
+        &mut self, now: Time, id: RequestId, outcome: Outcome, copy: CopyReport, held: u64, copies: u64,
         report: Vec<f64>, body: Bytes,
     ) {
         self.desk(now).ends.push_back(End { id, outcome, copy, held, copies, report, body });
@@ -660,7 +660,7 @@
         self.desk(now);
         while let Some((_, what)) = self.module.host().wheel.pop(now) {
             match what {
-                Wake::Module(id) => self.module.woken(now, id),
+                Wake::Module(id) => self.module.timer_fired(now, id),
                 Wake::Guard(id) => self.guard(now, id),
                 Wake::UpstreamRequest(id) => self.module.host().take_back(id, Outcome::TimeOut),
             }
@@ -721,7 +721,7 @@
                 What::Load(function) => {
                     self.module.load_ended(now, worker, function, end.outcome, end.copies)
                 }
-                What::Probe => self.module.report_read(now, worker, &end.report),
+                What::Probe => self.module.load_report_received(now, worker, &end.report),
             }
         }
     }
@@ -733,7 +733,7 @@
     }
 
     pub fn list_row(
-        &mut self, now: Time, name: &str, address: &str, standing: Standing, start: u64, age: Option<Time>,
+        &mut self, now: Time, name: &str, address: &str, standing: Lifecycle, start: u64, age: Option<Time>,
         zone: &str, cell: &str, size: f64,
     ) {
         let desk = self.desk(now);
@@ -747,9 +747,9 @@
         let desk = self.desk(now);
         let (read, named) = desk.roster.ends(|id, name, address, standing, since, zone, cell, size| {
             match standing {
-                Standing::Gone => desk.world.worker_gone(now, id),
-                Standing::Ready => desk.world.worker_at(now, id, name, address, since),
-                Standing::Draining => {
+                Lifecycle::Gone => desk.world.worker_gone(now, id),
+                Lifecycle::Ready => desk.world.worker_at(now, id, name, address, since),
+                Lifecycle::Draining => {
                     desk.world.worker_at(now, id, name, address, since);
                     desk.world.worker_drains(now, id);
                 }
@@ -760,14 +760,14 @@
             Read::Taken { full } => {
                 for (id, standing, since, zone, cell, size) in rows {
                     self.module.worker_listed(now, id, standing, since, zone, cell, size);
-                    if standing == Standing::Gone {
+                    if standing == Lifecycle::Gone {
                         self.gone.entry(id).or_insert(now);
                     } else {
                         self.gone.remove(&id);
                     }
                     changes.extend(self.module.host().lifecycles.told(id, standing));
                 }
-                self.module.list_read(now, full.then_some(&named));
+                self.module.list_received(now, full.then_some(&named));
                 if full {
                     self.missing_are_gone(now, &named, &mut changes);
                 }
@@ -785,7 +785,7 @@
         let desk = self.module.host();
         for worker in desk.roster.missing(named) {
             desk.world.worker_gone(now, worker);
-            changes.extend(desk.lifecycles.told(worker, Standing::Gone));
+            changes.extend(desk.lifecycles.told(worker, Lifecycle::Gone));
             self.gone.entry(worker).or_insert(now);
         }
         let long: Vec<_> =
--- a/crates/curlewpoint-engine/src/lifecycle.rs
+++ b/crates/curlewpoint-engine/src/lifecycle.rs
@@ -2,26 +2,26 @@
 
 use std::collections::BTreeMap;
 
-use curlewpoint::types::{Standing, WorkerId};
+use curlewpoint::types::{Lifecycle, WorkerId};
 
 /// A change of one worker's lifecycle state, as a list told it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition {
     pub worker: WorkerId,
-    pub from: Option<Standing>,
-    pub to: Standing,
+    pub from: Option<Lifecycle>,
+    pub to: Lifecycle,
 }
 
 /// The lifecycle state last told of each worker.
 #[derive(Default)]
-pub struct Lifecycles(BTreeMap<WorkerId, Standing>);
+pub struct Lifecycles(BTreeMap<WorkerId, Lifecycle>);
 
 /// Transitions that are logged one by one; those beyond are counted, so that a list of thousands is not thousands of lines.
 const MOST_LINES: usize = 16;
 
 impl Lifecycles {
     /// Notes what a list says of a worker, and tells whether that is a change.
-    pub fn told(&mut self, worker: WorkerId, to: Standing) -> Option<Transition> {
+    pub fn told(&mut self, worker: WorkerId, to: Lifecycle) -> Option<Transition> {
         let from = self.0.insert(worker, to);
         (from != Some(to)).then_some(Transition { worker, from, to })
     }
@@ -41,7 +41,7 @@
     if changes.len() > MOST_LINES {
         let count = |to| changes.iter().filter(|c| c.to == to).count();
         let (ready, draining, gone) =
-            (count(Standing::Ready), count(Standing::Draining), count(Standing::Gone));
+            (count(Lifecycle::Ready), count(Lifecycle::Draining), count(Lifecycle::Gone));
         return Some(format!("list {version}: {ready} ready, {draining} draining, {gone} gone"));
     }
     let one = |c: &Transition| match c.from {
--- a/crates/curlewpoint-engine/src/roster.rs
+++ b/crates/curlewpoint-engine/src/roster.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use curlewpoint::types::{CellId, Standing, Time, WorkerId, ZoneId};
+use curlewpoint::types::{CellId, Lifecycle, Time, WorkerId, ZoneId};
 
 use crate::ids::{id_of, Ids};
 
@@ -21,7 +21,7 @@
     id: WorkerId,
     name: String,
     address: String,
-    standing: Standing,
+    standing: Lifecycle,
     since: Time,
     zone: ZoneId,
     cell: CellId,
@@ -81,7 +81,7 @@
 
     /// One worker. `start` tells one start of its process from another, `age` how long ago it was (none: long ago).
     pub fn row(
-        &mut self, now: Time, name: &str, address: &str, standing: Standing, start: u64, age: Option<Time>,
+        &mut self, now: Time, name: &str, address: &str, standing: Lifecycle, start: u64, age: Option<Time>,
         zone: &str, cell: &str, size: f64,
     ) -> Result<(), String> {
         let id = WorkerId(self.names.learn(name)?);
@@ -99,7 +99,7 @@
 
     /// The list has come to its end. Where it is taken, each worker is handed on, with its name and address.
     pub fn ends(
-        &mut self, mut each: impl FnMut(WorkerId, &str, &str, Standing, Time, ZoneId, CellId, f64),
+        &mut self, mut each: impl FnMut(WorkerId, &str, &str, Lifecycle, Time, ZoneId, CellId, f64),
     ) -> (Read, BTreeSet<WorkerId>) {
         let mut named = BTreeSet::new();
         let Some((epoch, version, from)) = self.staged.take() else { return (Read::Stray, named) };
--- a/crates/curlewpoint-engine/src/roster/tests.rs
+++ b/crates/curlewpoint-engine/src/roster/tests.rs
@@ -5,7 +5,7 @@
     r.begins(version.0, version.1, from);
     for (name, start) in names {
         let age = Some(Time(1_000 * (1 + version.1)));
-        r.row(Time(50_000), name, "127.0.0.1:1", Standing::Ready, *start, age, "z", "c", 1.0).unwrap();
+        r.row(Time(50_000), name, "127.0.0.1:1", Lifecycle::Ready, *start, age, "z", "c", 1.0).unwrap();
     }
     let (read, named) = r.ends(|_, _, _, _, _, _, _, _| ());
     (read, named.len())
@@ -40,7 +40,7 @@
     for (version, start) in [(1, 5), (2, 5), (3, 6)] {
         r.begins(1, version, None);
         let age = Some(Time(1_000 * version));
-        r.row(Time(50_000), "a", "x", Standing::Ready, start, age, "z", "c", 1.0).unwrap();
+        r.row(Time(50_000), "a", "x", Lifecycle::Ready, start, age, "z", "c", 1.0).unwrap();
         r.ends(|_, _, _, _, at, _, _, _| since.push(at.0));
     }
     assert_eq!(since, [49_000, 49_000, 47_000]);
@@ -50,7 +50,7 @@
 fn more_workers_than_the_bound_are_refused() {
     let mut r = Roster::new(1);
     r.begins(1, 1, None);
-    let row = |r: &mut Roster, n: &str| r.row(Time(9), n, "x", Standing::Ready, 1, None, "", "", 1.0);
+    let row = |r: &mut Roster, n: &str| r.row(Time(9), n, "x", Lifecycle::Ready, 1, None, "", "", 1.0);
     assert!(row(&mut r, "a").is_ok() && row(&mut r, "b").is_err());
 }
 
--- a/crates/curlewpoint-engine/tests/beliefs.rs
+++ b/crates/curlewpoint-engine/tests/beliefs.rs
@@ -132,7 +132,7 @@
         self.version += 1;
         self.engine.list_begins(0, self.version, None);
         for (name, address, drains) in workers {
-            let standing = if drains { Standing::Draining } else { Standing::Ready };
+            let standing = if drains { Lifecycle::Draining } else { Lifecycle::Ready };
             self.engine.list_row(self.now, &name, &address, standing, 1, None, "z", "c", 1.0);
         }
         self.engine.list_ends(self.now);
@@ -177,7 +177,7 @@
         world.is_over(id);
         world.pool.answered(self.now, &mut world.sockets, id);
         for _ in 0..2 {
-            let (copy, body) = (Copy::Warm, Bytes::new());
+            let (copy, body) = (CopyReport::Warm, Bytes::new());
             self.engine.request_ended(self.now, id, outcome, copy, 0, 1, vec![0.5], body);
         }
     }
--- a/crates/curlewpoint-engine/tests/cold.rs
+++ b/crates/curlewpoint-engine/tests/cold.rs
@@ -62,7 +62,7 @@
         for no in 0..WORKERS {
             let age = (no < cold).then(|| at(ms) - at(COLD));
             let (name, start) = (format!("w{no}"), u64::from(no < cold));
-            let standing = if others_drain && no >= cold { Standing::Draining } else { Standing::Ready };
+            let standing = if others_drain && no >= cold { Lifecycle::Draining } else { Lifecycle::Ready };
             self.engine.list_row(at(ms), &name, "there", standing, start, age, "z", "c", 1.0);
         }
         self.engine.list_ends(at(ms));
@@ -104,7 +104,7 @@
                 one.coming.first_key_value().filter(|((when, _), _)| *when <= now)
             {
                 let outcome = one.coming.remove(&(when, id)).expect("it was first");
-                let copy = if outcome == Outcome::Ok { Copy::Warm } else { Copy::Untold };
+                let copy = if outcome == Outcome::Ok { CopyReport::Warm } else { CopyReport::Unreported };
                 one.engine.request_ended(now, id, outcome, copy, 0, 1, vec![0.5], Bytes::new());
             }
             if one.engine.next_wake().is_some_and(|wake| wake <= now) {
--- a/crates/curlewpoint-engine/tests/promises.rs
+++ b/crates/curlewpoint-engine/tests/promises.rs
@@ -97,7 +97,7 @@
         self.engine.list_begins(version.0, version.1, from);
         for no in 0..workers {
             let name = format!("w{no}");
-            self.engine.list_row(self.now, &name, "127.0.0.1:1", Standing::Ready, 1, None, "z", "c", 1.0);
+            self.engine.list_row(self.now, &name, "127.0.0.1:1", Lifecycle::Ready, 1, None, "z", "c", 1.0);
         }
         self.engine.list_ends(self.now);
     }
@@ -110,7 +110,7 @@
     fn end(&mut self, id: RequestId, outcome: Outcome) {
         self.engine.world().out.remove(&id);
         let body = Bytes::from_static(b"read");
-        self.engine.request_ended(self.now, id, outcome, Copy::Warm, 0, 1, Vec::new(), body);
+        self.engine.request_ended(self.now, id, outcome, CopyReport::Warm, 0, 1, Vec::new(), body);
     }
 
     /// The attempt that is out, and nothing else.
--- a/crates/curlewpoint-engine/tests/release.rs
+++ b/crates/curlewpoint-engine/tests/release.rs
@@ -44,13 +44,13 @@
     engine.list_begins(1, 1, None);
     for no in 0..8 {
         let name = format!("w{no}");
-        engine.list_row(at(0), &name, "there", Standing::Ready, 0, None, "z", "c", 1.0);
+        engine.list_row(at(0), &name, "there", Lifecycle::Ready, 0, None, "z", "c", 1.0);
     }
     engine.list_ends(at(0));
     let mut rng = Rand64::new(3);
     // When a copy stands, by worker and function; what comes back when.
     let mut copies: BTreeMap<(WorkerId, String), u64> = BTreeMap::new();
-    let mut coming: BTreeMap<(u64, RequestId), (Outcome, Copy)> = BTreeMap::new();
+    let mut coming: BTreeMap<(u64, RequestId), (Outcome, CopyReport)> = BTreeMap::new();
     let (mut begun, mut orders, mut misses) = (BTreeMap::new(), Vec::new(), 0);
     let (mut late, mut last_late, mut taken) = (0, 0, Vec::new());
     for ms in (0..20_000u64).step_by(5) {
@@ -77,14 +77,14 @@
             }
             if stands.is_none() && !order && absent == "miss" {
                 misses += usize::from(ms >= RELEASE);
-                coming.insert((ms + 5, id), (Outcome::Miss, Copy::Untold));
+                coming.insert((ms + 5, id), (Outcome::Miss, CopyReport::Unreported));
                 continue;
             }
             let ready = *copies.entry((worker, model)).or_insert(ms + LOAD_MS);
             let copy = match stands {
-                None => Copy::BeganLoad,
-                Some(ready) if ready > ms => Copy::WaitedForLoad,
-                Some(_) => Copy::Warm,
+                None => CopyReport::BeganLoad,
+                Some(ready) if ready > ms => CopyReport::WaitedForLoad,
+                Some(_) => CopyReport::Warm,
             };
             coming.insert((ready.max(ms) + if order { 0 } else { 50 }, id), (Outcome::Ok, copy));
         }
--- a/crates/curlewpoint-fleet/src/book.rs
+++ b/crates/curlewpoint-fleet/src/book.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 
 use crate::members::InstanceId;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub address: String,
-    pub standing: Standing,
+    pub standing: Lifecycle,
     /// One start of its process, and when that was on this instance's clock; none: long ago.
     pub start: u64,
     pub since: Option<Time>,
--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -1,7 +1,7 @@
 //! The frames between instances of a fleet: what a [`Fleet`] says as the bytes of the native protocol, and how what a
 //! peer says is read straight into a call. The daemon sends them over sockets, the scale rig over a made-up network.
 
-use curlewpoint::types::{FunctionId, Hint, Standing as Ready, Time, WorkerId};
+use curlewpoint::types::{FunctionId, Hint, Lifecycle as Ready, Time, WorkerId};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 
 use crate::book::Entry;
--- a/crates/curlewpoint-fleet/tests/common/mod.rs
+++ b/crates/curlewpoint-fleet/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use curlewpoint::types::{FunctionId, Hint, Standing as Ready, Time, WorkerId};
+use curlewpoint::types::{FunctionId, Hint, Lifecycle as Ready, Time, WorkerId};
 use curlewpoint_fleet::{
     frames, Bounds, Entry, Fleet, LinkId, Member, MemberId, Outside, Run, Seen, Standing,
 };
--- a/crates/curlewpoint-fleet/tests/lists.rs
+++ b/crates/curlewpoint-fleet/tests/lists.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use common::{Acts, Net, MS};
-use curlewpoint::types::{Standing as Ready, Time};
+use curlewpoint::types::{Lifecycle as Ready, Time};
 use curlewpoint_fleet::{frames, Bounds, Entry, Fleet, InstanceId, LinkId, MemberId, Run, Source, Taken};
 use curlewpoint_wire::{Field, Frame, Kind, HEAD_BYTES};
 use proptest::prelude::*;
--- a/crates/curlewpoint-fleet/tests/properties.rs
+++ b/crates/curlewpoint-fleet/tests/properties.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use common::Net;
-use curlewpoint::types::{FunctionId, Hint, Standing as Ready, Time, WorkerId};
+use curlewpoint::types::{FunctionId, Hint, Lifecycle as Ready, Time, WorkerId};
 use curlewpoint_fleet::{Book, Entry, Hints, InstanceId, Run, Seen, Source, Standing};
 use proptest::prelude::*;
 
--- a/crates/curlewpoint-gateway/src/codes.rs
+++ b/crates/curlewpoint-gateway/src/codes.rs
@@ -1,6 +1,6 @@
 //! The numbers that stand for outcomes, answers and the like in the protocol's fields.
 
-use curlewpoint::types::{Copy, Outcome};
+use curlewpoint::types::{CopyReport, Outcome};
 use curlewpoint_engine::{Answer, Refusal};
 pub(crate) use curlewpoint_fleet::frames::read_standing as standing;
 pub use curlewpoint_fleet::frames::standing_code;
@@ -19,7 +19,13 @@
 
 /// What a worker may answer.
 const OUTCOMES: [Outcome; 4] = [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Miss];
-const COPIES: [Copy; 5] = [Copy::Untold, Copy::Warm, Copy::BeganLoad, Copy::WaitedForLoad, Copy::LoadFailed];
+const COPIES: [CopyReport; 5] = [
+    CopyReport::Unreported,
+    CopyReport::Warm,
+    CopyReport::BeganLoad,
+    CopyReport::WaitedForLoad,
+    CopyReport::LoadFailed,
+];
 const ANSWERS: [Answer; 3] = [Answer::Ok, Answer::Denied, Answer::Aborted];
 
 pub fn outcome_code(of: Outcome) -> u64 {
@@ -30,15 +36,15 @@
     read(frame, Field::OUTCOME, &OUTCOMES, "an outcome")
 }
 
-pub fn copy_code(of: Copy) -> u64 {
+pub fn copy_code(of: CopyReport) -> u64 {
     code(&COPIES, of)
 }
 
-pub(crate) fn copy(frame: &Frame) -> Result<Copy, WireError> {
+pub(crate) fn copy(frame: &Frame) -> Result<CopyReport, WireError> {
     if frame.has(Field::COPY) {
         read(frame, Field::COPY, &COPIES, "word of a copy")
     } else {
-        Ok(Copy::Untold)
+        Ok(CopyReport::Unreported)
     }
 }
 
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use curlewpoint::types::{Copy, Outcome, Time};
+use curlewpoint::types::{CopyReport, Outcome, Time};
 use curlewpoint_amqp::Login;
 use curlewpoint_catalogue::{Release, Releases, Standing};
 use curlewpoint_config::Config;
@@ -642,7 +642,7 @@
             Kind::ANSWER | Kind::LOADED | Kind::REPORT => {
                 let request = RequestId(f.get_int(Field::TAG)?);
                 let outcome = if f.kind == Kind::REPORT { Outcome::Ok } else { codes::outcome(f)? };
-                let copy = if f.kind == Kind::ANSWER { codes::copy(f)? } else { Copy::Untold };
+                let copy = if f.kind == Kind::ANSWER { codes::copy(f)? } else { CopyReport::Unreported };
                 let held = f.maybe_int(Field::HELD)?.unwrap_or(0);
                 let copies = f.maybe_int(Field::COPIES)?.unwrap_or(0);
                 let report = f.get_floats(Field::REPORT)?;
--- a/crates/curlewpoint-gateway/src/snapshot/tests.rs
+++ b/crates/curlewpoint-gateway/src/snapshot/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 use curlewpoint_fleet::{Bounds, Run};
 
 const NOW: Time = Time(864_000_000);
@@ -23,7 +23,7 @@
     let (zone, cell) = Default::default();
     let since = Some(NOW - Time(50_000));
     let row =
-        Entry { address: "w".into(), standing: Standing::Draining, start: 7, since, zone, cell, size: 1.0 };
+        Entry { address: "w".into(), standing: Lifecycle::Draining, start: 7, since, zone, cell, size: 1.0 };
     for frame in [head, entry_frame(NOW, "w-1", &row), Frame::new(Kind::MEMBER).text(Field::ADDRESS, "c")] {
         CODEC.clone().encode(frame, &mut out).unwrap();
     }
--- a/crates/curlewpoint-lab/benches/forward.rs
+++ b/crates/curlewpoint-lab/benches/forward.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use curlewpoint::types::{Outcome, Standing, Time};
+use curlewpoint::types::{Lifecycle, Outcome, Time};
 use curlewpoint_emulator::Row;
 use curlewpoint_gateway::outcome_code;
 use curlewpoint_lab::stand::wire::{Door, Heard, Say};
@@ -252,7 +252,7 @@
         let (address, zone, cell) = (address.to_string(), String::new(), String::new());
         list.set(
             &format!("w{no}"),
-            Row { address, standing: Standing::Ready, start: 1, since: None, zone, cell, size: 1.0 },
+            Row { address, standing: Lifecycle::Ready, start: 1, since: None, zone, cell, size: 1.0 },
         );
     }
     let config = curlewpoint_config::parse("rehearsal.conf", CONFIG).expect("shipped");
--- a/crates/curlewpoint-lab/benches/triggers.rs
+++ b/crates/curlewpoint-lab/benches/triggers.rs
@@ -7,7 +7,7 @@
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
-use curlewpoint::types::{Outcome, Standing, Time};
+use curlewpoint::types::{Lifecycle, Outcome, Time};
 use curlewpoint_emulator::Row;
 use curlewpoint_lab::stand::{BrokerStand, ListStand, Puppet};
 use curlewpoint_lab::{Record, CONFIG};
@@ -34,7 +34,7 @@
             let mut puppet = Puppet::start(&format!("w{no}")).await;
             let (zone, cell, address) = (String::new(), String::new(), puppet.address.to_string());
             let row =
-                Row { address, standing: Standing::Ready, start: 1, since: None, zone, cell, size: 1.0 };
+                Row { address, standing: Lifecycle::Ready, start: 1, since: None, zone, cell, size: 1.0 };
             list.set(&puppet.name, row);
             workers.push(tokio::spawn(async move {
                 loop {
--- a/crates/curlewpoint-lab/src/check.rs
+++ b/crates/curlewpoint-lab/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_config::Config;
 use curlewpoint_engine::Answer;
 
@@ -304,7 +304,7 @@
     let mut lost: BTreeMap<(&str, &str), Time> = BTreeMap::new();
     for (at, seen) in all {
         match seen {
-            Seen::Told { scheduler, worker, standing: Standing::Ready } => {
+            Seen::Told { scheduler, worker, standing: Lifecycle::Ready } => {
                 lost.remove(&(scheduler.as_str(), worker.as_str()));
             }
             Seen::Told { scheduler, worker, .. } => {
--- a/crates/curlewpoint-lab/src/day.rs
+++ b/crates/curlewpoint-lab/src/day.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_config::{milliseconds, Config};
 use curlewpoint_emulator::{Row, StoreSpec};
 use curlewpoint_engine::Figures;
@@ -178,7 +178,7 @@
 /// One step of something that the script does.
 enum Deed {
     Begin(At),
-    Tell(usize, Standing),
+    Tell(usize, Lifecycle),
     Die(usize),
     Start(usize),
     Set(usize, Box<dyn FnOnce(&mut curlewpoint_emulator::Faults) + Send>),
@@ -257,7 +257,7 @@
             next_deed: 0,
         };
         for no in 0..fleet.workers.len() {
-            fleet.tell(no, Standing::Ready, None);
+            fleet.tell(no, Lifecycle::Ready, None);
             // Popular models stand at two workers each when the day begins.
             for rank in 0..fleet.script.models {
                 if (rank * 7 + 3) % fleet.workers.len() == no || (rank * 5 + 1) % fleet.workers.len() == no {
@@ -294,7 +294,7 @@
         (format!("cell-{cell}"), format!("zone-{}", cell % self.script.zones))
     }
 
-    fn tell(&self, no: usize, standing: Standing, since: Option<Time>) {
+    fn tell(&self, no: usize, standing: Lifecycle, since: Option<Time>) {
         let w = &self.workers[no];
         let (cell, zone) = self.place(no);
         let (address, start) = (w.address.to_string(), self.starts[no]);
@@ -335,7 +335,7 @@
             Deed::Start(no) => {
                 self.workers[no].begin(true);
                 self.starts[no] += 1;
-                self.tell(no, Standing::Ready, Some(self.record.now()));
+                self.tell(no, Lifecycle::Ready, Some(self.record.now()));
             }
             Deed::Set(no, change) => self.workers[no].set(change),
             Deed::Pause(no, span) => self.workers[no].pause_until(self.record.now() + span),
@@ -376,7 +376,7 @@
                 let batches = all.len().div_ceil(batch) as u64;
                 for (no, worker) in all.into_iter().enumerate() {
                     let from = at + Time(e.len.0 * (no / batch) as u64 / batches);
-                    self.plan(from, Deed::Tell(worker, Standing::Draining));
+                    self.plan(from, Deed::Tell(worker, Lifecycle::Draining));
                     self.plan(from + e.every, Deed::Die(worker));
                     self.plan(from + e.every + Time(3_000), Deed::Start(worker));
                 }
@@ -474,7 +474,7 @@
     fn die_until(&mut self, at: Time, end: Time, no: usize) {
         self.workers[no].die();
         // The list tells of a death late; `list-late` comes on top.
-        self.plan(at + Time(2_000), Deed::Tell(no, Standing::Gone));
+        self.plan(at + Time(2_000), Deed::Tell(no, Lifecycle::Gone));
         self.plan(end.max(at + Time(2_001)), Deed::Start(no));
     }
 
--- a/crates/curlewpoint-lab/src/record.rs
+++ b/crates/curlewpoint-lab/src/record.rs
@@ -1,7 +1,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_engine::Answer;
 use tokio::sync::watch;
 use tokio::time::sleep_until;
@@ -54,7 +54,7 @@
     Told {
         scheduler: String,
         worker: String,
-        standing: Standing,
+        standing: Lifecycle,
     },
     /// A worker's process is up, empty and cold.
     Started {
--- a/crates/curlewpoint-lab/src/stand/list.rs
+++ b/crates/curlewpoint-lab/src/stand/list.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_emulator::{ListModel, Row};
 use curlewpoint_gateway::standing_code;
 use curlewpoint_wire::{Field, Frame, Kind};
@@ -15,7 +15,7 @@
 
 enum Change {
     Set(String, Row),
-    Standing(String, Standing),
+    Lifecycle(String, Lifecycle),
     Late(Time),
     Down(Time),
 }
@@ -46,8 +46,8 @@
         let _ = self.changes.send(Change::Set(name.to_owned(), row));
     }
 
-    pub fn standing(&self, name: &str, standing: Standing) {
-        let _ = self.changes.send(Change::Standing(name.to_owned(), standing));
+    pub fn standing(&self, name: &str, standing: Lifecycle) {
+        let _ = self.changes.send(Change::Lifecycle(name.to_owned(), standing));
     }
 
     pub fn late(&self, late: Time) {
@@ -89,7 +89,7 @@
         for (_, change) in due {
             match change {
                 Change::Set(name, row) => model.set(&name, row),
-                Change::Standing(name, standing) => model.standing(&name, standing),
+                Change::Lifecycle(name, standing) => model.standing(&name, standing),
                 Change::Late(_) | Change::Down(_) => {}
             }
         }
--- a/crates/curlewpoint-lab/src/stand/worker.rs
+++ b/crates/curlewpoint-lab/src/stand/worker.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewpoint::types::{Copy, Outcome, Time};
+use curlewpoint::types::{CopyReport, Outcome, Time};
 use curlewpoint_emulator::{Caller, Faults, Job, Neighbours, WorkerModel, WorkerSpec};
 use curlewpoint_engine::id_of;
 use curlewpoint_gateway::{copy_code, outcome_code};
@@ -187,7 +187,7 @@
         }
     }
 
-    fn answer(&mut self, caller: Caller, outcome: Outcome, copy: Copy, held: u64) {
+    fn answer(&mut self, caller: Caller, outcome: Outcome, copy: CopyReport, held: u64) {
         let Some(asked) = self.callers.remove(&caller) else { return };
         if matches!(outcome, Outcome::Full | Outcome::Miss) {
             self.record.add(Seen::TurnedAway { key: asked.key, worker: self.name.clone() });
--- a/crates/curlewpoint-lab/tests/caught.rs
+++ b/crates/curlewpoint-lab/tests/caught.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_emulator::{Row, StoreSpec, WorkerSpec};
 use curlewpoint_engine::Answer;
 use curlewpoint_gateway::answer_code;
@@ -220,10 +220,10 @@
             let (address, zone, cell) = ("127.0.0.1:1".to_owned(), "z".to_owned(), "c".to_owned());
             list.set(
                 "w0",
-                Row { address, standing: Standing::Draining, start: 1, since: None, zone, cell, size: 1.0 },
+                Row { address, standing: Lifecycle::Draining, start: 1, since: None, zone, cell, size: 1.0 },
             );
             watch.outbox.send(Frame::new(Kind::WATCH), None).unwrap();
-            until(record, |s| matches!(s, Seen::Told { standing: Standing::Draining, .. })).await;
+            until(record, |s| matches!(s, Seen::Told { standing: Lifecycle::Draining, .. })).await;
             while watch.reader.next().await.unwrap().unwrap().kind != Kind::LIST_END {}
             tokio::time::sleep(std::time::Duration::from_micros(
                 (terms.drain_grace + terms.transit).0 * 100 + 20_000,
--- a/crates/curlewpoint-lab/tests/sockets/amqp.rs
+++ b/crates/curlewpoint-lab/tests/sockets/amqp.rs
@@ -8,7 +8,7 @@
 use amq_protocol::protocol::basic::AMQPProperties;
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
-use curlewpoint::types::{Outcome, Standing, Time};
+use curlewpoint::types::{Lifecycle, Outcome, Time};
 use curlewpoint_config::Config;
 use curlewpoint_emulator::{BrokerFaults, Message};
 use curlewpoint_gateway::Running;
@@ -39,7 +39,7 @@
     async fn open(test: &str, workers: &[&Puppet]) -> Office {
         let broker = BrokerStand::start("127.0.0.1:0", &QUEUES).await.unwrap();
         let list = ListStand::start("127.0.0.1:0", &Record::default(), Time(0)).await.unwrap();
-        workers.iter().for_each(|w| name(&list, w, Standing::Ready));
+        workers.iter().for_each(|w| name(&list, w, Lifecycle::Ready));
         let folder = std::env::temp_dir().join(format!("curlewpoint-amqp-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         Office { broker, list, folder }
--- a/crates/curlewpoint-lab/tests/sockets/common.rs
+++ b/crates/curlewpoint-lab/tests/sockets/common.rs
@@ -1,6 +1,6 @@
 //! What the tests on sockets share: a gateway, a list service, and workers that do as a test says.
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_config::Config;
 use curlewpoint_emulator::Row;
 use curlewpoint_gateway::Running;
@@ -30,7 +30,7 @@
     pub async fn with(config: Config, workers: &[&Puppet]) -> Stage {
         let record = Record::default();
         let list = ListStand::start("127.0.0.1:0", &record, Time(0)).await.expect("loopback");
-        workers.iter().for_each(|w| name(&list, w, Standing::Ready));
+        workers.iter().for_each(|w| name(&list, w, Lifecycle::Ready));
         let config = patient(config).with("list", &list.address.to_string());
         let gateway = curlewpoint_gateway::start(&config).await.expect("loopback");
         let office = Office::open(&gateway.address.to_string(), "front", &record).await.expect("it serves");
@@ -64,7 +64,7 @@
     }
 }
 
-pub fn name(list: &ListStand, w: &Puppet, standing: Standing) {
+pub fn name(list: &ListStand, w: &Puppet, standing: Lifecycle) {
     let (zone, cell) = ("z".to_owned(), "c".to_owned());
     let row = Row { address: w.address.to_string(), standing, start: 1, since: None, zone, cell, size: 1.0 };
     list.set(&w.name, row);
--- a/crates/curlewpoint-lab/tests/sockets/hard.rs
+++ b/crates/curlewpoint-lab/tests/sockets/hard.rs
@@ -1,7 +1,7 @@
 //! The hard cases, each caused on real sockets.
 
 use crate::common::{answer, config, name, Puppet, Stage};
-use curlewpoint::types::{Outcome, Standing, Time};
+use curlewpoint::types::{Lifecycle, Outcome, Time};
 use curlewpoint_engine::Answer;
 use curlewpoint_lab::stand::wire::Say;
 use curlewpoint_lab::{call, Called, Office, Record, Seen, CONFIG};
@@ -146,7 +146,7 @@
     // The refusal of one behind them tells that the four have been taken and called out.
     stage.ask(9, "no-such-method", LONG);
     stage.until(|s| matches!(s, Seen::Refused { key: 9, .. })).await;
-    name(&stage.list, &a, Standing::Draining);
+    name(&stage.list, &a, Lifecycle::Draining);
     let mut denied = 0;
     for key in 1..=4 {
         denied += usize::from(stage.final_of(key).await == Answer::Denied);
@@ -171,7 +171,7 @@
     let office = Office::open(&gateway.address.to_string(), "front", &record).await.unwrap();
     let stage = Stage { record, list, gateway, office };
     stage.ask(1, "read-fields", LONG);
-    name(&stage.list, &a, Standing::Ready);
+    name(&stage.list, &a, Lifecycle::Ready);
     let asked = a.attempt().await;
     a.answer(&asked, Outcome::Ok);
     assert_eq!(stage.final_of(1).await, Answer::Ok);
--- a/crates/curlewpoint-lab/tests/sockets/http.rs
+++ b/crates/curlewpoint-lab/tests/sockets/http.rs
@@ -220,10 +220,10 @@
     assert!(aborted.json()["rpc"].is_string());
     described(&document, path, &aborted);
     // No worker is left: it was not called out, so repeating it is harmless.
-    crate::common::name(&d.stage.list, &a, curlewpoint::types::Standing::Draining);
+    crate::common::name(&d.stage.list, &a, curlewpoint::types::Lifecycle::Draining);
     d.stage
         .until(|s| {
-            matches!(s, curlewpoint_lab::Seen::Told { standing: curlewpoint::types::Standing::Draining, .. })
+            matches!(s, curlewpoint_lab::Seen::Told { standing: curlewpoint::types::Lifecycle::Draining, .. })
         })
         .await;
     let denied = issue().await.unwrap();
--- a/crates/curlewpoint-node/src/directory.rs
+++ b/crates/curlewpoint-node/src/directory.rs
@@ -7,7 +7,7 @@
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 use curlewpoint_link::{is_ours, METRICS};
 use curlewpoint_platform::dns::{self, DirectoryError, MOST_ANSWER};
 use curlewpoint_platform::Roll;
@@ -39,7 +39,7 @@
 #[derive(Default)]
 pub(crate) struct List {
     version: u64,
-    rows: Vec<(String, String, Standing, u64, String, String, f64)>,
+    rows: Vec<(String, String, Lifecycle, u64, String, String, f64)>,
 }
 
 impl Roll for List {
@@ -48,7 +48,7 @@
     }
 
     fn worker(
-        &mut self, name: &str, address: &str, standing: Standing, started: u64, zone: &str, cell: &str,
+        &mut self, name: &str, address: &str, standing: Lifecycle, started: u64, zone: &str, cell: &str,
         size: f64,
     ) {
         self.rows.push((name.into(), address.into(), standing, started, zone.into(), cell.into(), size));
--- a/crates/curlewpoint-node/src/run.rs
+++ b/crates/curlewpoint-node/src/run.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewpoint::types::{Copy, Standing, Time};
+use curlewpoint::types::{CopyReport, Lifecycle, Time};
 use curlewpoint_engine::{ClientId, ConnId, Engine, Figures, Pool, PoolLimits, Refusal};
 use curlewpoint_link::{listen_again, Bounds, Clock, Turns, METRICS};
 use curlewpoint_platform::told::{self, Told, ToldError};
@@ -95,7 +95,7 @@
     }
 
     fn worker(
-        &mut self, name: &str, address: &str, standing: Standing, started: u64, zone: &str, cell: &str,
+        &mut self, name: &str, address: &str, standing: Lifecycle, started: u64, zone: &str, cell: &str,
         size: f64,
     ) {
         let age = (started > 0).then(|| self.clock.age_of_unix_ms(started));
@@ -509,7 +509,7 @@
         };
         let body = lines::body(row)?;
         let is_attempt = self.engine.asked_by(request).is_some();
-        let copy = if is_attempt { lines::copy(row) } else { Copy::Untold };
+        let copy = if is_attempt { lines::copy(row) } else { CopyReport::Unreported };
         let (held, copies, report) = (lines::held(row), lines::copies(row), lines::report(row, &self.report));
         self.engine.world().answered(now, request);
         self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
--- a/crates/curlewpoint-platform/src/dns.rs
+++ b/crates/curlewpoint-platform/src/dns.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 use hickory_proto::ProtoError;
@@ -77,7 +77,7 @@
             words.filter_map(|w| w.split_once('=')).find(|(n, _)| *n == field).map(|(_, v)| v)
         };
         let started = text("started").and_then(|v| v.parse().ok()).ok_or_else(|| lacks("start"))?;
-        let standing = if srv.priority() == 0 { Standing::Ready } else { Standing::Draining };
+        let standing = if srv.priority() == 0 { Lifecycle::Ready } else { Lifecycle::Draining };
         let (address, size) = (format!("{at}:{}", srv.port()), f64::from(srv.weight()) / 10.0);
         roll.worker(name, &address, standing, started, zone, text("cell").unwrap_or(""), size);
     }
--- a/crates/curlewpoint-platform/src/lib.rs
+++ b/crates/curlewpoint-platform/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod resp;
 pub mod told;
 
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 
 /// Takes a list of workers as it is read: a beginning, its rows, its end. A list without an end counts for nothing.
 pub trait Roll {
@@ -16,7 +16,7 @@
     fn begins(&mut self, version: u64, since: Option<u64>);
     /// One worker; `started` is the Unix millisecond of a late start, or nought.
     fn worker(
-        &mut self, name: &str, address: &str, standing: Standing, started: u64, zone: &str, cell: &str,
+        &mut self, name: &str, address: &str, standing: Lifecycle, started: u64, zone: &str, cell: &str,
         size: f64,
     );
     fn ends(&mut self);
--- a/crates/curlewpoint-platform/src/lines.rs
+++ b/crates/curlewpoint-platform/src/lines.rs
@@ -4,7 +4,7 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 use bytes::{Bytes, BytesMut};
-use curlewpoint::types::{Copy, Outcome, Time};
+use curlewpoint::types::{CopyReport, Outcome, Time};
 use serde_json::{json, Map, Value};
 use thiserror::Error;
 use tokio_util::codec::Decoder;
@@ -139,13 +139,13 @@
     })
 }
 
-pub fn copy(row: &Map<String, Value>) -> Copy {
+pub fn copy(row: &Map<String, Value>) -> CopyReport {
     match meta(row, "detail").and_then(Value::as_str) {
-        Some("resident") => Copy::Warm,
-        Some("booted") => Copy::BeganLoad,
-        Some("rode") => Copy::WaitedForLoad,
-        Some("boot_error") => Copy::LoadFailed,
-        _ => Copy::Untold,
+        Some("resident") => CopyReport::Warm,
+        Some("booted") => CopyReport::BeganLoad,
+        Some("rode") => CopyReport::WaitedForLoad,
+        Some("boot_error") => CopyReport::LoadFailed,
+        _ => CopyReport::Unreported,
     }
 }
 
@@ -204,7 +204,10 @@
         let line = br#"{"type":"OK","req":"9b","meta":{"detail":"rode","rivals":"3","use":"inflight:7;util:0.61"},"data":"aGk="}
 "#;
         let row = read(line).unwrap().unwrap();
-        assert_eq!((outcome(&row).unwrap(), copy(&row), held(&row)), (Outcome::Ok, Copy::WaitedForLoad, 3));
+        assert_eq!(
+            (outcome(&row).unwrap(), copy(&row), held(&row)),
+            (Outcome::Ok, CopyReport::WaitedForLoad, 3)
+        );
         assert_eq!(body(&row).unwrap(), "hi");
         let names = |n: &[&str]| n.iter().map(|n| n.to_string()).collect::<Vec<_>>();
         assert_eq!(report(&row, &names(&["utilization", "outstanding"])), [0.61, 7.0]);
--- a/crates/curlewpoint-platform/src/told.rs
+++ b/crates/curlewpoint-platform/src/told.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 use serde_json::{Map, Value};
 use thiserror::Error;
 
@@ -70,12 +70,12 @@
             let text = |name| row.get(name).and_then(Value::as_str).ok_or(ToldError::Lacks(name));
             let number = |name| row.get(name).and_then(Value::as_u64);
             let standing = match text("lifecycle")? {
-                "Ready" => Standing::Ready,
-                "Terminating" => Standing::Draining,
-                "Gone" => Standing::Gone,
+                "Ready" => Lifecycle::Ready,
+                "Terminating" => Lifecycle::Draining,
+                "Gone" => Lifecycle::Gone,
                 _ => return Err(ToldError::Lacks("lifecycle")),
             };
-            let gone = standing == Standing::Gone;
+            let gone = standing == Lifecycle::Gone;
             let address =
                 text("hostPort").or(if gone { Ok("") } else { Err(ToldError::Lacks("hostPort")) })?;
             let cell = number("cell").map(|c| c.to_string()).unwrap_or_default();
--- a/crates/curlewpoint-rig/src/figures.rs
+++ b/crates/curlewpoint-rig/src/figures.rs
@@ -2,7 +2,7 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_engine::Answer;
 use curlewpoint_lab::Seen;
 use curlewpoint_wire::Kind;
@@ -341,7 +341,7 @@
         if worker.starts_with(IDLE) {
             continue;
         }
-        if *standing == Standing::Ready {
+        if *standing == Lifecycle::Ready {
             said.remove(worker.as_str());
             continue;
         }
--- a/crates/curlewpoint-rig/src/figures/tests.rs
+++ b/crates/curlewpoint-rig/src/figures/tests.rs
@@ -13,7 +13,7 @@
     let word = |no: usize| Seen::Told {
         scheduler: format!("front-{no}"),
         worker: "w-001".into(),
-        standing: Standing::Draining,
+        standing: Lifecycle::Draining,
     };
     let all = |n: usize| (0..n).map(|no| (Time(1_000 + 10 * no as u64), word(no))).collect::<Vec<_>>();
     assert_eq!(told(&all(99), 100, &[]), Some(Time(980)));
--- a/crates/curlewpoint-rig/src/relay.rs
+++ b/crates/curlewpoint-rig/src/relay.rs
@@ -151,7 +151,7 @@
 #[derive(Default)]
 struct Passing {
     version: Option<(u64, u64)>,
-    rows: Vec<(String, curlewpoint::types::Standing)>,
+    rows: Vec<(String, curlewpoint::types::Lifecycle)>,
 }
 
 impl Lists {
@@ -164,9 +164,9 @@
             }
             Kind::CHANGE => {
                 let standing = match f.get_int(Field::STANDING) {
-                    Ok(1) => curlewpoint::types::Standing::Draining,
-                    Ok(2) => curlewpoint::types::Standing::Gone,
-                    _ => curlewpoint::types::Standing::Ready,
+                    Ok(1) => curlewpoint::types::Lifecycle::Draining,
+                    Ok(2) => curlewpoint::types::Lifecycle::Gone,
+                    _ => curlewpoint::types::Lifecycle::Ready,
                 };
                 if let Ok(worker) = f.get_text(Field::WORKER) {
                     passing.rows.push((worker.to_owned(), standing));
--- a/crates/curlewpoint-rig/src/run.rs
+++ b/crates/curlewpoint-rig/src/run.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_config::{bytes, Config};
 use curlewpoint_emulator::{Row, StoreSpec};
 use curlewpoint_engine::id_of;
@@ -76,7 +76,7 @@
     Term(Vec<usize>, usize, Time),
     KillOld(Box<Process>, String),
     Worker(usize),
-    Tell(usize, Standing),
+    Tell(usize, Lifecycle),
     /// A span begins, or ends.
     Look(usize),
     /// How long the schedulers were kept waiting by the machine.
@@ -242,20 +242,20 @@
         };
         for no in 0..stage.workers.len() {
             let since = stage.plan.play.cold.then(|| stage.shared.record.now());
-            stage.tell(no, Standing::Ready, since);
+            stage.tell(no, Lifecycle::Ready, since);
         }
         for no in 0..stage.plan.play.idle_rows {
             // Names and addresses as long as a deployment's.
             let (name, address) =
                 (format!("{IDLE}{no:06}.zone-{:02}", no % 16), "10.111.122.133:7100".to_owned());
             let (zone, cell) = (format!("zone-{:02}", no % 16), format!("cell-{:02}", no % 64));
-            let standing = Standing::Draining;
+            let standing = Lifecycle::Draining;
             stage.list.set(&name, Row { address, standing, start: 1, since: None, zone, cell, size: 1.0 });
         }
         Ok(stage)
     }
 
-    fn tell(&self, no: usize, standing: Standing, since: Option<Time>) {
+    fn tell(&self, no: usize, standing: Lifecycle, since: Option<Time>) {
         let s = &self.plan.play.script;
         let cell = no * s.cells / s.workers;
         let (zone, cell) = (format!("zone-{}", cell % s.zones), format!("cell-{cell}"));
@@ -406,7 +406,7 @@
             Deed::Worker(no) => {
                 self.workers[no].begin(true);
                 self.starts[no] += 1;
-                self.tell(no, Standing::Ready, Some(self.shared.record.now()));
+                self.tell(no, Lifecycle::Ready, Some(self.shared.record.now()));
             }
             Deed::Tell(no, standing) => self.list.standing(&self.workers[no].name, standing),
             Deed::Look(no) => {
@@ -556,11 +556,11 @@
                 for no in self.draw(left, e.part) {
                     self.drained.insert(no);
                     if e.action == Action::Drain {
-                        self.list.standing(&self.workers[no].name, Standing::Draining);
+                        self.list.standing(&self.workers[no].name, Lifecycle::Draining);
                         continue;
                     }
                     self.workers[no].die();
-                    self.plan(at + Time(10_000), Deed::Tell(no, Standing::Gone));
+                    self.plan(at + Time(10_000), Deed::Tell(no, Lifecycle::Gone));
                     self.plan(end.max(at + Time(10_001)), Deed::Worker(no));
                 }
             }
--- a/crates/curlewpoint-rig/src/scale/module_part.rs
+++ b/crates/curlewpoint-rig/src/scale/module_part.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use curlewpoint::brain::Scheduler;
 use curlewpoint::host::Host;
+use curlewpoint::scheduler::Scheduler;
 use curlewpoint::types::*;
 use oorandom::Rand64;
 use serde_json::json;
@@ -11,7 +11,7 @@
 use crate::scale::plan;
 use crate::scale::tally::{resident, Meter};
 
-const TICK: WakeId = WakeId(u64::MAX >> 1);
+const TICK: TimerId = TimerId(u64::MAX >> 1);
 /// The module looks around so often.
 const BETWEEN_TICKS: Time = Time(200);
 /// An answer comes so long after its attempt.
@@ -30,7 +30,7 @@
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, _: Time) {
         self.attempts.push((rpc, worker));
     }
-    fn cancel(&mut self, _: RpcId, _: AttemptNo) {}
+    fn cancel(&mut self, _: RpcId, _: AttemptNumber) {}
     fn deny(&mut self, _: RpcId, _: Time) {}
     fn abort(&mut self, _: RpcId) {}
     fn load(&mut self, worker: WorkerId, function: FunctionId, _: u64) {
@@ -40,9 +40,9 @@
     fn probe(&mut self, worker: WorkerId) {
         self.probes.push(worker);
     }
-    fn wake(&mut self, _: Time, _: WakeId) {}
+    fn set_timer(&mut self, _: Time, _: TimerId) {}
     fn watch_list(&mut self) {}
-    fn seen(&mut self, _: WorkerId, _: FunctionId, _: Hint, _: u64) {
+    fn observed(&mut self, _: WorkerId, _: FunctionId, _: Hint, _: u64) {
         self.seen += 1;
     }
     fn log(&mut self, _: &str) {}
@@ -96,13 +96,13 @@
     let mut now = Time(1_000_000);
     for no in 0..workers as u64 {
         let worker = WorkerId(id(no, 0x9e37_79b9_7f4a_7c15));
-        module.worker_listed(now, worker, Standing::Ready, Time(0), ZoneId(0), CellId(0), 1.0);
+        module.worker_listed(now, worker, Lifecycle::Ready, Time(0), ZoneId(0), CellId(0), 1.0);
     }
-    module.list_read(now, None);
+    module.list_received(now, None);
     // All have been up for a minute.
     for _ in 0..3_000 {
         now = now + BETWEEN_TICKS;
-        module.woken(now, TICK);
+        module.timer_fired(now, TICK);
     }
     let mut rng = Rand64::new(u128::from(seed) + 2);
     let mut cost = Cost { workers, functions, ..Cost::default() };
@@ -117,12 +117,12 @@
         let mut rest = Duration::ZERO;
         if now - ticked >= BETWEEN_TICKS {
             ticked = now;
-            rest += meter.time(|| module.woken(now, TICK)).1;
+            rest += meter.time(|| module.timer_fired(now, TICK)).1;
         }
         let rank = (functions as f64).powf(rng.rand_float()) as u64;
         let function = FunctionId(id(rank, 0xbf58_476d_1ce4_e5b9));
         let rpc = RpcId(no + 1);
-        let taken = || module.rpc(now, rpc, MethodId(0), function, TenantId(0), Time(50_000), 2.0);
+        let taken = || module.rpc_received(now, rpc, MethodId(0), function, TenantId(0), Time(50_000), 2.0);
         cost.choice += meter.time(taken).1;
         cost.calls += 1;
         let attempts = std::mem::take(&mut module.host().attempts);
@@ -132,10 +132,10 @@
         rest += meter
             .time(|| {
                 for (rpc, _) in attempts {
-                    let (no, ok, warm) = (AttemptNo(0), Outcome::Ok, Copy::Warm);
+                    let (no, ok, warm) = (AttemptNumber(0), Outcome::Ok, CopyReport::Warm);
                     module.attempt_ended(now, rpc, no, ok, ANSWER, true, warm, 1, &report);
                 }
-                probes.into_iter().for_each(|worker| module.report_read(now, worker, &report));
+                probes.into_iter().for_each(|worker| module.load_report_received(now, worker, &report));
                 for (worker, function) in loads {
                     module.load_ended(now, worker, function, Outcome::Ok, 1);
                 }
--- a/crates/curlewpoint-rig/src/scale/worker_part.rs
+++ b/crates/curlewpoint-rig/src/scale/worker_part.rs
@@ -224,7 +224,7 @@
     Sweep(usize),
     Up(usize, ConnId),
     AtWorker(usize, ConnId, RequestId, Asked, usize),
-    Told(usize, ConnId, RequestId, Outcome, Copy, u64),
+    Told(usize, ConnId, RequestId, Outcome, CopyReport, u64),
 }
 
 struct Event(Time, u64, What);
@@ -312,7 +312,7 @@
             for worker in 0..scene.workers {
                 let (name, address) =
                     (worker_name(worker), format!("10.0.{}.{}:9000", worker >> 8, worker & 255));
-                engine.list_row(play.now, &name, &address, Standing::Ready, 1, None, "", "", 1.0);
+                engine.list_row(play.now, &name, &address, Lifecycle::Ready, 1, None, "", "", 1.0);
             }
             engine.list_ends(play.now);
             let (hints, run) = (Hints::new(play.now, BOUNDS.hints, usize::MAX), Run(no as u64));
@@ -383,12 +383,12 @@
         let (delay, outcome, word) = match asked {
             Asked::Probe => {
                 self.probes += 1;
-                (Time(0), Outcome::Ok, Copy::Untold)
+                (Time(0), Outcome::Ok, CopyReport::Unreported)
             }
             Asked::Load(function) => {
                 self.loads += 1;
                 let at = copy(function);
-                (at.map_or(Time(0), |(up, _)| up - now), Outcome::Ok, Copy::Untold)
+                (at.map_or(Time(0), |(up, _)| up - now), Outcome::Ok, CopyReport::Unreported)
             }
             Asked::Attempt(function) => {
                 self.attempts += 1;
@@ -396,10 +396,10 @@
                     Some((up, begun)) => {
                         let waited = up > now;
                         self.cold += u64::from(waited);
-                        let met = if begun { Copy::BeganLoad } else { Copy::WaitedForLoad };
-                        (up.max(now) - now + WORK, Outcome::Ok, if waited { met } else { Copy::Warm })
+                        let met = if begun { CopyReport::BeganLoad } else { CopyReport::WaitedForLoad };
+                        (up.max(now) - now + WORK, Outcome::Ok, if waited { met } else { CopyReport::Warm })
                     }
-                    None => (Time(0), Outcome::Full, Copy::Untold),
+                    None => (Time(0), Outcome::Full, CopyReport::Unreported),
                 }
             }
         };
--- a/crates/curlewpoint-rig/src/scale/world.rs
+++ b/crates/curlewpoint-rig/src/scale/world.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use curlewpoint::types::{FunctionId, Hint, Standing as Ready, Time, WorkerId};
+use curlewpoint::types::{FunctionId, Hint, Lifecycle as Ready, Time, WorkerId};
 use curlewpoint_fleet::{
     frames, Bounds, Entry, Fleet, LinkId, Member, MemberId, Outside, Run, Seen, Standing,
 };
--- a/src/brain.rs
+++ b/src/scheduler.rs
@@ -16,7 +16,7 @@
 use serde_json::{Map, Value};
 
 use crate::host::Host;
-use crate::records::{faded, Attempt, Belief, Copies, Rpc, Worker};
+use crate::state::{faded, Attempt, Belief, Copies, Rpc, Worker};
 use crate::types::*;
 
 const AFFINITY_WEIGHT: f64 = 0.5;
@@ -55,7 +55,7 @@
 const RECENT: Time = Time(20_000);
 const TICK: Time = Time(200);
 const STALL: Time = Time(1_000);
-const TICK_WAKE: WakeId = WakeId(u64::MAX >> 1);
+const TICK_TIMER: TimerId = TimerId(u64::MAX >> 1);
 /// Probes for each RPC taken, and the age from which a report is worth asking anew.
 const PROBE_SHARE: f64 = 0.2;
 const REPORT_AGE: Time = Time(5_000);
@@ -192,7 +192,7 @@
         if new.settings.get("discovery").is_some_and(|d| d == "subscribe") {
             new.host.watch_list();
         }
-        new.host.wake(TICK, TICK_WAKE);
+        new.host.set_timer(TICK, TICK_TIMER);
         new
     }
 
@@ -202,12 +202,12 @@
     }
 
     /// What I believe out at each worker, to be held against what is.
-    pub fn believed_out(&self) -> impl Iterator<Item = (WorkerId, u64)> + '_ {
+    pub fn believed_in_flight(&self) -> impl Iterator<Item = (WorkerId, u64)> + '_ {
         self.workers.iter().map(|(id, w)| (*id, w.mine)).filter(|(_, mine)| *mine > 0)
     }
 
     /// How much is kept, by kind.
-    pub fn sizes(&self) -> [(&'static str, usize); 4] {
+    pub fn table_sizes(&self) -> [(&'static str, usize); 4] {
         let beliefs = self.workers.values().map(|w| w.beliefs.len()).sum();
         let moments = self.taken.len() + self.answered.len() + self.orders.len();
         let lines = self.lines.iter().map(VecDeque::len).sum();
@@ -221,18 +221,18 @@
     }
 
     /// So many schedulers feed these workers from here on, as far as this one knows.
-    pub fn instances_changed(&mut self, number: u64) {
+    pub fn instance_count_changed(&mut self, number: u64) {
         self.settings.insert("instances".to_owned(), number.into());
     }
 
     pub fn worker_listed(
-        &mut self, now: Time, id: WorkerId, standing: Standing, since: Time, zone: ZoneId, cell: CellId,
+        &mut self, now: Time, id: WorkerId, standing: Lifecycle, since: Time, zone: ZoneId, cell: CellId,
         size: f64,
     ) {
         let new = !self.workers.contains_key(&id);
         let w = self.workers.entry(id).or_default();
         (w.standing, w.zone, w.cell, w.size, w.told) = (standing, zone, cell, size, now);
-        if new || (since != w.since && standing == Standing::Ready) {
+        if new || (since != w.since && standing == Lifecycle::Ready) {
             // New, or restarted under the same id: perhaps cold, and nothing old holds.
             (w.since, w.cold_since) = (since, (since > Time(0)).then_some(since));
             (w.evidence, w.suspect, w.ceiling, w.full_until, w.util) = (0.0, false, f64::MAX, now, None);
@@ -242,10 +242,10 @@
     }
 
     /// A list has been read; `named` holds all its workers if it was a complete one.
-    pub fn list_read(&mut self, now: Time, named: Option<&BTreeSet<WorkerId>>) {
+    pub fn list_received(&mut self, now: Time, named: Option<&BTreeSet<WorkerId>>) {
         for (id, w) in &mut self.workers {
-            if w.standing != Standing::Gone && named.is_some_and(|n| !n.contains(id)) {
-                (w.standing, w.told) = (Standing::Gone, now);
+            if w.standing != Lifecycle::Gone && named.is_some_and(|n| !n.contains(id)) {
+                (w.standing, w.told) = (Lifecycle::Gone, now);
             }
         }
         self.mean_size =
@@ -257,7 +257,7 @@
         self.host.watch_list();
     }
 
-    pub fn rpc(
+    pub fn rpc_received(
         &mut self, now: Time, id: RpcId, method: MethodId, function: FunctionId, tenant: TenantId,
         left: Time, lanes: f64,
     ) {
@@ -266,7 +266,7 @@
         self.aims.add(self.aim(method));
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_CAP);
         self.probes = (self.probes + PROBE_SHARE).min(RETRY_CAP);
-        self.host.wake(left, WakeId(id.0));
+        self.host.set_timer(left, TimerId(id.0));
         let (taken, deadline, outs) = (now, now + left, Vec::new());
         let (waiting, done, streaming) = (true, false, false);
         let rpc = Rpc { method, function, tenant, lanes, taken, deadline, outs, waiting, done, streaming };
@@ -276,7 +276,7 @@
         }
     }
 
-    pub fn rpc_gone(&mut self, id: RpcId) {
+    pub fn rpc_abandoned(&mut self, id: RpcId) {
         self.close(id);
     }
 
@@ -287,20 +287,20 @@
     }
 
     pub fn attempt_ended(
-        &mut self, now: Time, id: RpcId, no: AttemptNo, outcome: Outcome, elapsed: Time, done: bool,
-        copy: Copy, held: u64, report: &[f64],
+        &mut self, now: Time, id: RpcId, no: AttemptNumber, outcome: Outcome, elapsed: Time, done: bool,
+        copy: CopyReport, held: u64, report: &[f64],
     ) {
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let (function, method, tenant) = (rpc.function, rpc.method, rpc.tenant);
         let Some(out) = rpc.outs.get_mut(no.0).filter(|o| o.open) else { return };
         (out.open, out.never_ran, out.broke) = (false, outcome.never_ran(), outcome == Outcome::Reset);
-        out.full = outcome == Outcome::Full || copy == Copy::LoadFailed;
+        out.full = outcome == Outcome::Full || copy == CopyReport::LoadFailed;
         let (worker, sent, was_warm, overdue) = (out.worker, out.sent, out.warm, out.overdue);
         let others = held.saturating_sub(out.beside) as f64;
         if overdue == 0 {
             self.weigh(tenant, was_warm, -1.0);
         }
-        self.report_read(now, worker, report);
+        self.load_report_received(now, worker, report);
         let (slots, keep) = (self.slots(), self.keep());
         let w = self.workers.entry(worker).or_default();
         w.mine = w.mine.saturating_sub(1);
@@ -317,11 +317,11 @@
         match outcome {
             Outcome::Ok if w.since <= sent => {
                 (belief.copies, belief.seen) = (Copies::Warm(now), now);
-                self.host.seen(worker, function, Hint::Warm, held);
+                self.host.observed(worker, function, Hint::Warm, held);
                 w.ceiling = (w.ceiling + 1.0).min(slots);
                 w.fulls = 0;
                 self.answered.push_back(now);
-                let warm = usize::from(!matches!(copy, Copy::BeganLoad | Copy::WaitedForLoad));
+                let warm = usize::from(!matches!(copy, CopyReport::BeganLoad | CopyReport::WaitedForLoad));
                 let pace = &mut self.methods.entry(method).or_default()[warm];
                 pace.add(elapsed.ms());
                 if warm == 1 {
@@ -340,7 +340,7 @@
                     w.full_until = now + Time(FULL_HOLD.0 << w.fulls);
                 } else {
                     (belief.seen, belief.hint) = (now, None);
-                    self.host.seen(worker, function, Hint::Full, held);
+                    self.host.observed(worker, function, Hint::Full, held);
                 }
             }
             Outcome::Reset | Outcome::ConnectFailed => {
@@ -356,13 +356,13 @@
                     w.cold_since = w.cold_since.max(Some(now));
                 }
             }
-            Outcome::Miss | Outcome::Error if copy == Copy::LoadFailed => {
+            Outcome::Miss | Outcome::Error if copy == CopyReport::LoadFailed => {
                 (belief.copies, belief.seen, belief.hint) = (Copies::Unknown, now, None);
-                self.host.seen(worker, function, Hint::Gone, 0);
+                self.host.observed(worker, function, Hint::Gone, 0);
             }
             Outcome::Miss => {
                 (belief.copies, belief.seen, belief.hint) = (Copies::Unknown, now, None);
-                self.host.seen(worker, function, Hint::Gone, 0);
+                self.host.observed(worker, function, Hint::Gone, 0);
                 self.order(now, worker, function);
             }
             Outcome::Error => self.judge(now, worker, FAILED),
@@ -386,18 +386,18 @@
         let belief = w.beliefs.entry(function).or_default();
         if outcome == Outcome::Ok && copies > 0 {
             (belief.copies, belief.seen) = (Copies::Warm(now), now);
-            self.host.seen(worker, function, Hint::Warm, belief.mine);
+            self.host.observed(worker, function, Hint::Warm, belief.mine);
         } else if belief.copies == Copies::Loading && belief.mine == 0 {
             (belief.copies, belief.seen, belief.hint) = (Copies::Unknown, now, None);
-            self.host.seen(worker, function, Hint::Gone, 0);
+            self.host.observed(worker, function, Hint::Gone, 0);
         }
         self.serve(now);
     }
 
-    pub fn woken(&mut self, now: Time, id: WakeId) {
+    pub fn timer_fired(&mut self, now: Time, id: TimerId) {
         let due = |r: &Rpc| !r.done && !r.streaming && r.deadline <= now;
-        if id == TICK_WAKE {
-            self.host.wake(TICK, TICK_WAKE);
+        if id == TICK_TIMER {
+            self.host.set_timer(TICK, TICK_TIMER);
             // Guards against my own stall: answers that came meanwhile are read before workers are judged.
             if now - std::mem::replace(&mut self.ticked, now) <= STALL {
                 self.sweep(now);
@@ -457,7 +457,7 @@
     }
 
     fn ready(&self) -> impl Iterator<Item = &Worker> {
-        self.workers.values().filter(|w| w.standing == Standing::Ready)
+        self.workers.values().filter(|w| w.standing == Lifecycle::Ready)
     }
 
     /// Whether a further attempt to `worker`, or a denial (no worker), keeps the rule on repeated effects.
@@ -531,7 +531,7 @@
             if let Some(util) = w.util {
                 (utils, reports) = (utils + util, reports + 1.0);
             }
-            if w.standing != Standing::Ready {
+            if w.standing != Lifecycle::Ready {
                 continue;
             }
             let belief = w.beliefs.get(&rpc.function);
@@ -636,7 +636,7 @@
         belief.mine += 1;
         let function = rpc.function;
         if loads && std::mem::replace(&mut belief.copies, Copies::Loading) != Copies::Loading {
-            self.host.seen(to, function, Hint::Loading, belief.mine);
+            self.host.observed(to, function, Hint::Loading, belief.mine);
         }
         self.host.attempt(id, to, Time(0));
         // Probes follow the RPCs taken, to the workers chosen: their number does not grow with the fleet.
@@ -677,7 +677,7 @@
     /// seen myself, and for nothing once I have seen more, past keep-alive, or if the worker started since.
     /// Guards against a fleet in which each scheduler finds every copy anew. May hurt where it is wrong: an
     /// RPC begins a load there, as it would have elsewhere.
-    pub fn hinted(
+    pub fn hint_received(
         &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time,
     ) {
         let at = now - age;
@@ -697,7 +697,7 @@
     }
 
     /// A load report came, with an answer or alone.
-    pub fn report_read(&mut self, now: Time, worker: WorkerId, report: &[f64]) {
+    pub fn load_report_received(&mut self, now: Time, worker: WorkerId, report: &[f64]) {
         let names = self.part("loadInfo", "names").and_then(Value::as_array);
         let value = |name: &str| report.get(names?.iter().position(|n| n == name)?).copied();
         // Where no report holds utilisation, the RPCs held there stand for it, against the mean of others.
@@ -876,7 +876,7 @@
     /// A worker long gone is forgotten once nothing is out to it and no RPC still asks where it was: a daemon
     /// runs for months, and every RPC walks what is kept.
     fn forget_gone(&mut self, now: Time) {
-        let over = |w: &Worker| w.standing == Standing::Gone && w.mine == 0 && w.told + KEEP < now;
+        let over = |w: &Worker| w.standing == Lifecycle::Gone && w.mine == 0 && w.told + KEEP < now;
         if self.workers.values().any(over) {
             let asked: BTreeSet<_> = self.rpcs.values().flat_map(|r| &r.outs).map(|o| o.worker).collect();
             self.workers.retain(|id, w| !over(w) || asked.contains(id));
@@ -892,12 +892,12 @@
         let most = self.number("familyInfo", "loadFloor", 0.0) + share * recent(&self.taken, now, window);
         let spent = window > Time(0) && recent(&self.orders, now, window + Time(1)) + 1.0 > most;
         let may = self.allowed("familyInfo", "mayOrder") && !spent;
-        let Some(w) = self.workers.get_mut(&at).filter(|w| may && w.standing == Standing::Ready) else {
+        let Some(w) = self.workers.get_mut(&at).filter(|w| may && w.standing == Lifecycle::Ready) else {
             return;
         };
         w.beliefs.entry(function).or_default().copies = Copies::Loading;
         self.orders.push_back(now);
-        self.host.seen(at, function, Hint::Loading, 0);
+        self.host.observed(at, function, Hint::Loading, 0);
         self.host.load(at, function, 1);
     }
 
@@ -979,7 +979,7 @@
             self.rpcs.remove(&id);
         } else if first && may_cancel {
             for (no, _) in rpc.outs.iter().enumerate().filter(|(_, o)| o.open) {
-                self.host.cancel(id, AttemptNo(no));
+                self.host.cancel(id, AttemptNumber(no));
             }
         }
     }
--- a/src/records.rs
+++ b/src/state.rs
@@ -52,7 +52,7 @@
 
 #[derive(Default)]
 pub struct Worker {
-    pub standing: Standing,
+    pub standing: Lifecycle,
     pub size: f64,
     /// When the list last told something of it.
     pub told: Time,
--- a/src/types.rs
+++ b/src/types.rs
@@ -32,11 +32,11 @@
 
 /// An attempt of an RPC, numbered from 0 in the order sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptNo(pub usize);
+pub struct AttemptNumber(pub usize);
 
 /// A wake-up that the module asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WakeId(pub u64);
+pub struct TimerId(pub u64);
 
 /// A moment or a span, in whole tenths of a millisecond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -69,7 +69,7 @@
 
 /// What the list of workers says of one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum Lifecycle {
     #[default]
     Ready,
     Draining,
@@ -112,8 +112,8 @@
 
 /// What an answer says of the copy that the RPC met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Copy {
-    Untold,
+pub enum CopyReport {
+    Unreported,
     Warm,
     BeganLoad,
     WaitedForLoad,
--- a/tests/fake/mod.rs
+++ b/tests/fake/mod.rs
@@ -3,8 +3,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use curlewpoint::brain::Scheduler;
 use curlewpoint::host::Host;
+use curlewpoint::scheduler::Scheduler;
 use curlewpoint::types::*;
 use serde_json::{json, Map, Value};
 
@@ -22,7 +22,7 @@
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, _limit: Time) {
         self.did(format!("call {} {}", rpc.0, worker.0));
     }
-    fn cancel(&mut self, rpc: RpcId, no: AttemptNo) {
+    fn cancel(&mut self, rpc: RpcId, no: AttemptNumber) {
         self.did(format!("cancel {} {}", rpc.0, no.0));
     }
     fn deny(&mut self, rpc: RpcId, _retry_after: Time) {
@@ -40,13 +40,13 @@
     fn probe(&mut self, worker: WorkerId) {
         self.did(format!("probe {}", worker.0));
     }
-    fn wake(&mut self, _delay: Time, id: WakeId) {
+    fn set_timer(&mut self, _delay: Time, id: TimerId) {
         self.did(format!("wake {}", id.0));
     }
     fn watch_list(&mut self) {
         self.did("watch".into());
     }
-    fn seen(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, _held: u64) {
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, _held: u64) {
         self.did(format!("seen {} {} {hint:?}", worker.0, function.0));
     }
     fn log(&mut self, line: &str) {
@@ -91,7 +91,7 @@
         let settings: Map<String, Value> = settings.as_object().expect("an object").clone();
         let srv = Scheduler::start(Fake(Rc::clone(&deeds)), 7, settings);
         let mut story = Story { srv, deeds, ms: 100_000, held: 0, took: 50, next: 0 };
-        (1..=workers).for_each(|w| story.list(w, Standing::Ready, 0));
+        (1..=workers).for_each(|w| story.list(w, Lifecycle::Ready, 0));
         story
     }
 
@@ -103,24 +103,24 @@
         Time(self.ms * 10)
     }
 
-    pub fn list(&mut self, worker: u64, standing: Standing, since_ms: u64) {
+    pub fn list(&mut self, worker: u64, standing: Lifecycle, since_ms: u64) {
         let (zone, since) = (ZoneId(worker as usize % 2), Time(since_ms * 10));
         self.srv.worker_listed(self.now(), WorkerId(worker), standing, since, zone, CellId(0), 1.0);
-        self.srv.list_read(self.now(), None);
+        self.srv.list_received(self.now(), None);
     }
 
     /// Takes an RPC with 2 s left and returns its number.
     pub fn rpc(&mut self, method: usize, function: u64) -> u64 {
         self.next += 1;
         let (id, left) = (RpcId(self.next), Time(20_000));
-        self.srv.rpc(self.now(), id, MethodId(method), FunctionId(function), TenantId(0), left, 4.0);
+        self.srv.rpc_received(self.now(), id, MethodId(method), FunctionId(function), TenantId(0), left, 4.0);
         self.next
     }
 
     /// Ends an attempt at the present clock.
-    pub fn end(&mut self, rpc: u64, no: usize, outcome: Outcome, copy: Copy) {
+    pub fn end(&mut self, rpc: u64, no: usize, outcome: Outcome, copy: CopyReport) {
         let (now, done) = (self.now(), outcome == Outcome::Ok);
-        let (rpc, no, took) = (RpcId(rpc), AttemptNo(no), Time(self.took * 10));
+        let (rpc, no, took) = (RpcId(rpc), AttemptNumber(no), Time(self.took * 10));
         self.srv.attempt_ended(now, rpc, no, outcome, took, done, copy, self.held, &[]);
     }
 
@@ -129,7 +129,7 @@
         let rpc = self.rpc(IDEMPOTENT, function);
         let worker = self.calls(rpc)[0];
         self.ms += 50;
-        self.end(rpc, 0, Outcome::Ok, Copy::Warm);
+        self.end(rpc, 0, Outcome::Ok, CopyReport::Warm);
         worker
     }
 
@@ -137,7 +137,7 @@
     pub fn pass(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
             self.ms += 20;
-            self.srv.woken(self.now(), WakeId(u64::MAX >> 1));
+            self.srv.timer_fired(self.now(), TimerId(u64::MAX >> 1));
         }
     }
 
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -16,8 +16,8 @@
     let second = s.rpc(IDEMPOTENT, 9);
     assert_eq!(s.calls(first), s.calls(second), "the second queues behind the first one's load");
     let home = s.calls(first)[0];
-    s.end(first, 0, Outcome::Ok, Copy::BeganLoad);
-    s.end(second, 0, Outcome::Ok, Copy::WaitedForLoad);
+    s.end(first, 0, Outcome::Ok, CopyReport::BeganLoad);
+    s.end(second, 0, Outcome::Ok, CopyReport::WaitedForLoad);
     assert!((0..5).all(|_| s.served(9) == home));
 }
 
@@ -42,7 +42,7 @@
     let mut s = Story::with(told, 3);
     let first = s.rpc(IDEMPOTENT, 9);
     let at = s.calls(first)[0];
-    s.end(first, 0, Outcome::Miss, Copy::Untold);
+    s.end(first, 0, Outcome::Miss, CopyReport::Unreported);
     let second = s.rpc(IDEMPOTENT, 9);
     assert_eq!(s.deeds("load"), [format!("load {at} 9")]);
     assert!(s.calls(second).is_empty() && s.calls(first).len() == 1);
@@ -57,7 +57,7 @@
     let mut s = Story::with(told, 3);
     let rpc = s.rpc(IDEMPOTENT, 9);
     let at = s.calls(rpc)[0];
-    s.end(rpc, 0, Outcome::Miss, Copy::Untold);
+    s.end(rpc, 0, Outcome::Miss, CopyReport::Unreported);
     s.srv.load_ended(s.now(), WorkerId(at), FunctionId(9), Outcome::Full, 0);
     assert_eq!(s.calls(rpc).len(), 2);
 }
@@ -70,7 +70,7 @@
 fn repeats_only_as_the_method_allows(method: usize, outcome: Outcome, calls: usize, answer: &str) {
     let mut s = Story::new(4);
     let rpc = s.rpc(method, 9);
-    s.end(rpc, 0, outcome, Copy::Untold);
+    s.end(rpc, 0, outcome, CopyReport::Unreported);
     assert_eq!(s.calls(rpc).len(), calls);
     assert_eq!(s.deeds("abort").len() + s.deeds("deny").len(), usize::from(!answer.is_empty()));
     assert_eq!(s.deeds("abort").len(), usize::from(answer == "abort"));
@@ -82,8 +82,8 @@
     let before = s.rpc(IDEMPOTENT, 9);
     s.srv.method_added(settings()["requestClasses"][SIDE_EFFECTING].clone());
     let added = s.rpc(TOKENED + 1, 9);
-    s.end(before, 0, Outcome::Error, Copy::Untold);
-    s.end(added, 0, Outcome::Error, Copy::Untold);
+    s.end(before, 0, Outcome::Error, CopyReport::Unreported);
+    s.end(added, 0, Outcome::Error, CopyReport::Unreported);
     assert_eq!((s.calls(before).len(), s.calls(added).len(), s.deeds("abort").len()), (2, 1, 1));
 }
 
@@ -93,7 +93,7 @@
     let mut s = Story::new(4);
     let rpc = s.rpc(TOKENED, 9);
     s.ms += later_ms;
-    s.end(rpc, 0, Outcome::Error, Copy::Untold);
+    s.end(rpc, 0, Outcome::Error, CopyReport::Unreported);
     let calls = s.calls(rpc);
     assert_eq!(calls.len(), if again { 2 } else { 1 });
     assert!(calls.iter().all(|w| w % 2 == calls[0] % 2), "the group is the zone");
@@ -106,8 +106,8 @@
     let mut s = Story::new(1);
     let rpc = s.rpc(SIDE_EFFECTING, 9);
     s.ms += 2000;
-    s.srv.woken(s.now(), WakeId(rpc));
-    s.end(rpc, 0, Outcome::TimeOut, Copy::Untold);
+    s.srv.timer_fired(s.now(), TimerId(rpc));
+    s.end(rpc, 0, Outcome::TimeOut, CopyReport::Unreported);
     s.pass(1000);
     assert_eq!((s.deeds("abort").len(), s.deeds("deny").len(), s.calls(rpc).len()), (1, 0, 1));
 }
@@ -116,24 +116,24 @@
 fn nothing_is_sent_for_an_rpc_that_its_client_left() {
     let mut s = Story::new(3);
     let rpc = s.rpc(IDEMPOTENT, 9);
-    s.srv.rpc_gone(RpcId(rpc));
-    s.end(rpc, 0, Outcome::Cancelled, Copy::Untold);
-    s.end(rpc, 0, Outcome::Ok, Copy::Warm);
+    s.srv.rpc_abandoned(RpcId(rpc));
+    s.end(rpc, 0, Outcome::Cancelled, CopyReport::Unreported);
+    s.end(rpc, 0, Outcome::Ok, CopyReport::Warm);
     s.pass(3000);
     assert_eq!((s.calls(rpc).len(), s.deeds("abort").len() + s.deeds("deny").len()), (1, 0));
 }
 
-#[test_case(Some(Standing::Draining) ; "drains")]
-#[test_case(Some(Standing::Gone) ; "is gone")]
+#[test_case(Some(Lifecycle::Draining) ; "drains")]
+#[test_case(Some(Lifecycle::Gone) ; "is gone")]
 #[test_case(None ; "is missing in a complete list")]
-fn a_lost_worker_gets_nothing(told: Option<Standing>) {
+fn a_lost_worker_gets_nothing(told: Option<Lifecycle>) {
     let mut s = Story::new(3);
     let home = s.served(9);
     match told {
         Some(standing) => s.list(home, standing, 0),
         None => {
             let named = (1..=3).filter(|&w| w != home).map(WorkerId).collect::<BTreeSet<_>>();
-            s.srv.list_read(s.now(), Some(&named));
+            s.srv.list_received(s.now(), Some(&named));
         }
     }
     for function in 0..20 {
@@ -152,7 +152,7 @@
     let sent: Vec<u64> = (0..times).map(|_| s.rpc(IDEMPOTENT, 9)).collect();
     for &rpc in &sent {
         s.pass(apart_ms);
-        s.end(rpc, 0, outcome, Copy::Untold);
+        s.end(rpc, 0, outcome, CopyReport::Unreported);
     }
     assert_eq!(
         s.calls(sent[0])[1] == home,
@@ -160,7 +160,7 @@
         "a copy whose connection broke stands"
     );
     if stays {
-        sent.iter().for_each(|&rpc| s.end(rpc, 1, Outcome::Ok, Copy::Warm));
+        sent.iter().for_each(|&rpc| s.end(rpc, 1, Outcome::Ok, CopyReport::Warm));
     }
     let next = s.rpc(IDEMPOTENT, 9);
     assert_eq!(s.calls(next) == [home], stays);
@@ -172,7 +172,7 @@
     told["loadInfo"]["names"] = json!(["x0"]);
     let home = Story::with(told.clone(), 2).served(9);
     let mut s = Story::with(told, 2);
-    s.srv.report_read(s.now(), WorkerId(home), &[1.0]);
+    s.srv.load_report_received(s.now(), WorkerId(home), &[1.0]);
     assert_ne!(s.served(9), home);
 }
 
@@ -181,7 +181,7 @@
     let mut told = settings();
     told["weightKind"] = json!("nominal");
     let mut s = Story::with(told, 1);
-    s.srv.worker_listed(s.now(), WorkerId(2), Standing::Ready, Time(0), ZoneId(0), CellId(0), 3.0);
+    s.srv.worker_listed(s.now(), WorkerId(2), Lifecycle::Ready, Time(0), ZoneId(0), CellId(0), 3.0);
     let sent: Vec<u64> = (0..12).map(|f| s.rpc(IDEMPOTENT, f)).collect();
     let small = sent.iter().filter(|&&r| s.calls(r) == [1]).count();
     assert!(small >= 1 && 2 * small < sent.len(), "{small} of {}", sent.len());
@@ -192,7 +192,7 @@
 fn a_cold_worker_gets_a_budget(listed_before: u64) {
     let mut s = Story::new(listed_before);
     let since = s.ms - 100;
-    s.list(1, Standing::Ready, since);
+    s.list(1, Lifecycle::Ready, since);
     // No answers known, a third of the schedulers told: one attempt in three windows of 2 s until warm.
     for f in 0..18 {
         s.rpc(IDEMPOTENT, f);
@@ -217,9 +217,9 @@
     assert_eq!(s.deeds("load").len(), orders);
 }
 
-#[test_case(Outcome::Error, Copy::Untold, true ; "fails fast")]
-#[test_case(Outcome::Error, Copy::LoadFailed, false ; "a load failed")]
-fn a_worker_that_fails_is_passed_over(outcome: Outcome, copy: Copy, suspect: bool) {
+#[test_case(Outcome::Error, CopyReport::Unreported, true ; "fails fast")]
+#[test_case(Outcome::Error, CopyReport::LoadFailed, false ; "a load failed")]
+fn a_worker_that_fails_is_passed_over(outcome: Outcome, copy: CopyReport, suspect: bool) {
     let mut s = Story::new(4);
     let home = s.served(9);
     for _ in 0..6 {
@@ -261,7 +261,7 @@
     let mut s = Story::new(4);
     for function in 0..40 {
         let rpc = s.rpc(SIDE_EFFECTING, function);
-        s.end(rpc, 0, Outcome::Error, Copy::Untold);
+        s.end(rpc, 0, Outcome::Error, CopyReport::Unreported);
     }
     assert_eq!(s.deeds("log").iter().filter(|l| l.contains(" suspect,")).count(), 1);
     let rpc = s.rpc(SIDE_EFFECTING, 99);
@@ -272,8 +272,8 @@
 fn a_full_fleet_is_not_knocked_at_again_and_again() {
     let mut s = Story::new(2);
     let rpc = s.rpc(IDEMPOTENT, 9);
-    s.end(rpc, 0, Outcome::Full, Copy::Untold);
-    s.end(rpc, 1, Outcome::Full, Copy::Untold);
+    s.end(rpc, 0, Outcome::Full, CopyReport::Unreported);
+    s.end(rpc, 1, Outcome::Full, CopyReport::Unreported);
     assert_eq!(s.calls(rpc).len(), 2);
     s.pass(100);
     assert_eq!(s.calls(rpc).len(), 2, "a full reply holds for a while");
@@ -290,14 +290,14 @@
     let home = |s: &mut Story, function| {
         let rpc = s.rpc(IDEMPOTENT, function);
         let at = s.calls(rpc)[0];
-        s.srv.rpc_gone(RpcId(rpc));
-        s.end(rpc, 0, Outcome::Cancelled, Copy::Untold);
+        s.srv.rpc_abandoned(RpcId(rpc));
+        s.end(rpc, 0, Outcome::Cancelled, CopyReport::Unreported);
         at
     };
     let homes: Vec<u64> = (0..40).map(|f| home(&mut s, f)).collect();
     let rpc = s.rpc(IDEMPOTENT, 0);
-    s.end(rpc, 0, Outcome::Full, Copy::Untold);
-    s.end(rpc, 1, Outcome::Full, Copy::Untold);
+    s.end(rpc, 0, Outcome::Full, CopyReport::Unreported);
+    s.end(rpc, 1, Outcome::Full, CopyReport::Unreported);
     assert_eq!(s.calls(rpc).len(), 2, "no third load is begun");
     assert!((1..40).all(|f| home(&mut s, f) == homes[f as usize]), "other functions' copies may stand there");
     assert_ne!(home(&mut s, 0), homes[0]);
@@ -315,7 +315,7 @@
     }
     let mut take = |id: u64, tenant: usize| {
         let (now, f) = (s.now(), FunctionId(id % 4));
-        s.srv.rpc(now, RpcId(1000 + id), MethodId(0), f, TenantId(tenant), Time(20_000), 4.0);
+        s.srv.rpc_received(now, RpcId(1000 + id), MethodId(0), f, TenantId(tenant), Time(20_000), 4.0);
         s.deeds("deny").len()
     };
     assert_eq!(take(0, 0), 0);
@@ -329,7 +329,7 @@
 fn an_unused_slot_at_a_cold_worker_lapses() {
     let sent = |quiet_ms: u64| {
         let mut s = Story::new(0);
-        s.list(1, Standing::Ready, s.ms);
+        s.list(1, Lifecycle::Ready, s.ms);
         s.pass(quiet_ms);
         for f in 0..20 {
             s.rpc(IDEMPOTENT, f);
@@ -346,7 +346,7 @@
 #[test_case(1 ; "all draining")]
 fn with_nowhere_to_go_an_rpc_is_denied_in_time(workers: u64) {
     let mut s = Story::new(workers);
-    (1..=workers).for_each(|w| s.list(w, Standing::Draining, 0));
+    (1..=workers).for_each(|w| s.list(w, Lifecycle::Draining, 0));
     let rpc = s.rpc(SIDE_EFFECTING, 9);
     s.pass(2000);
     assert_eq!((s.deeds("deny"), s.calls(rpc)), (vec![format!("deny {rpc}")], vec![]));
@@ -357,17 +357,17 @@
     let mut s = Story::with(json!({}), 1);
     let rpc = s.rpc(7, 9);
     assert_eq!(s.calls(rpc).len(), 1, "no settings at all");
-    s.end(99, 0, Outcome::Ok, Copy::Warm);
-    s.end(rpc, 5, Outcome::Ok, Copy::Warm);
-    s.srv.report_read(s.now(), WorkerId(1), &[]);
-    s.srv.report_read(s.now(), WorkerId(77), &[0.5, 1.0]);
+    s.end(99, 0, Outcome::Ok, CopyReport::Warm);
+    s.end(rpc, 5, Outcome::Ok, CopyReport::Warm);
+    s.srv.load_report_received(s.now(), WorkerId(1), &[]);
+    s.srv.load_report_received(s.now(), WorkerId(77), &[0.5, 1.0]);
     s.srv.load_ended(s.now(), WorkerId(77), FunctionId(1), Outcome::Ok, 1);
-    s.srv.woken(s.now(), WakeId(12345));
-    s.end(rpc, 0, Outcome::Ok, Copy::Untold);
-    s.end(rpc, 0, Outcome::Ok, Copy::Untold);
-    s.srv.rpc(s.now(), RpcId(500), MethodId(0), FunctionId(1), TenantId(3), Time(0), 0.0);
-    s.srv.woken(s.now(), WakeId(500));
-    s.end(500, 0, Outcome::TimeOut, Copy::Untold);
+    s.srv.timer_fired(s.now(), TimerId(12345));
+    s.end(rpc, 0, Outcome::Ok, CopyReport::Unreported);
+    s.end(rpc, 0, Outcome::Ok, CopyReport::Unreported);
+    s.srv.rpc_received(s.now(), RpcId(500), MethodId(0), FunctionId(1), TenantId(3), Time(0), 0.0);
+    s.srv.timer_fired(s.now(), TimerId(500));
+    s.end(500, 0, Outcome::TimeOut, CopyReport::Unreported);
     s.pass(100);
     assert!(s.deeds("deny").len() + s.deeds("abort").len() <= 1);
 }
@@ -397,7 +397,7 @@
         s.pass(1500);
         let rpc = s.rpc(IDEMPOTENT, 0);
         s.took = took;
-        s.end(rpc, 0, Outcome::Ok, Copy::Warm);
+        s.end(rpc, 0, Outcome::Ok, CopyReport::Warm);
         s.took = 50;
         (1..20).for_each(|f| assert!(s.served(f) > 0));
     }
@@ -416,7 +416,7 @@
     }
     s.pass(if stood_ms > 20 { 20 } else { 1500 });
     s.ms += stood_ms;
-    s.srv.woken(s.now(), WakeId(u64::MAX >> 1));
+    s.srv.timer_fired(s.now(), TimerId(u64::MAX >> 1));
     assert_eq!(s.deeds("log").iter().filter(|l| l.contains(" suspect,")).count(), suspects);
 }
 
@@ -427,10 +427,10 @@
     let mut s = Story::new(1);
     s.served(9);
     let full = s.rpc(IDEMPOTENT, 9);
-    s.end(full, 0, Outcome::Full, Copy::Untold);
-    s.list(1, Standing::Gone, 0);
+    s.end(full, 0, Outcome::Full, CopyReport::Unreported);
+    s.list(1, Lifecycle::Gone, 0);
     s.pass(gone_ms);
-    s.list(1, Standing::Ready, 0);
+    s.list(1, Lifecycle::Ready, 0);
     let two = [s.rpc(IDEMPOTENT, 9), s.rpc(IDEMPOTENT, 9)];
     assert_eq!(two.iter().map(|r| s.calls(*r).len()).sum::<usize>(), called_out);
 }
@@ -444,7 +444,7 @@
 }
 
 fn hinted(s: &mut Story, worker: u64, hint: Hint, age_ms: u64) {
-    s.srv.hinted(s.now(), WorkerId(worker), FunctionId(9), hint, 0, Time(age_ms * 10));
+    s.srv.hint_received(s.now(), WorkerId(worker), FunctionId(9), hint, 0, Time(age_ms * 10));
 }
 
 #[test_case(Hint::Warm, 0, true ; "a warm copy")]
@@ -480,7 +480,7 @@
     hinted(&mut s, other, Hint::Warm, 0);
     let rpc = s.rpc(IDEMPOTENT, 9);
     s.ms += 50;
-    s.end(rpc, 0, Outcome::Miss, Copy::LoadFailed);
+    s.end(rpc, 0, Outcome::Miss, CopyReport::LoadFailed);
     hinted(&mut s, other, Hint::Warm, 60);
     let next = s.rpc(IDEMPOTENT, 9);
     assert_ne!(s.calls(next), [other], "I was there after whoever told that");
@@ -491,12 +491,12 @@
     let (_, other) = home_and_other();
     let mut s = Story::new(4);
     hinted(&mut s, other, Hint::Warm, 0);
-    s.list(other, Standing::Draining, 0);
+    s.list(other, Lifecycle::Draining, 0);
     let rpc = s.rpc(IDEMPOTENT, 9);
     assert_ne!(s.calls(rpc), [other], "it drains");
     // It starts anew, empty and cold: what was told before is void, and what is told now spends no more of its budget.
     let start = s.ms;
-    s.list(other, Standing::Ready, start);
+    s.list(other, Lifecycle::Ready, start);
     hinted(&mut s, other, Hint::Warm, 10);
     let rpc = s.rpc(IDEMPOTENT, 9);
     assert_ne!(s.calls(rpc), [other], "its process has ended since");
@@ -532,7 +532,7 @@
     s.rpc(IDEMPOTENT, 9);
     assert_eq!(s.deeds("seen"), [format!("seen {at} 9 Loading")], "the second one queues behind it");
     s.held = 3;
-    s.end(first, 0, Outcome::Ok, Copy::BeganLoad);
+    s.end(first, 0, Outcome::Ok, CopyReport::BeganLoad);
     assert_eq!(s.deeds("seen").last(), Some(&format!("seen {at} 9 Warm")));
 }
 
@@ -540,14 +540,14 @@
 fn an_rpc_that_two_loads_failed_waits_for_a_copy_and_does_not_try_all_workers() {
     let mut s = Story::new(6);
     let rpc = s.rpc(IDEMPOTENT, 9);
-    s.end(rpc, 0, Outcome::Miss, Copy::LoadFailed);
-    s.end(rpc, 1, Outcome::Miss, Copy::LoadFailed);
+    s.end(rpc, 0, Outcome::Miss, CopyReport::LoadFailed);
+    s.end(rpc, 1, Outcome::Miss, CopyReport::LoadFailed);
     assert_eq!(s.calls(rpc).len(), 2, "the store turns fetches away, whichever worker asks");
     assert!(s.deeds("deny").is_empty());
     let other = s.rpc(IDEMPOTENT, 9);
     let at = s.calls(other)[0];
     s.ms += 100;
-    s.end(other, 0, Outcome::Ok, Copy::BeganLoad);
+    s.end(other, 0, Outcome::Ok, CopyReport::BeganLoad);
     assert_eq!(s.calls(rpc)[2..], [at]);
 }
 
@@ -560,7 +560,7 @@
     hinted(&mut s, other, Hint::Loading, 0);
     let rpc = s.rpc(IDEMPOTENT, 9);
     assert_eq!(s.calls(rpc), [other], "whoever ordered it may be gone");
-    s.end(rpc, 0, Outcome::Miss, Copy::Untold);
+    s.end(rpc, 0, Outcome::Miss, CopyReport::Unreported);
     assert_eq!(
         s.deeds("load"),
         [format!("load {other} 9")],
@@ -577,7 +577,7 @@
     hinted(&mut s, home, Hint::Warm, age_ms);
     let rpc = s.rpc(IDEMPOTENT, 9);
     assert_eq!(s.calls(rpc), [home]);
-    s.end(rpc, 0, Outcome::Full, Copy::Untold);
+    s.end(rpc, 0, Outcome::Full, CopyReport::Unreported);
     assert_eq!(s.deeds(&format!("seen {home} 9 Full")).len(), usize::from(tells));
 }
 
@@ -585,17 +585,17 @@
 fn what_others_invent_of_a_queue_fades() {
     let (_, other) = home_and_other();
     let mut s = Story::new(4);
-    s.srv.hinted(s.now(), WorkerId(other), FunctionId(9), Hint::Warm, u64::MAX, Time(0));
+    s.srv.hint_received(s.now(), WorkerId(other), FunctionId(9), Hint::Warm, u64::MAX, Time(0));
     let rpc = s.rpc(IDEMPOTENT, 9);
     let orders = s.deeds("load");
     assert_eq!(orders.len(), 1, "a crowded copy gets help");
     let at: u64 = orders[0].split(' ').nth(1).and_then(|w| w.parse().ok()).expect("a worker");
     s.srv.load_ended(s.now(), WorkerId(at), FunctionId(9), Outcome::Full, 0);
     s.ms += 50;
-    s.end(rpc, 0, Outcome::Ok, Copy::Warm);
+    s.end(rpc, 0, Outcome::Ok, CopyReport::Warm);
     for _ in 0..20 {
         s.pass(2_000);
-        s.srv.hinted(s.now(), WorkerId(other), FunctionId(9), Hint::Warm, 0, Time(0));
+        s.srv.hint_received(s.now(), WorkerId(other), FunctionId(9), Hint::Warm, 0, Time(0));
     }
     let next = s.rpc(IDEMPOTENT, 9);
     assert_eq!((s.calls(next), s.deeds("load").len()), (vec![other], 1));
