--- a/src/host.rs
+++ b/src/host.rs
@@ -1,29 +1,30 @@
-//! What the decision module can do in the world: whoever runs it implements this.
+//! The interface through which the scheduler acts; the program that runs a scheduler implements it.
 
 use crate::types::{AttemptNumber, FunctionId, Hint, RpcId, Time, TimerId, WorkerId};
 
 pub trait Host {
-    /// Sends the RPC to a worker, to be answered within `limit`. Attempts of an RPC count from 0.
+    /// Sends the RPC to a worker, to be answered within `limit`. Attempts of an RPC are numbered from 0.
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, limit: Time);
-    /// Ends the wait for an attempt; its end is still reported.
-    fn cancel(&mut self, rpc: RpcId, no: AttemptNumber);
-    /// Final answer: denied, and when to come back (nought: no advice).
+    /// Stops waiting for an attempt; the end of the attempt is still reported.
+    fn cancel(&mut self, rpc: RpcId, number: AttemptNumber);
+    /// Final answer: denied, with the delay after which the client may retry (zero: no advice).
     fn deny(&mut self, rpc: RpcId, retry_after: Time);
-    /// Final answer: aborted; it promises nothing about the effect.
+    /// Final answer: aborted. It makes no statement about whether the RPC took effect.
     fn abort(&mut self, rpc: RpcId);
-    /// Orders a worker to hold at least so many copies; the end is reported.
+    /// Orders a worker to hold at least `copies` copies of a function; the end of the order is reported.
     fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u64);
-    /// Has a worker's idle copies unloaded; nothing is reported.
+    /// Has a worker unload its idle copies of a function; nothing is reported.
     fn unload(&mut self, worker: WorkerId, function: FunctionId);
     /// Asks a worker for a load report.
     fn probe(&mut self, worker: WorkerId);
-    /// Asks for a wake-up after `delay`; it cannot be taken back.
+    /// Asks for `Scheduler::timer_fired` after `delay`; a timer cannot be cancelled.
     fn set_timer(&mut self, delay: Time, id: TimerId);
-    /// Asks for changes of the list of workers from now on, where they have to be asked for.
+    /// Subscribes to changes of the endpoint list, where the list has to be subscribed to.
     fn watch_list(&mut self);
-    /// What I have seen just now of a function at a worker, and how many RPCs of it were there; other schedulers may be
-    /// told. Where schedulers share nothing it goes nowhere.
-    fn observed(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _held: u64) {}
-    /// Adds a line to the operators' log.
+    /// Reports what this scheduler has just observed of a function at a worker, and how many RPCs of the function were
+    /// in flight there, so that the host can share it with other schedulers. Does nothing where schedulers share
+    /// nothing.
+    fn observed(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _in_flight: u64) {}
+    /// Writes a line to the operators' log.
     fn log(&mut self, line: &str);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
 //! curlewpoint: places RPCs on a fleet of workers that load functions on demand.
 //!
-//! [`scheduler`] takes every decision, [`host`] is what it acts through, [`types`] the words both use.
+//! [`scheduler`] makes every decision, [`host`] is the interface it acts through, and [`types`] holds the types that
+//! both share. The crate does no I/O and reads no clock.
 
 pub mod host;
 pub mod scheduler;
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,14 +1,15 @@
-//! All decisions of one scheduler. Whoever runs it calls `Scheduler::start` with a `Host` (src/host.rs), the
-//! seed and the settings, and then one method for each thing that happens, with the clock: `rpc`,
-//! `attempt_ended`, `load_ended`, `report_read`, `worker_listed` ... The module acts by calling the host.
+//! All decisions of one scheduler. The host starts it with `Scheduler::start` (a `Host`, a random seed and the
+//! settings) and then calls one method for each event, with the current time: `rpc_received`, `attempt_ended`,
+//! `load_ended`, `load_report_received`, `worker_listed` ... The scheduler acts by calling the host (src/host.rs).
 //!
-//! The design: filter workers that drain or are full, score the rest by graded affinity, depth and
-//! utilisation, take the best, and coalesce new loads (`pick`). Beside it stand five mechanisms:
-//! 1. health: a sequential test on outcomes, overdue attempts included; suspects rest (`judge`)
-//! 2. slow start: a budget of attempts for a cold worker (`budget_left`)
-//! 3. the second line: further attempts, after first ones, within a retry budget (`serve`, `sweep`)
-//! 4. copies: one more copy of a crowded function is ordered elsewhere, rationed (`order`)
-//! 5. admission: what cannot be in time is denied at once, where harmless (`give_up`)
+//! The ordinary path (`pick_worker`): leave out workers that drain or are full, score the rest by affinity to the
+//! function, queue depth and utilization, take the best, and let RPCs share a load that is under way. Five mechanisms
+//! complete it:
+//! 1. health: a sequential test on outcomes and overdue attempts; suspect workers are ejected (`add_evidence`)
+//! 2. slow start: a budget of attempts for a cold worker (`cold_budget_left`)
+//! 3. retries: further attempts come after first ones, within a retry budget (`serve_queues`, `sweep`)
+//! 4. copies: one more copy of a crowded function is ordered on another worker, within a rate limit (`order_load`)
+//! 5. admission: an RPC that cannot be answered in time is denied at once, where that is safe (`give_up`)
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,107 +17,130 @@
 use serde_json::{Map, Value};
 
 use crate::host::Host;
-use crate::state::{faded, Attempt, Belief, Copies, Rpc, Worker};
+use crate::state::{decayed, Attempt, Belief, CopyState, Rpc, Worker};
 use crate::types::*;
 
+// Weights of a candidate's score.
 const AFFINITY_WEIGHT: f64 = 0.5;
 const QUEUE_WEIGHT: f64 = 0.15;
 const UTIL_WEIGHT: f64 = 0.15;
-/// Draws a new load to the first workers in a function's rendezvous order, the same at every scheduler.
-const HOME_WEIGHT: f64 = 0.5;
+/// Draws a new load to the first workers in a function's rendezvous order, which is the same at every scheduler.
+const PREFERRED_WEIGHT: f64 = 0.5;
 const MEMORY_WEIGHT: f64 = 0.3;
-/// So much of the fleet are a function's alike homes from the start.
-const USUAL_SHARE: f64 = 0.03;
-const WARM: f64 = 0.8;
-const LOADING: f64 = 0.5;
-/// What other schedulers tell counts for less than what I have seen: a warm copy, and a load under way.
-const HINTED_WARM: f64 = 0.6;
-const HINTED_LOADING: f64 = 0.45;
-/// How long a refusal told by others holds loads back, and the most RPCs that their word counts for: what is
-/// wrong has faded within half a minute.
-const HINTED_FULL: Time = Time(10_000);
-const HINTED_HELD: u64 = 256;
-/// An image may be left on the disk.
-const IMAGE: f64 = 0.4;
-/// The slot guess, in copies' worth of lanes: what takes loads of seconds runs many at a time.
-const CEILING_LANES: f64 = 4.0;
+/// Share of the ready workers that are equally preferred for a function before any of its copies is in use.
+const PREFERRED_SHARE: f64 = 0.03;
+// Affinity of a worker to a function, by its copy; see `affinity`.
+const AFFINITY_WARM: f64 = 0.8;
+const AFFINITY_LOADING: f64 = 0.5;
+/// Hints of other schedulers (a warm copy, a load under way) count for less than this scheduler's own observations.
+const AFFINITY_HINTED_WARM: f64 = 0.6;
+const AFFINITY_HINTED_LOADING: f64 = 0.45;
+// Constants of type `Time` are in tenths of a millisecond.
+/// Pause in loads at a worker after another scheduler reported 'full', and the most RPCs in flight taken from a hint.
+/// Both are bounded so that the effect of a wrong hint fades within half a minute.
+const HINTED_FULL_HOLD: Time = Time(10_000);
+const MAX_HINTED_IN_FLIGHT: u64 = 256;
+/// Affinity past keep-alive: the function's image may be left on the worker's disk.
+const AFFINITY_IMAGE: f64 = 0.4;
+/// Assumed capacity of a worker of mean size, in copies' worth of lanes. Workers whose loads take seconds run many RPCs
+/// at a time.
+const ASSUMED_COPIES: f64 = 4.0;
+/// Basic pause after a 'full' reply; each such reply in a row doubles it, up to four times.
 const FULL_HOLD: Time = Time(500);
-const CROWD: f64 = 1.25;
-const SLACK_LANES: f64 = 0.5;
-/// What answers tell of a worker: the least step of the mean, the gap at which a new one weighs as much as
-/// all before, and the half-life.
-const LEAST_STEP: f64 = 0.15;
-const EQUAL_GAP: f64 = 1500.0;
-const FADES: f64 = 5000.0;
-/// A worker counts as crowded so far above the usual and above this part of the soft deadline.
-const LATE: (f64, f64) = (1.5, 0.5);
-/// A function that stands at more of the fleet spreads no further for lateness: memory would thrash.
-const LATE_SHARE: f64 = 0.07;
-const RECENT: Time = Time(20_000);
-const TICK: Time = Time(200);
-const STALL: Time = Time(1_000);
+/// A worker is crowded at this multiple of the mean number of attempts in flight, and a copy at this multiple of its
+/// lanes.
+const CROWDED_FACTOR: f64 = 1.25;
+/// Copies' worth of lanes that a worker may be above that multiple of the mean.
+const CROWDED_SLACK_LANES: f64 = 0.5;
+/// Running estimates from answers (`observation_weight`): the least weight of a new observation, the gap since the last
+/// one at which it weighs as much as all before, and the half-life.
+const MIN_OBSERVATION_WEIGHT: f64 = 0.15;
+const EQUAL_WEIGHT_GAP_MS: f64 = 1500.0;
+const ESTIMATE_HALF_LIFE_MS: f64 = 5000.0;
+/// A worker counts as crowded if its answers take this multiple of the fleet's, and this share of the soft deadline.
+const LATE_THRESHOLDS: (f64, f64) = (1.5, 0.5);
+/// A function with copies on a larger share of the fleet spreads no further for late answers: memory would thrash.
+const LATE_SPREAD_SHARE: f64 = 0.07;
+/// A copy used within this time has full affinity.
+const RECENT_USE: Time = Time(20_000);
+const TICK_INTERVAL: Time = Time(200);
+/// A gap between ticks above this is a stall of this scheduler's own process.
+const STALL_THRESHOLD: Time = Time(1_000);
 const TICK_TIMER: TimerId = TimerId(u64::MAX >> 1);
-/// Probes for each RPC taken, and the age from which a report is worth asking anew.
-const PROBE_SHARE: f64 = 0.2;
-const REPORT_AGE: Time = Time(5_000);
-const KEEP: Time = Time(300_000);
-/// Evidence (log-likelihood ratios) of outcomes, and where it decides.
-const GOOD: f64 = -0.5;
-const SILENT: f64 = 2.0;
-const FAILED: f64 = 1.5;
-const DEAD: f64 = 8.0;
-const SUSPECT_AT: f64 = 8.0;
-const CLEARED_AT: f64 = 1.0;
-const EVIDENCE_CAP: f64 = 12.0;
-const FADING: f64 = 0.001;
-const EJECT_SHARE: f64 = 0.34;
-const COLD_PART: f64 = 1.0;
-/// Windows over which schedulers' slots at a cold worker are spread; a power of two.
-const PHASES: f64 = 4096.0;
-/// Workers at which an RPC tries to begin a load.
-const LOADS_TRIED: usize = 2;
-const RETRY_SHARE: f64 = 0.1;
-const RETRY_CAP: f64 = 10.0;
-const STUCK: usize = 3;
+/// Probes allowed for each RPC received, and the age from which a load report is requested again.
+const PROBES_PER_RPC: f64 = 0.2;
+const MAX_REPORT_AGE: Time = Time(5_000);
+/// How long events, and workers that are gone, are kept.
+const HISTORY_RETENTION: Time = Time(300_000);
+// Evidence of an outcome (a log-likelihood ratio that the worker is failing), and the thresholds of the test.
+const EVIDENCE_OK: f64 = -0.5;
+const EVIDENCE_SILENT: f64 = 2.0;
+const EVIDENCE_FAILED: f64 = 1.5;
+const EVIDENCE_DEAD: f64 = 8.0;
+const SUSPECT_THRESHOLD: f64 = 8.0;
+const CLEARED_THRESHOLD: f64 = 1.0;
+const MAX_EVIDENCE: f64 = 12.0;
+const EVIDENCE_DECAY_PER_MS: f64 = 0.001;
+/// Largest share of the ready workers that is ejected.
+const MAX_EJECTED_SHARE: f64 = 0.34;
+/// Share of a cold worker's budget that is used.
+const COLD_BUDGET_SHARE: f64 = 1.0;
+/// Windows over which the schedulers' slots at a cold worker are spread; a power of two.
+const SLOT_WINDOWS: f64 = 4096.0;
+/// Workers at which one RPC tries to begin a load.
+const MAX_LOADS_TRIED: usize = 2;
+const RETRIES_PER_RPC: f64 = 0.1;
+/// Cap of the retry budget and of the probe budget.
+const MAX_BUDGET: f64 = 10.0;
+/// A queue is served until this many of its RPCs have found no room.
+const MAX_BLOCKED: usize = 3;
+/// The answer rate is taken over this many answers, and over at least this time.
 const RATE_ANSWERS: usize = 400;
-const LEAST_RATE_OVER: Time = Time(10_000);
-const TARGET: f64 = 0.6;
-const FADE: f64 = 0.999;
-/// What chance may add to the usual number out; and at all schedulers together, for each worker.
-const CHANCE: f64 = 3.0;
-const PART_OUT: f64 = 6.0;
-const PARTS: (f64, f64) = (0.85, 1.3);
-const CLOSE: f64 = 0.6;
-const BEHIND_LOAD: f64 = 0.5;
-
-/// A running mean that starts as a plain one, and the mean distance from it.
+const MIN_RATE_WINDOW: Time = Time(10_000);
+/// Share of the soft deadline in which answers should come.
+const TARGET_DEADLINE_SHARE: f64 = 0.6;
+const PEAK_DECAY_PER_TICK: f64 = 0.999;
+/// RPCs in flight allowed above the usual number, for random variation.
+const IN_FLIGHT_SLACK: f64 = 3.0;
+/// Least in-flight limit of all schedulers together, for each ready worker.
+const MIN_IN_FLIGHT_PER_WORKER: f64 = 6.0;
+/// Bounds of a method's share of the in-flight limit (`method_limit_share`).
+const METHOD_SHARE_RANGE: (f64, f64) = (0.85, 1.3);
+/// Share of the in-flight limit above which admission, retries and loads are restricted.
+const NEAR_LIMIT_SHARE: f64 = 0.6;
+/// Weight of an RPC in flight that waits for a load; an RPC at a warm copy has weight 1.
+const BEHIND_LOAD_WEIGHT: f64 = 0.5;
+
+/// A running mean and the mean absolute deviation from it: plain for the first 30 values, exponential after them.
 #[derive(Clone, Copy, Default)]
-struct Usual {
-    n: f64,
+struct RunningMean {
+    count: f64,
     mean: f64,
-    dev: f64,
+    deviation: f64,
 }
 
-impl Usual {
+impl RunningMean {
     fn add(&mut self, value: f64) {
-        self.n = (self.n + 1.0).min(30.0);
-        self.dev += ((value - self.mean).abs() - self.dev) / self.n;
-        self.mean += (value - self.mean) / self.n;
+        self.count = (self.count + 1.0).min(30.0);
+        self.deviation += ((value - self.mean).abs() - self.deviation) / self.count;
+        self.mean += (value - self.mean) / self.count;
     }
 }
 
-/// How long answers take: with a load, and (second) from a warm copy.
-type Pace = [Usual; 2];
+/// Answer times in milliseconds: of RPCs that met a load, and (second) of RPCs that met a warm copy.
+type AnswerTimes = [RunningMean; 2];
 
-/// A worker as `pick` sees it.
+/// A worker as `pick_worker` sees it.
 struct Candidate {
     id: WorkerId,
     affinity: f64,
     score: f64,
     crowded: bool,
+    /// RPCs in flight at the worker, with the new one, times its slowness.
     depth: f64,
+    /// RPCs of the function there, in copies' worth of lanes.
     copies: f64,
-    memory: f64,
+    pinned_memory: f64,
 }
 
 pub struct Scheduler<H: Host> {
@@ -126,41 +150,42 @@
     workers: BTreeMap<WorkerId, Worker>,
     mean_size: f64,
     rpcs: BTreeMap<RpcId, Rpc>,
-    /// What is out at warm copies, in all and by tenant: see `load`.
-    out: f64,
-    out_of: BTreeMap<TenantId, f64>,
-    methods: BTreeMap<MethodId, Pace>,
-    /// First attempts wait in the first line, further ones in the second.
-    lines: [VecDeque<RpcId>; 2],
-    ticked: Time,
-    taken: VecDeque<Time>,
+    /// Weighted RPCs in flight, in total and by tenant: see `in_flight_limit`.
+    in_flight: f64,
+    tenant_in_flight: BTreeMap<TenantId, f64>,
+    answer_times: BTreeMap<MethodId, AnswerTimes>,
+    /// RPCs that wait for their first attempt, and (second) for a further one.
+    queues: [VecDeque<RpcId>; 2],
+    last_tick: Time,
+    /// Times of RPCs received, of successful attempts and of load orders, within `HISTORY_RETENTION`.
+    received: VecDeque<Time>,
     answered: VecDeque<Time>,
     orders: VecDeque<Time>,
-    retries: f64,
-    probes: f64,
-    lanes: Usual,
-    aims: Usual,
-    /// The rate of answers, per millisecond, its best of late and the most workers ready of late; these fade.
+    retry_budget: f64,
+    probe_budget: f64,
+    lanes: RunningMean,
+    soft_deadlines: RunningMean,
+    /// Answers per millisecond. Its recent peak and that of the number of ready workers decay.
     rate: f64,
-    best_rate: f64,
-    most_ready: f64,
+    peak_rate: f64,
+    peak_ready: f64,
 }
 
-/// A function's rendezvous order over workers: every scheduler comes to the same one.
-fn home_rank(function: FunctionId, worker: WorkerId) -> u64 {
+/// A worker's rank in a function's rendezvous order; every scheduler computes the same one.
+fn rendezvous_rank(function: FunctionId, worker: WorkerId) -> u64 {
     let mut x = function.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ worker.0.wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 31)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x = (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x ^ (x >> 32)
 }
 
-/// How much a new answer weighs against those before: sparse evidence counts for more each.
-fn step(gap: Time) -> f64 {
-    (gap.ms() / (gap.ms() + EQUAL_GAP)).max(LEAST_STEP)
+/// The weight of a new observation against all before it: the longer the gap since the last one, the more.
+fn observation_weight(gap: Time) -> f64 {
+    (gap.ms() / (gap.ms() + EQUAL_WEIGHT_GAP_MS)).max(MIN_OBSERVATION_WEIGHT)
 }
 
-/// How many of these times lie less than `window` back.
-fn recent(times: &VecDeque<Time>, now: Time, window: Time) -> f64 {
+/// Number of these times that lie less than `window` back.
+fn count_recent(times: &VecDeque<Time>, now: Time, window: Time) -> f64 {
     times.iter().rev().take_while(|&&t| t + window > now).count() as f64
 }
 
@@ -173,84 +198,85 @@
             workers: BTreeMap::new(),
             mean_size: 0.0,
             rpcs: BTreeMap::new(),
-            out: 0.0,
-            out_of: BTreeMap::new(),
-            methods: BTreeMap::new(),
-            lines: Default::default(),
-            ticked: Time(0),
-            taken: VecDeque::new(),
+            in_flight: 0.0,
+            tenant_in_flight: BTreeMap::new(),
+            answer_times: BTreeMap::new(),
+            queues: Default::default(),
+            last_tick: Time(0),
+            received: VecDeque::new(),
             answered: VecDeque::new(),
             orders: VecDeque::new(),
-            retries: RETRY_CAP,
-            probes: 0.0,
-            lanes: Usual::default(),
-            aims: Usual::default(),
+            retry_budget: MAX_BUDGET,
+            probe_budget: 0.0,
+            lanes: RunningMean::default(),
+            soft_deadlines: RunningMean::default(),
             rate: 0.0,
-            best_rate: 0.0,
-            most_ready: 0.0,
+            peak_rate: 0.0,
+            peak_ready: 0.0,
         };
         if new.settings.get("discovery").is_some_and(|d| d == "subscribe") {
             new.host.watch_list();
         }
-        new.host.set_timer(TICK, TICK_TIMER);
+        new.host.set_timer(TICK_INTERVAL, TICK_TIMER);
         new
     }
 
-    /// What runs this scheduler, for its own use between calls.
+    /// The host, for its own use between calls of the scheduler.
     pub fn host(&mut self) -> &mut H {
         &mut self.host
     }
 
-    /// What I believe out at each worker, to be held against what is.
+    /// The attempts that this scheduler believes in flight at each worker, for a check against the host's.
     pub fn believed_in_flight(&self) -> impl Iterator<Item = (WorkerId, u64)> + '_ {
-        self.workers.iter().map(|(id, w)| (*id, w.mine)).filter(|(_, mine)| *mine > 0)
+        self.workers.iter().map(|(id, w)| (*id, w.own_in_flight)).filter(|(_, own)| *own > 0)
     }
 
-    /// How much is kept, by kind.
+    /// The number of entries in each table, for diagnostics.
     pub fn table_sizes(&self) -> [(&'static str, usize); 4] {
         let beliefs = self.workers.values().map(|w| w.beliefs.len()).sum();
-        let moments = self.taken.len() + self.answered.len() + self.orders.len();
-        let lines = self.lines.iter().map(VecDeque::len).sum();
+        let moments = self.received.len() + self.answered.len() + self.orders.len();
+        let lines = self.queues.iter().map(VecDeque::len).sum();
         [("workers", self.workers.len()), ("beliefs", beliefs), ("moments", moments), ("lines", lines)]
     }
 
-    /// One method more: its id is the next of the settings' list. RPCs of those before it go on as they were.
+    /// Adds a method; its id is the next index of the settings' list. RPCs of other methods are not affected.
     pub fn method_added(&mut self, method: Value) {
         let all = self.settings.entry("requestClasses").or_insert_with(|| Value::Array(Vec::new()));
         all.as_array_mut().into_iter().for_each(|all| all.push(method.clone()));
     }
 
-    /// So many schedulers feed these workers from here on, as far as this one knows.
+    /// Sets the number of schedulers that send to these workers, this one included.
     pub fn instance_count_changed(&mut self, number: u64) {
         self.settings.insert("instances".to_owned(), number.into());
     }
 
     pub fn worker_listed(
-        &mut self, now: Time, id: WorkerId, standing: Lifecycle, since: Time, zone: ZoneId, cell: CellId,
+        &mut self, now: Time, id: WorkerId, lifecycle: Lifecycle, since: Time, zone: ZoneId, cell: CellId,
         size: f64,
     ) {
         let new = !self.workers.contains_key(&id);
         let w = self.workers.entry(id).or_default();
-        (w.standing, w.zone, w.cell, w.size, w.told) = (standing, zone, cell, size, now);
-        if new || (since != w.since && standing == Lifecycle::Ready) {
-            // New, or restarted under the same id: perhaps cold, and nothing old holds.
-            (w.since, w.cold_since) = (since, (since > Time(0)).then_some(since));
-            (w.evidence, w.suspect, w.ceiling, w.full_until, w.util) = (0.0, false, f64::MAX, now, None);
-            w.phase = self.rng.rand_float();
+        (w.lifecycle, w.zone, w.cell, w.size, w.listed_at) = (lifecycle, zone, cell, size, now);
+        if new || (since != w.started_at && lifecycle == Lifecycle::Ready) {
+            // New, or restarted under the same id: it may be cold, and earlier beliefs no longer hold.
+            (w.started_at, w.cold_since) = (since, (since > Time(0)).then_some(since));
+            (w.evidence, w.suspect, w.ceiling, w.full_until, w.utilization) =
+                (0.0, false, f64::MAX, now, None);
+            w.slot_phase = self.rng.rand_float();
             w.forget_copies();
         }
     }
 
-    /// A list has been read; `named` holds all its workers if it was a complete one.
+    /// The host has passed on all rows of a list; `named` holds all its workers if the list was a complete one.
     pub fn list_received(&mut self, now: Time, named: Option<&BTreeSet<WorkerId>>) {
         for (id, w) in &mut self.workers {
-            if w.standing != Lifecycle::Gone && named.is_some_and(|n| !n.contains(id)) {
-                (w.standing, w.told) = (Lifecycle::Gone, now);
+            if w.lifecycle != Lifecycle::Gone && named.is_some_and(|n| !n.contains(id)) {
+                (w.lifecycle, w.listed_at) = (Lifecycle::Gone, now);
             }
         }
         self.mean_size =
             self.workers.values().map(|w| w.size).sum::<f64>() / self.workers.len().max(1) as f64;
-        self.serve(now);
+        self.serve_queues(now);
     }
 
     pub fn list_failed(&mut self) {
@@ -259,97 +285,128 @@
 
     pub fn rpc_received(
         &mut self, now: Time, id: RpcId, method: MethodId, function: FunctionId, tenant: TenantId,
-        left: Time, lanes: f64,
+        time_left: Time, lanes: f64,
     ) {
-        self.taken.push_back(now);
+        self.received.push_back(now);
         self.lanes.add(lanes);
-        self.aims.add(self.aim(method));
-        self.retries = (self.retries + RETRY_SHARE).min(RETRY_CAP);
-        self.probes = (self.probes + PROBE_SHARE).min(RETRY_CAP);
-        self.host.set_timer(left, TimerId(id.0));
-        let (taken, deadline, outs) = (now, now + left, Vec::new());
+        self.soft_deadlines.add(self.soft_deadline(method));
+        self.retry_budget = (self.retry_budget + RETRIES_PER_RPC).min(MAX_BUDGET);
+        self.probe_budget = (self.probe_budget + PROBES_PER_RPC).min(MAX_BUDGET);
+        self.host.set_timer(time_left, TimerId(id.0));
+        let (received_at, deadline, attempts) = (now, now + time_left, Vec::new());
         let (waiting, done, streaming) = (true, false, false);
-        let rpc = Rpc { method, function, tenant, lanes, taken, deadline, outs, waiting, done, streaming };
+        let rpc = Rpc {
+            method,
+            function,
+            tenant,
+            lanes,
+            received_at,
+            deadline,
+            attempts,
+            waiting,
+            done,
+            streaming,
+        };
         self.rpcs.insert(id, rpc);
-        if self.first_attempt(now, id) {
-            self.lines[0].push_back(id);
+        if self.try_first_attempt(now, id) {
+            self.queues[0].push_back(id);
         }
     }
 
+    /// The client no longer waits for the RPC's answer.
     pub fn rpc_abandoned(&mut self, id: RpcId) {
         self.close(id);
     }
 
+    /// An attempt has begun to stream its answer: no further attempt is made.
     pub fn answer_started(&mut self, id: RpcId) {
         if let Some(rpc) = self.rpcs.get_mut(&id) {
             (rpc.streaming, rpc.waiting) = (true, false);
         }
     }
 
+    /// An attempt ended. `done`: the RPC has its final answer; `in_flight`: RPCs of the function at the worker, as the
+    /// answer reports.
     pub fn attempt_ended(
-        &mut self, now: Time, id: RpcId, no: AttemptNumber, outcome: Outcome, elapsed: Time, done: bool,
-        copy: CopyReport, held: u64, report: &[f64],
+        &mut self, now: Time, id: RpcId, number: AttemptNumber, outcome: Outcome, elapsed: Time, done: bool,
+        copy: CopyReport, in_flight: u64, load_report: &[f64],
     ) {
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let (function, method, tenant) = (rpc.function, rpc.method, rpc.tenant);
-        let Some(out) = rpc.outs.get_mut(no.0).filter(|o| o.open) else { return };
-        (out.open, out.never_ran, out.broke) = (false, outcome.never_ran(), outcome == Outcome::Reset);
-        out.full = outcome == Outcome::Full || copy == CopyReport::LoadFailed;
-        let (worker, sent, was_warm, overdue) = (out.worker, out.sent, out.warm, out.overdue);
-        let others = held.saturating_sub(out.beside) as f64;
+        let Some(attempt) = rpc.attempts.get_mut(number.0).filter(|a| a.open) else { return };
+        (attempt.open, attempt.never_ran, attempt.connection_broke) =
+            (false, outcome.never_ran(), outcome == Outcome::Reset);
+        attempt.full = outcome == Outcome::Full || copy == CopyReport::LoadFailed;
+        let (worker, sent_at, was_warm, overdue) =
+            (attempt.worker, attempt.sent_at, attempt.warm, attempt.overdue);
+        let others = in_flight.saturating_sub(attempt.own_ahead) as f64;
         if overdue == 0 {
-            self.weigh(tenant, was_warm, -1.0);
+            self.add_in_flight(tenant, was_warm, -1.0);
         }
-        self.load_report_received(now, worker, report);
-        let (slots, keep) = (self.slots(), self.keep());
+        self.load_report_received(now, worker, load_report);
+        let (slots, keep_alive) = (self.assumed_slots(), self.keep_alive());
         let w = self.workers.entry(worker).or_default();
-        w.mine = w.mine.saturating_sub(1);
-        let spoke = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
-        w.heard = if spoke { now } else { w.heard };
+        w.own_in_flight = w.own_in_flight.saturating_sub(1);
+        let responded = matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
+        w.last_answer = if responded { now } else { w.last_answer };
         let belief = w.beliefs.entry(function).or_default();
-        belief.mine = belief.mine.saturating_sub(1);
-        if outcome != Outcome::Ok && belief.copies == Copies::Loading && belief.mine == 0 {
-            belief.copies = Copies::Unknown;
+        belief.own_in_flight = belief.own_in_flight.saturating_sub(1);
+        if outcome != Outcome::Ok && belief.copy == CopyState::Loading && belief.own_in_flight == 0 {
+            belief.copy = CopyState::Unknown;
         }
         if matches!(outcome, Outcome::Ok | Outcome::Full) {
-            belief.tell(now, others, FADES, step(now - belief.told));
+            belief.record_others(
+                now,
+                others,
+                ESTIMATE_HALF_LIFE_MS,
+                observation_weight(now - belief.others_at),
+            );
         }
         match outcome {
-            Outcome::Ok if w.since <= sent => {
-                (belief.copies, belief.seen) = (Copies::Warm(now), now);
-                self.host.observed(worker, function, Hint::Warm, held);
+            Outcome::Ok if w.started_at <= sent_at => {
+                (belief.copy, belief.observed_at) = (CopyState::Warm(now), now);
+                self.host.observed(worker, function, Hint::Warm, in_flight);
                 w.ceiling = (w.ceiling + 1.0).min(slots);
-                w.fulls = 0;
+                w.consecutive_fulls = 0;
                 self.answered.push_back(now);
                 let warm = usize::from(!matches!(copy, CopyReport::BeganLoad | CopyReport::WaitedForLoad));
-                let pace = &mut self.methods.entry(method).or_default()[warm];
-                pace.add(elapsed.ms());
+                let answer_time = &mut self.answer_times.entry(method).or_default()[warm];
+                answer_time.add(elapsed.ms());
                 if warm == 1 {
-                    w.took(now, elapsed.ms() / pace.mean.max(1.0), FADES, step(now - w.paced));
+                    w.record_slowness(
+                        now,
+                        elapsed.ms() / answer_time.mean.max(1.0),
+                        ESTIMATE_HALF_LIFE_MS,
+                        observation_weight(now - w.slowness_at),
+                    );
                 }
-                self.judge(now, worker, if overdue == 0 { GOOD } else { 0.0 });
+                self.add_evidence(now, worker, if overdue == 0 { EVIDENCE_OK } else { 0.0 });
             }
             Outcome::Full => {
-                // Turned away where a copy was believed warm the queue is full; elsewhere room for loads may
-                // lack, which says nothing of other functions: others' copies of them may stand there.
-                belief.no_load_until = now + Time((4 * FULL_HOLD.0) << w.fulls);
-                w.fulls = (w.fulls + 1).min(4);
-                let hinted = belief.hint.is_some_and(|(h, at)| h == Hint::Warm && sent - at <= keep);
+                // 'Full' where a copy was believed warm means a full queue. Elsewhere the worker may only lack room for
+                // loads, which says nothing of functions that it already has copies of.
+                belief.no_load_until = now + Time((4 * FULL_HOLD.0) << w.consecutive_fulls);
+                w.consecutive_fulls = (w.consecutive_fulls + 1).min(4);
+                let hinted = belief.hint.is_some_and(|(h, at)| h == Hint::Warm && sent_at - at <= keep_alive);
                 if was_warm || hinted {
-                    w.ceiling = if was_warm { w.mine.max(1) as f64 } else { w.ceiling };
-                    w.full_until = now + Time(FULL_HOLD.0 << w.fulls);
+                    w.ceiling = if was_warm { w.own_in_flight.max(1) as f64 } else { w.ceiling };
+                    w.full_until = now + Time(FULL_HOLD.0 << w.consecutive_fulls);
                 } else {
-                    (belief.seen, belief.hint) = (now, None);
-                    self.host.observed(worker, function, Hint::Full, held);
+                    (belief.observed_at, belief.hint) = (now, None);
+                    self.host.observed(worker, function, Hint::Full, in_flight);
                 }
             }
             Outcome::Reset | Outcome::ConnectFailed => {
-                // Guards against a process that died before the list tells; should also hold for a cut link.
-                // One broken connection is no death, and all that breaks at one moment was on one;
-                // a failed dial is taken for a death, which may hurt at the worker's connection limit.
-                let again = outcome == Outcome::Reset && std::mem::replace(&mut w.broke, now) == now;
-                let broke = if again { 0.0 } else { FAILED };
-                self.judge(now, worker, if outcome == Outcome::Reset { broke } else { DEAD });
+                // Detects a process that died before the endpoint list shows it, and a network cut. One broken
+                // connection is no death, and attempts that break at the same moment were on one connection. A failed
+                // connect counts as a death, which is wrong for a worker at its connection limit.
+                let again = outcome == Outcome::Reset && std::mem::replace(&mut w.last_broken, now) == now;
+                let broken = if again { 0.0 } else { EVIDENCE_FAILED };
+                self.add_evidence(
+                    now,
+                    worker,
+                    if outcome == Outcome::Reset { broken } else { EVIDENCE_DEAD },
+                );
                 if self.workers[&worker].suspect {
                     let w = self.workers.entry(worker).or_default();
                     w.forget_copies();
@@ -357,98 +414,103 @@
                 }
             }
             Outcome::Miss | Outcome::Error if copy == CopyReport::LoadFailed => {
-                (belief.copies, belief.seen, belief.hint) = (Copies::Unknown, now, None);
+                (belief.copy, belief.observed_at, belief.hint) = (CopyState::Unknown, now, None);
                 self.host.observed(worker, function, Hint::Gone, 0);
             }
             Outcome::Miss => {
-                (belief.copies, belief.seen, belief.hint) = (Copies::Unknown, now, None);
+                (belief.copy, belief.observed_at, belief.hint) = (CopyState::Unknown, now, None);
                 self.host.observed(worker, function, Hint::Gone, 0);
-                self.order(now, worker, function);
+                self.order_load(now, worker, function);
             }
-            Outcome::Error => self.judge(now, worker, FAILED),
+            Outcome::Error => self.add_evidence(now, worker, EVIDENCE_FAILED),
             Outcome::Ok | Outcome::TimeOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
         if let Some(rpc) = self.rpcs.get_mut(&id) {
             if done || rpc.done {
                 self.close(id);
-            } else if rpc.open() == 0 && !rpc.waiting {
+            } else if rpc.open_attempts() == 0 && !rpc.waiting {
                 rpc.waiting = true;
-                self.lines[1].push_back(id);
+                self.queues[1].push_back(id);
             }
         }
-        self.serve(now);
+        self.serve_queues(now);
     }
 
+    /// A load order ended; `copies`: copies of the function that the worker now holds.
     pub fn load_ended(
         &mut self, now: Time, worker: WorkerId, function: FunctionId, outcome: Outcome, copies: u64,
     ) {
         let Some(w) = self.workers.get_mut(&worker) else { return };
         let belief = w.beliefs.entry(function).or_default();
         if outcome == Outcome::Ok && copies > 0 {
-            (belief.copies, belief.seen) = (Copies::Warm(now), now);
-            self.host.observed(worker, function, Hint::Warm, belief.mine);
-        } else if belief.copies == Copies::Loading && belief.mine == 0 {
-            (belief.copies, belief.seen, belief.hint) = (Copies::Unknown, now, None);
+            (belief.copy, belief.observed_at) = (CopyState::Warm(now), now);
+            self.host.observed(worker, function, Hint::Warm, belief.own_in_flight);
+        } else if belief.copy == CopyState::Loading && belief.own_in_flight == 0 {
+            (belief.copy, belief.observed_at, belief.hint) = (CopyState::Unknown, now, None);
             self.host.observed(worker, function, Hint::Gone, 0);
         }
-        self.serve(now);
+        self.serve_queues(now);
     }
 
+    /// A timer fired: the tick, or the deadline of an RPC.
     pub fn timer_fired(&mut self, now: Time, id: TimerId) {
         let due = |r: &Rpc| !r.done && !r.streaming && r.deadline <= now;
         if id == TICK_TIMER {
-            self.host.set_timer(TICK, TICK_TIMER);
-            // Guards against my own stall: answers that came meanwhile are read before workers are judged.
-            if now - std::mem::replace(&mut self.ticked, now) <= STALL {
+            self.host.set_timer(TICK_INTERVAL, TICK_TIMER);
+            // After a stall of this process, answers that arrived meanwhile are read before workers are judged.
+            if now - std::mem::replace(&mut self.last_tick, now) <= STALL_THRESHOLD {
                 self.sweep(now);
-                self.serve(now);
+                self.serve_queues(now);
             }
         } else if self.rpcs.get(&RpcId(id.0)).is_some_and(due) {
             self.give_up(now, RpcId(id.0));
         }
     }
 
-    // Settings and what follows from them.
+    // Settings, and values derived from them.
 
-    fn part(&self, part: &str, name: &str) -> Option<&Value> {
-        self.settings.get(part)?.get(name)
+    fn setting(&self, section: &str, name: &str) -> Option<&Value> {
+        self.settings.get(section)?.get(name)
     }
 
-    fn number(&self, part: &str, name: &str, default: f64) -> f64 {
-        self.part(part, name).and_then(Value::as_f64).unwrap_or(default)
+    fn number(&self, section: &str, name: &str, default: f64) -> f64 {
+        self.setting(section, name).and_then(Value::as_f64).unwrap_or(default)
     }
 
-    fn span(&self, part: &str, name: &str) -> Time {
-        Time::from_ms(self.number(part, name, 0.0))
+    fn duration(&self, section: &str, name: &str) -> Time {
+        Time::from_ms(self.number(section, name, 0.0))
     }
 
-    fn allowed(&self, part: &str, name: &str) -> bool {
-        self.part(part, name).and_then(Value::as_bool).unwrap_or(false)
+    fn allowed(&self, section: &str, name: &str) -> bool {
+        self.setting(section, name).and_then(Value::as_bool).unwrap_or(false)
     }
 
-    fn of_method(&self, method: MethodId, name: &str) -> Option<&Value> {
+    fn method_setting(&self, method: MethodId, name: &str) -> Option<&Value> {
         self.settings.get("requestClasses")?.get(method.0)?.get(name)
     }
 
-    fn aim(&self, method: MethodId) -> f64 {
-        self.of_method(method, "aim").and_then(Value::as_f64).unwrap_or(1000.0)
+    /// The method's soft deadline in milliseconds.
+    fn soft_deadline(&self, method: MethodId) -> f64 {
+        self.method_setting(method, "aim").and_then(Value::as_f64).unwrap_or(1000.0)
     }
 
-    fn schedulers(&self) -> f64 {
+    fn scheduler_count(&self) -> f64 {
         self.settings.get("instances").and_then(Value::as_f64).unwrap_or(1.0).max(1.0)
     }
 
-    fn slots(&self) -> f64 {
-        (CEILING_LANES * self.lanes.mean).max(2.0)
+    /// Attempts that a worker of mean size is assumed to run at a time.
+    fn assumed_slots(&self) -> f64 {
+        (ASSUMED_COPIES * self.lanes.mean).max(2.0)
     }
 
-    /// A worker's size against the mean of those listed, where the list tells sizes.
-    fn sizes_told(&self) -> bool {
-        let told = self.settings.get("weightKind").and_then(Value::as_str);
-        matches!(told, Some("nominal" | "rough")) && self.mean_size > 0.0
+    /// Whether the endpoint list gives the workers' sizes.
+    fn sizes_known(&self) -> bool {
+        let kind = self.settings.get("weightKind").and_then(Value::as_str);
+        matches!(kind, Some("nominal" | "rough")) && self.mean_size > 0.0
     }
 
-    fn size(&self, w: &Worker, known: bool) -> f64 {
+    /// A worker's size relative to the mean of the listed workers.
+    fn relative_size(&self, w: &Worker, known: bool) -> f64 {
         if known {
             w.size / self.mean_size
         } else {
@@ -456,446 +518,506 @@
         }
     }
 
-    fn ready(&self) -> impl Iterator<Item = &Worker> {
-        self.workers.values().filter(|w| w.standing == Lifecycle::Ready)
+    fn ready_workers(&self) -> impl Iterator<Item = &Worker> {
+        self.workers.values().filter(|w| w.lifecycle == Lifecycle::Ready)
     }
 
-    /// Whether a further attempt to `worker`, or a denial (no worker), keeps the rule on repeated effects.
-    fn harmless(&self, now: Time, rpc: &Rpc, worker: Option<&Worker>) -> bool {
-        let Some(first) = rpc.outs.iter().find(|o| o.open || !o.never_ran) else { return true };
-        let group = self.of_method(rpc.method, "group").and_then(Value::as_str);
-        match self.of_method(rpc.method, "effect").and_then(Value::as_str) {
+    /// Whether the method's effect class allows a further attempt to `worker`, or a denial (no worker).
+    fn is_repeatable(&self, now: Time, rpc: &Rpc, worker: Option<&Worker>) -> bool {
+        let Some(first) = rpc.attempts.iter().find(|a| a.open || !a.never_ran) else { return true };
+        let group = self.method_setting(rpc.method, "group").and_then(Value::as_str);
+        match self.method_setting(rpc.method, "effect").and_then(Value::as_str) {
             Some("read_like") => true,
             Some("idempotency_key") => {
                 let Some(to) = worker else { return group == Some("all") };
                 let from = &self.workers[&first.worker];
-                let span = self.of_method(rpc.method, "memorySpan").and_then(Value::as_f64).unwrap_or(0.0);
-                let fits = match group {
+                let memory_span =
+                    self.method_setting(rpc.method, "memorySpan").and_then(Value::as_f64).unwrap_or(0.0);
+                let same_group = match group {
                     Some("all") => true,
                     Some("zone") => to.zone == from.zone,
                     _ => to.cell == from.cell,
                 };
-                fits && now < first.sent + Time::from_ms(span)
+                same_group && now < first.sent_at + Time::from_ms(memory_span)
             }
             _ => false,
         }
     }
 
-    fn harmless_to_any(&self, now: Time, rpc: &Rpc) -> bool {
-        self.ready().any(|w| self.harmless(now, rpc, Some(w)))
+    fn is_repeatable_anywhere(&self, now: Time, rpc: &Rpc) -> bool {
+        self.ready_workers().any(|w| self.is_repeatable(now, rpc, Some(w)))
     }
 
-    // The design: filter, score, coalesce.
+    // Choice of the worker: filter, score, share loads under way.
 
-    fn keep(&self) -> Time {
-        self.span("familyInfo", "keepAlive")
+    fn keep_alive(&self) -> Time {
+        self.duration("familyInfo", "keepAlive")
     }
 
-    fn affinity(now: Time, keep: Time, w: &Worker, belief: Option<&Belief>) -> f64 {
-        let stands = |b: &&Belief| matches!(b.copies, Copies::Warm(used) if now - used <= keep);
-        let hinted = match belief.and_then(|b| b.hint).filter(|(_, at)| now - *at <= keep) {
-            Some((Hint::Warm, _)) => HINTED_WARM,
-            Some((Hint::Loading, _)) => HINTED_LOADING,
+    /// How well a worker suits a function: from 1 for a copy that was used recently to 0 for a worker without a known
+    /// copy that holds four or more other warm copies.
+    fn affinity(now: Time, keep_alive: Time, w: &Worker, belief: Option<&Belief>) -> f64 {
+        let is_warm = |b: &&Belief| matches!(b.copy, CopyState::Warm(used) if now - used <= keep_alive);
+        let hinted = match belief.and_then(|b| b.hint).filter(|(_, at)| now - *at <= keep_alive) {
+            Some((Hint::Warm, _)) => AFFINITY_HINTED_WARM,
+            Some((Hint::Loading, _)) => AFFINITY_HINTED_LOADING,
             _ => 0.0,
         };
-        let own = match belief.map_or(Copies::Unknown, |b| b.copies) {
-            Copies::Warm(_) if belief.is_some_and(|b| b.mine > 0) => 1.0,
-            Copies::Warm(used) if now - used <= RECENT.min(keep) => 1.0,
-            Copies::Warm(used) if now - used <= keep => WARM,
-            Copies::Loading => LOADING,
-            Copies::Warm(_) => IMAGE,
-            Copies::Unknown if w.beliefs.values().filter(stands).take(4).count() < 4 => 0.3,
-            Copies::Unknown => 0.0,
+        let own = match belief.map_or(CopyState::Unknown, |b| b.copy) {
+            CopyState::Warm(_) if belief.is_some_and(|b| b.own_in_flight > 0) => 1.0,
+            CopyState::Warm(used) if now - used <= RECENT_USE.min(keep_alive) => 1.0,
+            CopyState::Warm(used) if now - used <= keep_alive => AFFINITY_WARM,
+            CopyState::Loading => AFFINITY_LOADING,
+            CopyState::Warm(_) => AFFINITY_IMAGE,
+            CopyState::Unknown if w.beliefs.values().filter(is_warm).take(4).count() < 4 => 0.3,
+            CopyState::Unknown => 0.0,
         };
         own.max(hinted)
     }
 
     fn affinity_at(&self, now: Time, at: WorkerId, function: FunctionId) -> f64 {
         let w = &self.workers[&at];
-        Self::affinity(now, self.keep(), w, w.beliefs.get(&function))
+        Self::affinity(now, self.keep_alive(), w, w.beliefs.get(&function))
     }
 
-    /// The workers with room that the rules let an RPC go to, scored; the crowded ones are marked.
+    /// The workers with room to which an RPC may be sent, with their scores; crowded ones are marked.
     fn candidates(&self, now: Time, rpc: &Rpc) -> Vec<Candidate> {
-        let keep = self.keep();
-        let told = self.part("loadInfo", "names").and_then(Value::as_array);
-        let told = told.is_some_and(|n| n.iter().any(|n| n == "utilization"));
-        let usual = self.methods.get(&rpc.method).map_or(0.0, |p| p[1].mean);
-        let (known, slots, aim) = (self.sizes_told(), self.slots(), self.aim(rpc.method));
+        let keep_alive = self.keep_alive();
+        let reported = self.setting("loadInfo", "names").and_then(Value::as_array);
+        let reported = reported.is_some_and(|n| n.iter().any(|n| n == "utilization"));
+        let mean_answer_ms = self.answer_times.get(&rpc.method).map_or(0.0, |p| p[1].mean);
+        let (known, slots, soft_deadline) =
+            (self.sizes_known(), self.assumed_slots(), self.soft_deadline(rpc.method));
         let (mut utils, mut reports) = (0.0, 0.0);
-        let (mut count, mut mine, mut homes) = (0.0, 0.0, 0.0);
-        // Against the workers' harmonic mean: where most RPCs go to hot workers their own mean hides it.
-        let (mut paced, mut fastness) = (0.0, 0.0);
+        let (mut count, mut own, mut with_copy) = (0.0, 0.0, 0.0);
+        // Slowness is compared with the harmonic mean over workers: where most RPCs go to hot workers, the mean over
+        // answers would hide that these are slow.
+        let (mut measured, mut fastness) = (0.0, 0.0);
         let mut ready = Vec::with_capacity(self.workers.len());
         for (&id, w) in &self.workers {
-            if let Some(util) = w.util {
+            if let Some(util) = w.utilization {
                 (utils, reports) = (utils + util, reports + 1.0);
             }
-            if w.standing != Lifecycle::Ready {
+            if w.lifecycle != Lifecycle::Ready {
                 continue;
             }
             let belief = w.beliefs.get(&rpc.function);
-            let affinity = Self::affinity(now, keep, w, belief);
-            let slowness = w.slowness_now(now, FADES);
-            (count, mine) = (count + 1.0, mine + w.mine as f64);
-            if w.paced > Time(0) {
-                (paced, fastness) = (paced + 1.0, fastness + 1.0 / slowness.max(0.1));
+            let affinity = Self::affinity(now, keep_alive, w, belief);
+            let slowness = w.slowness_now(now, ESTIMATE_HALF_LIFE_MS);
+            (count, own) = (count + 1.0, own + w.own_in_flight as f64);
+            if w.slowness_at > Time(0) {
+                (measured, fastness) = (measured + 1.0, fastness + 1.0 / slowness.max(0.1));
             }
-            homes += if affinity >= HINTED_LOADING { 1.0 } else { 0.0 };
+            with_copy += if affinity >= AFFINITY_HINTED_LOADING { 1.0 } else { 0.0 };
             ready.push((id, w, belief, affinity, slowness));
         }
-        let mean = mine / f64::max(count, 1.0);
-        let lacking = if reports == 0.0 { 0.5 } else { utils / reports };
-        let fastness = fastness / f64::max(paced, 1.0);
-        let few = homes < LATE_SHARE * count;
+        let mean_own = own / f64::max(count, 1.0);
+        let mean_util = if reports == 0.0 { 0.5 } else { utils / reports };
+        let fastness = fastness / f64::max(measured, 1.0);
+        let may_spread = with_copy < LATE_SPREAD_SHARE * count;
         let mut all = Vec::with_capacity(ready.len());
         for (id, w, belief, affinity, slowness) in ready {
-            let (mine, size) = (w.mine as f64, self.size(w, known));
-            // Guards against copies that others crowd and workers that are slow, ageing or hot: both count as
-            // deeper. Trouble of the whole fleet moves the usual instead. May hurt where old: beliefs fade.
-            let others = belief.map_or(0.0, |b| b.others_now(now, FADES));
-            let here = (others + belief.map_or(0.0, |b| b.mine as f64) + 1.0) * slowness;
-            let crowd = CROWD * mean * size + (SLACK_LANES * rpc.lanes).max(1.0);
+            let (own, size) = (w.own_in_flight as f64, self.relative_size(w, known));
+            // RPCs of other schedulers, and slowness (of an ageing or overloaded worker), increase a worker's depth. A
+            // problem of the whole fleet raises the mean answer time instead. Old reports mislead, so they decay.
+            let others = belief.map_or(0.0, |b| b.others_now(now, ESTIMATE_HALF_LIFE_MS));
+            let at_copy = (others + belief.map_or(0.0, |b| b.own_in_flight as f64) + 1.0) * slowness;
+            let crowded_from = CROWDED_FACTOR * mean_own * size + (CROWDED_SLACK_LANES * rpc.lanes).max(1.0);
             let ceiling = w.ceiling.min((slots * size).max(1.0));
-            let loads = belief.is_none_or(|b| b.no_load_until <= now);
-            let takes = w.full_until <= now && (affinity >= LOADING || loads);
-            // Where only the connection broke the copy still stands: any other worker may have to load one.
-            let fresh = rpc.outs.iter().all(|o| o.worker != id || o.never_ran || o.broke);
-            let room = mine < ceiling && takes && fresh && !w.suspect;
-            if !room || !self.budget_left(now, w) || !self.harmless(now, rpc, Some(w)) {
+            let may_load = belief.is_none_or(|b| b.no_load_until <= now);
+            let accepts = w.full_until <= now && (affinity >= AFFINITY_LOADING || may_load);
+            // A worker is tried once per RPC. Where only the connection broke it is tried again, as it still has the
+            // copy and any other worker might have to load one.
+            let untried = rpc.attempts.iter().all(|a| a.worker != id || a.never_ran || a.connection_broke);
+            let room = own < ceiling && accepts && untried && !w.suspect;
+            if !room || !self.cold_budget_left(now, w) || !self.is_repeatable(now, rpc, Some(w)) {
                 continue;
             }
-            let util = faded(w.util.unwrap_or(lacking), lacking, now - w.probed, FADES);
-            let idle = 1.0 - if told { util.clamp(0.0, 1.0) } else { util / (util + lacking).max(0.1) };
-            let depth = (mine + others + 1.0) * slowness;
+            let util = decayed(
+                w.utilization.unwrap_or(mean_util),
+                mean_util,
+                now - w.last_report,
+                ESTIMATE_HALF_LIFE_MS,
+            );
+            let idle = 1.0 - if reported { util.clamp(0.0, 1.0) } else { util / (util + mean_util).max(0.1) };
+            let depth = (own + others + 1.0) * slowness;
             let free = 1.0 - (depth / ceiling).min(1.0);
             let score = AFFINITY_WEIGHT * affinity + QUEUE_WEIGHT * free + UTIL_WEIGHT * idle;
-            let late = few && slowness * fastness > LATE.0 && slowness * usual > LATE.1 * aim;
-            let crowded = late || mine >= crowd || here >= CROWD * rpc.lanes + 2.0;
-            let (copies, memory) = (here / (CROWD * rpc.lanes), w.memory);
-            all.push(Candidate { id, affinity, score, crowded, depth, copies, memory });
+            let late = may_spread
+                && slowness * fastness > LATE_THRESHOLDS.0
+                && slowness * mean_answer_ms > LATE_THRESHOLDS.1 * soft_deadline;
+            let crowded = late || own >= crowded_from || at_copy >= CROWDED_FACTOR * rpc.lanes + 2.0;
+            let (copies, pinned_memory) = (at_copy / (CROWDED_FACTOR * rpc.lanes), w.pinned_memory);
+            all.push(Candidate { id, affinity, score, crowded, depth, copies, pinned_memory });
         }
         all
     }
 
-    /// Chooses the worker for an RPC's next attempt; none: it waits.
-    fn pick(&mut self, now: Time, id: RpcId) -> Option<WorkerId> {
+    /// Chooses the worker for an RPC's next attempt; none: the RPC waits.
+    fn pick_worker(&mut self, now: Time, id: RpcId) -> Option<WorkerId> {
         let function = self.rpcs[&id].function;
         let mut all = self.candidates(now, &self.rpcs[&id]);
-        // New loads go to the first in the function's rendezvous order, where load allows.
-        all.sort_by_cached_key(|c| home_rank(function, c.id));
-        // As many homes are alike as copies are told in use at one; a large fleet has more from the start.
-        let start = USUAL_SHARE * self.ready().count() as f64;
-        let mut alike = all.iter().map(|c| c.copies).fold(start, f64::max);
-        let mut home = 0.0;
+        // New loads go to the first workers in the function's rendezvous order that are not crowded.
+        all.sort_by_cached_key(|c| rendezvous_rank(function, c.id));
+        // The first ones are equally preferred: as many as copies in use, by the largest use at one worker, and in a
+        // large fleet at least `PREFERRED_SHARE`.
+        let start = PREFERRED_SHARE * self.ready_workers().count() as f64;
+        let mut equally_preferred = all.iter().map(|c| c.copies).fold(start, f64::max);
+        let mut preference = 0.0;
         for c in &mut all {
-            let new = if c.affinity < HINTED_WARM { home - MEMORY_WEIGHT * c.memory } else { 0.0 };
-            c.score += new + 1e-9 * self.rng.rand_float();
+            let new_load = if c.affinity < AFFINITY_HINTED_WARM {
+                preference - MEMORY_WEIGHT * c.pinned_memory
+            } else {
+                0.0
+            };
+            c.score += new_load + 1e-9 * self.rng.rand_float();
             if !c.crowded {
-                alike -= 1.0;
-                home = if alike < 1.0 { (home - HOME_WEIGHT) / 2.0 } else { home };
+                equally_preferred -= 1.0;
+                preference =
+                    if equally_preferred < 1.0 { (preference - PREFERRED_WEIGHT) / 2.0 } else { preference };
             }
         }
         let best = all.iter().filter(|c| !c.crowded).max_by(|a, b| a.score.total_cmp(&b.score));
-        if let Some(best) = best.filter(|b| b.affinity >= HINTED_WARM) {
+        if let Some(best) = best.filter(|b| b.affinity >= AFFINITY_HINTED_WARM) {
             return Some(best.id);
         }
-        // Every pick left would start a load. A crowded worker believed warm that has room takes the RPC, and
-        // a copy is ordered where the load would have gone; else the RPC queues behind a load under way.
-        let least = |fits: &dyn Fn(&Candidate) -> bool| {
+        // Any uncrowded worker would have to load the function. A crowded one that is believed warm and has room takes
+        // the RPC, and a copy is ordered where the load would have gone. Else the RPC waits for a load under way.
+        let shallowest = |fits: &dyn Fn(&Candidate) -> bool| {
             all.iter().filter(|c| fits(c)).min_by(|a, b| a.depth.total_cmp(&b.depth)).map(|c| c.id)
         };
-        let loading = least(&|c| (HINTED_LOADING..=LOADING).contains(&c.affinity));
-        if let Some(to) = least(&|c| c.affinity >= HINTED_WARM) {
+        let loading = shallowest(&|c| (AFFINITY_HINTED_LOADING..=AFFINITY_LOADING).contains(&c.affinity));
+        if let Some(to) = shallowest(&|c| c.affinity >= AFFINITY_HINTED_WARM) {
             if let (None, Some(best)) = (loading, best) {
-                self.order(now, best.id, function);
+                self.order_load(now, best.id, function);
             }
             return Some(to);
         }
         if loading.is_some() {
-            // Held for a load of my own only: whoever told of another may be gone before it tells of its end.
-            let own = all.iter().any(|c| c.affinity == LOADING);
-            let held = self.part("familyInfo", "whenAbsent").is_some_and(|told| told == "miss");
-            return loading.filter(|_| !(held && own));
+            // Where workers answer 'miss', RPCs are held back for this scheduler's own loads only: the end of a load
+            // that another scheduler reported may never be reported.
+            let own = all.iter().any(|c| c.affinity == AFFINITY_LOADING);
+            let held_back = self.setting("familyInfo", "whenAbsent").is_some_and(|answer| answer == "miss");
+            return loading.filter(|_| !(held_back && own));
         }
-        best.map(|b| b.id).or_else(|| least(&|_| true))
+        best.map(|b| b.id).or_else(|| shallowest(&|_| true))
     }
 
-    fn send(&mut self, now: Time, id: RpcId, to: WorkerId) {
+    fn send_attempt(&mut self, now: Time, id: RpcId, to: WorkerId) {
         let affinity = self.affinity_at(now, to, self.rpcs[&id].function);
-        let (warm, loads) = (affinity >= WARM, affinity < HINTED_WARM);
-        let pull = self.part("loadInfo", "how").is_some_and(|how| how == "pull");
+        let (warm, loads) = (affinity >= AFFINITY_WARM, affinity < AFFINITY_HINTED_WARM);
+        let pull = self.setting("loadInfo", "how").is_some_and(|how| how == "pull");
         let probes = pull && self.allowed("limits", "probes");
         let (Some(rpc), Some(w)) = (self.rpcs.get_mut(&id), self.workers.get_mut(&to)) else { return };
         rpc.waiting = false;
         let tenant = rpc.tenant;
-        (w.mine, w.last_sent) = (w.mine + 1, now);
+        (w.own_in_flight, w.last_sent) = (w.own_in_flight + 1, now);
         let belief = w.beliefs.entry(rpc.function).or_default();
-        let (open, never_ran, full, broke, beside, overdue) = (true, false, false, false, belief.mine, 0);
-        rpc.outs.push(Attempt { worker: to, sent: now, open, never_ran, full, broke, warm, beside, overdue });
-        belief.mine += 1;
+        let (open, never_ran, full, connection_broke, own_ahead, overdue) =
+            (true, false, false, false, belief.own_in_flight, 0);
+        rpc.attempts.push(Attempt {
+            worker: to,
+            sent_at: now,
+            open,
+            never_ran,
+            full,
+            connection_broke,
+            warm,
+            own_ahead,
+            overdue,
+        });
+        belief.own_in_flight += 1;
         let function = rpc.function;
-        if loads && std::mem::replace(&mut belief.copies, Copies::Loading) != Copies::Loading {
-            self.host.observed(to, function, Hint::Loading, belief.mine);
+        if loads && std::mem::replace(&mut belief.copy, CopyState::Loading) != CopyState::Loading {
+            self.host.observed(to, function, Hint::Loading, belief.own_in_flight);
         }
         self.host.attempt(id, to, Time(0));
-        // Probes follow the RPCs taken, to the workers chosen: their number does not grow with the fleet.
-        if probes && self.probes >= 1.0 && now - w.probed >= REPORT_AGE {
-            w.probed = now;
-            self.probes -= 1.0;
+        // Probes go to the workers chosen, in proportion to the RPCs received: their number is independent of the size
+        // of the fleet.
+        if probes && self.probe_budget >= 1.0 && now - w.last_report >= MAX_REPORT_AGE {
+            w.last_report = now;
+            self.probe_budget -= 1.0;
             self.host.probe(to);
         }
-        self.weigh(tenant, warm, 1.0);
+        self.add_in_flight(tenant, warm, 1.0);
     }
 
     // 1. Health.
 
-    /// Adds evidence (a log-likelihood ratio) for or against a worker's health. Guards against workers that
-    /// fail fast or hang; should hold for anything that shows in outcomes. With a third of the fleet suspect
-    /// the trouble is not the worker's. May hurt where a tenant's own RPCs always fail: its workers look ill.
-    fn judge(&mut self, now: Time, id: WorkerId, evidence: f64) {
-        let (at, no) = (now.0, id.0);
+    /// Adds evidence (a log-likelihood ratio) about a worker's health, and ejects or clears the worker. This detects
+    /// workers that fail fast or hang, and any other fault that shows in outcomes. Once a third of the fleet is
+    /// suspect, the cause lies outside the workers, and no more are ejected. Limit: a tenant whose RPCs always fail
+    /// makes its workers look faulty.
+    fn add_evidence(&mut self, now: Time, id: WorkerId, evidence: f64) {
+        let (at, worker) = (now.0, id.0);
         let Some(w) = self.workers.get_mut(&id) else { return };
-        w.evidence = (w.evidence + evidence).clamp(0.0, EVIDENCE_CAP);
+        w.evidence = (w.evidence + evidence).clamp(0.0, MAX_EVIDENCE);
         let (evidence, suspect) = (w.evidence, w.suspect);
-        if suspect && evidence <= CLEARED_AT {
+        if suspect && evidence <= CLEARED_THRESHOLD {
             w.suspect = false;
-            self.host.log(&format!("{at}: worker {no} cleared, evidence {evidence:.1}"));
-        } else if !suspect && evidence >= SUSPECT_AT {
-            let ready = self.ready().count() as f64;
-            let suspects = self.ready().filter(|w| w.suspect).count() as f64 + 1.0;
-            if suspects <= (ready * EJECT_SHARE).max(1.0) {
+            self.host.log(&format!("{at}: worker {worker} cleared, evidence {evidence:.1}"));
+        } else if !suspect && evidence >= SUSPECT_THRESHOLD {
+            let ready = self.ready_workers().count() as f64;
+            let suspects = self.ready_workers().filter(|w| w.suspect).count() as f64 + 1.0;
+            if suspects <= (ready * MAX_EJECTED_SHARE).max(1.0) {
                 self.workers.entry(id).or_default().suspect = true;
                 let line =
-                    format!("{at}: worker {no} suspect, evidence {evidence:.1}, {suspects} of {ready}");
+                    format!("{at}: worker {worker} suspect, evidence {evidence:.1}, {suspects} of {ready}");
                 self.host.log(&line);
             }
         }
     }
 
-    /// Another scheduler saw this of a function at a worker so long ago. It counts for less than what I have
-    /// seen myself, and for nothing once I have seen more, past keep-alive, or if the worker started since.
-    /// Guards against a fleet in which each scheduler finds every copy anew. May hurt where it is wrong: an
-    /// RPC begins a load there, as it would have elsewhere.
+    /// Takes in another scheduler's observation, made `age` ago. It counts for less than this scheduler's own, and for
+    /// nothing if this scheduler has observed the copy since, if it is older than keep-alive, or if the worker started
+    /// later. Without hints each scheduler would have to find every copy itself. A wrong hint begins a load at a worker
+    /// without a copy, as a choice without hints would have.
     pub fn hint_received(
-        &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time,
+        &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, in_flight: u64, age: Time,
     ) {
         let at = now - age;
         let Some(w) = self.workers.get_mut(&worker) else { return };
         let belief = w.beliefs.entry(function).or_default();
-        let told = belief.hint.map_or(Time(0), |h| h.1).max(w.cold_since.unwrap_or_default());
-        if at <= told.max(belief.seen) {
+        let last = belief.hint.map_or(Time(0), |h| h.1).max(w.cold_since.unwrap_or_default());
+        if at <= last.max(belief.observed_at) {
             return;
         }
         belief.hint = Some((hint, at));
         if hint == Hint::Full {
-            belief.no_load_until = belief.no_load_until.max(at + HINTED_FULL);
+            belief.no_load_until = belief.no_load_until.max(at + HINTED_FULL_HOLD);
         } else if hint == Hint::Warm {
-            let others = held.min(HINTED_HELD).saturating_sub(belief.mine) as f64;
-            belief.tell(now, others, FADES, step(now - belief.told));
+            let others = in_flight.min(MAX_HINTED_IN_FLIGHT).saturating_sub(belief.own_in_flight) as f64;
+            belief.record_others(
+                now,
+                others,
+                ESTIMATE_HALF_LIFE_MS,
+                observation_weight(now - belief.others_at),
+            );
         }
     }
 
-    /// A load report came, with an answer or alone.
+    /// A load report arrived, with an answer or by itself.
     pub fn load_report_received(&mut self, now: Time, worker: WorkerId, report: &[f64]) {
-        let names = self.part("loadInfo", "names").and_then(Value::as_array);
+        let names = self.setting("loadInfo", "names").and_then(Value::as_array);
         let value = |name: &str| report.get(names?.iter().position(|n| n == name)?).copied();
-        // Where no report holds utilisation, the RPCs held there stand for it, against the mean of others.
+        // Without utilization in the report, the number of RPCs at the worker is used, relative to the other workers'.
         let util = value("utilization").or(value("outstanding")).or(value("backlog"));
-        let memory = value("x0");
+        let pinned_memory = value("x0");
         if let Some(w) = self.workers.get_mut(&worker).filter(|_| !report.is_empty()) {
-            w.probed = now;
-            (w.util, w.memory) = (util.or(w.util), memory.unwrap_or(w.memory));
+            w.last_report = now;
+            (w.utilization, w.pinned_memory) =
+                (util.or(w.utilization), pinned_memory.unwrap_or(w.pinned_memory));
         }
     }
 
-    /// How long an attempt may take before it counts as overdue.
-    fn limit(&self, method: MethodId, warm: bool) -> Time {
-        let usual = self.methods.get(&method).map(|p| p[usize::from(warm)]).unwrap_or_default();
-        let unknown = if warm { 1.0 } else { 3.0 } * self.aim(method);
-        Time::from_ms(if usual.n < 5.0 { unknown } else { 2.0 * usual.mean + 3.0 * usual.dev })
+    /// The time after which an open attempt counts as overdue.
+    fn overdue_after(&self, method: MethodId, warm: bool) -> Time {
+        let times = self.answer_times.get(&method).map(|p| p[usize::from(warm)]).unwrap_or_default();
+        let assumed = if warm { 1.0 } else { 3.0 } * self.soft_deadline(method);
+        Time::from_ms(if times.count < 5.0 { assumed } else { 2.0 * times.mean + 3.0 * times.deviation })
     }
 
     // 2. Slow start.
 
-    /// Guards against schedulers that together push a cold worker over. Each gives it its present share of
-    /// capacity times what this scheduler gets answered by a worker of its size on the mean: no fleet answers
-    /// more than its capacity, so the sum stays under the stated multiple, also when retries swell what is
-    /// taken. One attempt a slot, at times of its own, keeps those with a part under one a window to it.
-    fn budget_left(&self, now: Time, w: &Worker) -> bool {
+    /// Whether a worker may be sent an attempt as far as its cold start goes. Keeps schedulers from overloading a cold
+    /// worker together: each limits itself to the worker's present share of capacity, times the answers that this
+    /// scheduler gets from a worker of that size on average. The fleet answers no more than its capacity, so the sum
+    /// stays below the stated multiple (`fallMultiple`), also when retries multiply the RPCs. The budget is given out
+    /// in time slots of one attempt each, so that schedulers with a budget below one attempt per window keep to it too.
+    fn cold_budget_left(&self, now: Time, w: &Worker) -> bool {
         let Some(since) = w.cold_since else { return true };
-        let within = self.span("contract", "warmWithin");
-        if now - since >= within {
+        let warm_within = self.duration("contract", "warmWithin");
+        if now - since >= warm_within {
             return true;
         }
-        let fall = self.span("contract", "fall");
+        let fall = self.duration("contract", "fall");
         let (age, from) = (now - since, self.number("contract", "startCapacity", 0.2));
-        let capacity = from + (1.0 - from) * age.0 as f64 / within.0.max(1) as f64;
-        let per_window = self.rate * fall.ms() * self.size(w, self.sizes_told()) / self.most_ready.max(1.0);
-        let budget = COLD_PART * self.number("contract", "fallMultiple", 2.0) * capacity * per_window;
-        // In steps of two, that a rate that moves does not open one slot after the other.
-        let gap = fall.ms() * budget.max(1.0 / self.schedulers()).log2().floor().exp2().recip();
-        // Slots lapse unused: else all schedulers spend theirs at once when a function's home moves here.
-        // Slots of half the length begin where longer ones do, and half way: a step opens few at once.
-        let into = (age.ms() + w.phase * PHASES * fall.ms()) % gap.max(0.1);
-        // A slot's length apart, also where one was used late or slots have just grown shorter.
+        let capacity = from + (1.0 - from) * age.0 as f64 / warm_within.0.max(1) as f64;
+        let per_window =
+            self.rate * fall.ms() * self.relative_size(w, self.sizes_known()) / self.peak_ready.max(1.0);
+        let budget = COLD_BUDGET_SHARE * self.number("contract", "fallMultiple", 2.0) * capacity * per_window;
+        // The gap between slots is the window times a power of two: otherwise a changing rate opens slot after slot.
+        let gap = fall.ms() * budget.max(1.0 / self.scheduler_count()).log2().floor().exp2().recip();
+        // Unused slots lapse. Otherwise all schedulers would spend theirs at once when a function's preferred worker
+        // becomes this one. With halved gaps, slots begin where the longer ones did and half way between, so that a
+        // change of the gap opens few slots at once.
+        let into_slot = (age.ms() + w.slot_phase * SLOT_WINDOWS * fall.ms()) % gap.max(0.1);
+        // Attempts are at least one gap apart, also where a slot was used late or the gap has just been halved.
         let unspent = w.last_sent + Time::from_ms(gap) <= now || w.last_sent < since;
-        unspent && into <= fall.ms() / 2.0
+        unspent && into_slot <= fall.ms() / 2.0
     }
 
-    // 3. The second line.
+    // 3. Retries.
 
-    /// Tries an RPC's first attempt; true: it has to wait.
-    fn first_attempt(&mut self, now: Time, id: RpcId) -> bool {
+    /// Tries to send an RPC's first attempt; true: the RPC has to wait.
+    fn try_first_attempt(&mut self, now: Time, id: RpcId) -> bool {
         let waits = self.admit(now, id);
-        let to = if waits == Some(false) { self.pick(now, id) } else { None };
+        let to = if waits == Some(false) { self.pick_worker(now, id) } else { None };
         match to {
-            None if waits.is_none() || self.hopeless(now, id) => self.give_up(now, id),
-            Some(to) if self.loads_rationed(now, to, id) => self.give_up(now, id),
-            Some(to) => self.send(now, id, to),
+            None if waits.is_none() || self.is_hopeless(now, id) => self.give_up(now, id),
+            Some(to) if self.is_load_excessive(now, to, id) => self.give_up(now, id),
+            Some(to) => self.send_attempt(now, id, to),
             None => return true,
         }
         false
     }
 
-    /// Tries an RPC's further attempt; true: it has to wait. One beside an open attempt goes only where a
-    /// copy is believed warm, and does not wait. What proves that it never ran costs nothing of the budget.
-    /// Turned away by two workers at which it would have begun a load, or failed by two loads, an RPC begins
-    /// none elsewhere: a store that turns fetches away does so whoever asks. Guards
-    /// against schedulers that each scatter a function's loads beyond its homes: these turn away further
-    /// loads, and the fleet stays so. Should hold for any lack of room for loads. May hurt a small fleet
-    /// where a third worker alone has room: the function's next RPCs find it.
-    fn further_attempt(&mut self, now: Time, id: RpcId) -> bool {
+    /// Tries to send a further attempt of an RPC; true: the RPC has to wait. A hedged attempt (beside an open one) goes
+    /// only where a copy is believed warm, and does not wait. A retry after an attempt that provably never ran is free
+    /// of charge to the retry budget. After two workers at which it would have begun a load have turned it away, or two
+    /// loads have failed, an RPC begins no further load: a store that rejects fetches does so for every worker.
+    /// Otherwise schedulers scatter a function's loads beyond its preferred workers, the workers that receive them turn
+    /// away further loads, and the fleet does not recover. This holds for any lack of room for loads. Limit: in a small
+    /// fleet a third worker may be the only one with room; the function's next RPCs find it.
+    fn try_further_attempt(&mut self, now: Time, id: RpcId) -> bool {
         let rpc = &self.rpcs[&id];
-        let beside = rpc.open() > 0;
-        let cost = if rpc.outs.last().is_some_and(|o| o.never_ran) { 0.0 } else { 1.0 };
-        let most = self.number("limits", "maxAttempts", f64::MAX);
-        let (limit, out, _) = self.load(rpc.tenant);
-        let possible = if beside { out <= CLOSE * limit } else { self.harmless_to_any(now, rpc) };
-        let possible = possible && (rpc.outs.len() as f64) < most;
-        let to = if possible && self.retries >= cost { self.pick(now, id) } else { None };
+        let hedged = rpc.open_attempts() > 0;
+        let cost = if rpc.attempts.last().is_some_and(|a| a.never_ran) { 0.0 } else { 1.0 };
+        let max_attempts = self.number("limits", "maxAttempts", f64::MAX);
+        let (limit, in_flight, _) = self.in_flight_limit(rpc.tenant);
+        let possible = if hedged {
+            in_flight <= NEAR_LIMIT_SHARE * limit
+        } else {
+            self.is_repeatable_anywhere(now, rpc)
+        };
+        let possible = possible && (rpc.attempts.len() as f64) < max_attempts;
+        let to = if possible && self.retry_budget >= cost { self.pick_worker(now, id) } else { None };
         let rpc = &self.rpcs[&id];
-        let turned_away = rpc.outs.iter().filter(|o| o.full && !o.warm).count() >= LOADS_TRIED;
-        let least = if beside {
-            HINTED_WARM
+        let turned_away = rpc.attempts.iter().filter(|a| a.full && !a.warm).count() >= MAX_LOADS_TRIED;
+        let min_affinity = if hedged {
+            AFFINITY_HINTED_WARM
         } else if turned_away {
-            LOADING
+            AFFINITY_LOADING
         } else {
             0.0
         };
-        match to.filter(|to| self.affinity_at(now, *to, rpc.function) >= least) {
+        match to.filter(|to| self.affinity_at(now, *to, rpc.function) >= min_affinity) {
             Some(to) => {
-                self.retries -= cost;
-                self.send(now, id, to);
+                self.retry_budget -= cost;
+                self.send_attempt(now, id, to);
             }
-            None if beside => self.rpcs.get_mut(&id).into_iter().for_each(|r| r.waiting = false),
-            None if !possible || self.hopeless(now, id) => self.give_up(now, id),
+            None if hedged => self.rpcs.get_mut(&id).into_iter().for_each(|r| r.waiting = false),
+            None if !possible || self.is_hopeless(now, id) => self.give_up(now, id),
             None => return true,
         }
         false
     }
 
-    /// Serves first attempts, then further ones, until a few have found no room.
-    fn serve(&mut self, now: Time) {
-        for no in 0..self.lines.len() {
-            let (mut stuck, mut left) = (0, self.lines[no].len());
-            while stuck < STUCK && left > 0 {
-                left -= 1;
-                let Some(id) = self.lines[no].pop_front() else { break };
+    /// Serves first attempts, then further ones, each until a few RPCs have found no room.
+    fn serve_queues(&mut self, now: Time) {
+        for queue in 0..self.queues.len() {
+            let (mut blocked, mut unserved) = (0, self.queues[queue].len());
+            while blocked < MAX_BLOCKED && unserved > 0 {
+                unserved -= 1;
+                let Some(id) = self.queues[queue].pop_front() else { break };
                 if self.rpcs.get(&id).is_none_or(|r| r.done || !r.waiting) {
                     continue;
                 }
-                if if no == 0 { self.first_attempt(now, id) } else { self.further_attempt(now, id) } {
-                    self.lines[no].push_back(id);
-                    stuck += 1;
+                if if queue == 0 {
+                    self.try_first_attempt(now, id)
+                } else {
+                    self.try_further_attempt(now, id)
+                } {
+                    self.queues[queue].push_back(id);
+                    blocked += 1;
                 }
             }
         }
     }
 
-    /// Looks for overdue attempts: each is evidence against its worker, and earns a further attempt beside
-    /// it where that is allowed. Then keeps the books short.
+    /// Finds overdue attempts: each is evidence against its worker if the worker has been silent, and leads to a hedged
+    /// attempt where that is allowed. Then updates the rates and drops old state.
     fn sweep(&mut self, now: Time) {
-        let mut late: Vec<(RpcId, usize, WorkerId)> = Vec::new();
+        let mut overdue: Vec<(RpcId, usize, WorkerId)> = Vec::new();
         for (&id, rpc) in &self.rpcs {
-            for (no, out) in rpc.outs.iter().enumerate().filter(|(_, o)| o.open && o.overdue < 3) {
-                let limit = self.limit(rpc.method, out.warm);
-                if now - out.sent > Time(limit.0 << out.overdue) {
-                    late.push((id, no, out.worker));
+            for (number, attempt) in rpc.attempts.iter().enumerate().filter(|(_, a)| a.open && a.overdue < 3)
+            {
+                let limit = self.overdue_after(rpc.method, attempt.warm);
+                if now - attempt.sent_at > Time(limit.0 << attempt.overdue) {
+                    overdue.push((id, number, attempt.worker));
                 }
             }
         }
-        for (id, no, worker) in late {
-            // Silence is evidence, slowness under load is not: only if it answered nothing since.
-            let silent = self.rpcs[&id].outs[no].sent >= self.workers[&worker].heard;
+        for (id, number, worker) in overdue {
+            // Silence is evidence and slowness under load is not: the worker counts as silent only if it has answered
+            // nothing since the attempt was sent.
+            let silent = self.rpcs[&id].attempts[number].sent_at >= self.workers[&worker].last_answer;
             if silent {
-                self.judge(now, worker, SILENT);
+                self.add_evidence(now, worker, EVIDENCE_SILENT);
             }
-            let second = self.allowed("limits", "secondCopies") && self.harmless_to_any(now, &self.rpcs[&id]);
+            let may_hedge =
+                self.allowed("limits", "secondCopies") && self.is_repeatable_anywhere(now, &self.rpcs[&id]);
             let Some(rpc) = self.rpcs.get_mut(&id) else { continue };
-            rpc.outs[no].overdue += 1;
-            let first = (rpc.outs[no].overdue == 1).then_some((rpc.tenant, rpc.outs[no].warm));
-            let fits = !rpc.done && !rpc.streaming && !rpc.waiting && rpc.open() == 1;
-            if second && fits && (silent || rpc.outs[no].overdue > 1) {
+            rpc.attempts[number].overdue += 1;
+            let newly_overdue =
+                (rpc.attempts[number].overdue == 1).then_some((rpc.tenant, rpc.attempts[number].warm));
+            let unanswered = !rpc.done && !rpc.streaming && !rpc.waiting && rpc.open_attempts() == 1;
+            if may_hedge && unanswered && (silent || rpc.attempts[number].overdue > 1) {
                 rpc.waiting = true;
-                self.lines[1].push_back(id);
+                self.queues[1].push_back(id);
             }
-            if let Some((tenant, warm)) = first {
-                self.weigh(tenant, warm, -1.0);
+            if let Some((tenant, warm)) = newly_overdue {
+                self.add_in_flight(tenant, warm, -1.0);
             }
         }
-        // The rate is over many answers, that one busy moment is not taken for the usual.
-        let n = self.answered.len().min(RATE_ANSWERS);
-        let over = self.answered.iter().rev().nth(n.saturating_sub(1)).map_or(Time(0), |&first| now - first);
-        self.rate = n.saturating_sub(1) as f64 / over.max(LEAST_RATE_OVER).ms();
-        self.best_rate = self.rate.max(self.best_rate * FADE);
-        self.most_ready = (self.ready().count() as f64).max(self.most_ready * FADE);
-        let keep = self.keep();
-        let told = |b: &Belief| b.hint.is_some_and(|(_, at)| now - at <= keep);
+        // The rate is taken over many answers, so that one busy moment is not taken for the usual rate.
+        let count = self.answered.len().min(RATE_ANSWERS);
+        let window =
+            self.answered.iter().rev().nth(count.saturating_sub(1)).map_or(Time(0), |&first| now - first);
+        self.rate = count.saturating_sub(1) as f64 / window.max(MIN_RATE_WINDOW).ms();
+        self.peak_rate = self.rate.max(self.peak_rate * PEAK_DECAY_PER_TICK);
+        self.peak_ready = (self.ready_workers().count() as f64).max(self.peak_ready * PEAK_DECAY_PER_TICK);
+        let keep_alive = self.keep_alive();
+        let hinted = |b: &Belief| b.hint.is_some_and(|(_, at)| now - at <= keep_alive);
         for w in self.workers.values_mut() {
-            if w.suspect && w.mine == 0 {
-                w.evidence = (w.evidence - FADING * TICK.ms()).max(0.0);
-                w.suspect = w.evidence > CLEARED_AT;
+            if w.suspect && w.own_in_flight == 0 {
+                w.evidence = (w.evidence - EVIDENCE_DECAY_PER_MS * TICK_INTERVAL.ms()).max(0.0);
+                w.suspect = w.evidence > CLEARED_THRESHOLD;
             }
             w.beliefs.retain(|_, b| {
-                let stands = match b.copies {
-                    Copies::Warm(used) => now - used <= keep + keep,
-                    copies => copies != Copies::Unknown || b.no_load_until > now,
+                let useful = match b.copy {
+                    CopyState::Warm(used) => now - used <= keep_alive + keep_alive,
+                    copy => copy != CopyState::Unknown || b.no_load_until > now,
                 };
-                b.mine > 0 || stands || told(b)
+                b.own_in_flight > 0 || useful || hinted(b)
             });
         }
-        self.forget_gone(now);
-        for times in [&mut self.taken, &mut self.answered, &mut self.orders] {
-            while times.front().is_some_and(|&t| t + KEEP < now) {
+        self.forget_gone_workers(now);
+        for times in [&mut self.received, &mut self.answered, &mut self.orders] {
+            while times.front().is_some_and(|&t| t + HISTORY_RETENTION < now) {
                 times.pop_front();
             }
         }
     }
 
-    /// A worker long gone is forgotten once nothing is out to it and no RPC still asks where it was: a daemon
-    /// runs for months, and every RPC walks what is kept.
-    fn forget_gone(&mut self, now: Time) {
-        let over = |w: &Worker| w.standing == Lifecycle::Gone && w.mine == 0 && w.told + KEEP < now;
-        if self.workers.values().any(over) {
-            let asked: BTreeSet<_> = self.rpcs.values().flat_map(|r| &r.outs).map(|o| o.worker).collect();
-            self.workers.retain(|id, w| !over(w) || asked.contains(id));
+    /// Forgets workers that have been gone for long, once no attempt to them is open and no RPC has an attempt there on
+    /// record. The process runs for months, and each RPC walks all workers that are kept.
+    fn forget_gone_workers(&mut self, now: Time) {
+        let expired = |w: &Worker| {
+            w.lifecycle == Lifecycle::Gone && w.own_in_flight == 0 && w.listed_at + HISTORY_RETENTION < now
+        };
+        if self.workers.values().any(expired) {
+            let in_use: BTreeSet<_> =
+                self.rpcs.values().flat_map(|r| &r.attempts).map(|a| a.worker).collect();
+            self.workers.retain(|id, w| !expired(w) || in_use.contains(id));
         }
     }
 
     // 4. Copies.
 
-    /// Orders one copy, within the ration; the worker counts as loading it from then on.
-    fn order(&mut self, now: Time, at: WorkerId, function: FunctionId) {
-        let window = self.span("familyInfo", "loadsWithin");
+    /// Orders one copy, within the rate limit on load orders; from then on the worker counts as loading it.
+    fn order_load(&mut self, now: Time, at: WorkerId, function: FunctionId) {
+        let window = self.duration("familyInfo", "loadsWithin");
         let share = self.number("familyInfo", "loadShare", 0.0);
-        let most = self.number("familyInfo", "loadFloor", 0.0) + share * recent(&self.taken, now, window);
-        let spent = window > Time(0) && recent(&self.orders, now, window + Time(1)) + 1.0 > most;
-        let may = self.allowed("familyInfo", "mayOrder") && !spent;
-        let Some(w) = self.workers.get_mut(&at).filter(|w| may && w.standing == Lifecycle::Ready) else {
+        let limit =
+            self.number("familyInfo", "loadFloor", 0.0) + share * count_recent(&self.received, now, window);
+        let spent = window > Time(0) && count_recent(&self.orders, now, window + Time(1)) + 1.0 > limit;
+        let may_order = self.allowed("familyInfo", "mayOrder") && !spent;
+        let Some(w) = self.workers.get_mut(&at).filter(|w| may_order && w.lifecycle == Lifecycle::Ready)
+        else {
             return;
         };
-        w.beliefs.entry(function).or_default().copies = Copies::Loading;
+        w.beliefs.entry(function).or_default().copy = CopyState::Loading;
         self.orders.push_back(now);
         self.host.observed(at, function, Hint::Loading, 0);
         self.host.load(at, function, 1);
@@ -903,83 +1025,89 @@
 
     // 5. Admission.
 
-    /// What may be out at warm copies so that answers come in half the soft deadline (Little's law on my own
-    /// answers), and what is out, in all and for the tenant. Guards against overload; should hold for what
-    /// fills the workers' queues, as answers then come no faster. May hurt just after a long quiet spell.
-    fn load(&self, tenant: TenantId) -> (f64, f64, f64) {
-        let usual = self.best_rate * TARGET * self.aims.mean;
-        let part = PART_OUT * self.ready().count() as f64 / self.schedulers();
-        let limit = (usual + CHANCE).max(part);
-        (limit, self.out, self.out_of.get(&tenant).copied().unwrap_or(0.0))
+    /// The limit of RPCs in flight at warm copies, and how many are in flight, in total and for the tenant. The limit
+    /// keeps answers within a share of the soft deadline, by Little's law on this scheduler's own rate of answers. It
+    /// guards against overload of any kind that fills the workers' queues, as answers then come no faster. Limit: it is
+    /// too low just after a long quiet spell.
+    fn in_flight_limit(&self, tenant: TenantId) -> (f64, f64, f64) {
+        let usual = self.peak_rate * TARGET_DEADLINE_SHARE * self.soft_deadlines.mean;
+        let floor = MIN_IN_FLIGHT_PER_WORKER * self.ready_workers().count() as f64 / self.scheduler_count();
+        let limit = (usual + IN_FLIGHT_SLACK).max(floor);
+        (limit, self.in_flight, self.tenant_in_flight.get(&tenant).copied().unwrap_or(0.0))
     }
 
-    /// An attempt comes or goes. RPCs behind a load count in part; halves add up exactly.
-    fn weigh(&mut self, tenant: TenantId, warm: bool, sign: f64) {
-        let weight = sign * if warm { 1.0 } else { BEHIND_LOAD };
-        self.out += weight;
-        *self.out_of.entry(tenant).or_default() += weight;
+    /// Counts an attempt that begins (sign 1) or ends (sign -1). The weights are exact in binary: the sums return to 0.
+    fn add_in_flight(&mut self, tenant: TenantId, warm: bool, sign: f64) {
+        let weight = sign * if warm { 1.0 } else { BEHIND_LOAD_WEIGHT };
+        self.in_flight += weight;
+        *self.tenant_in_flight.entry(tenant).or_default() += weight;
     }
 
-    /// A method's part of the bound: by its gain for the time of an answer, against the mean of methods.
-    fn part_of_bound(&self, method: MethodId) -> f64 {
-        let gain = |m: &MethodId| self.of_method(*m, "gain").and_then(Value::as_f64).unwrap_or(1.0);
-        let density = |m: &MethodId| gain(m) / self.methods.get(m).map_or(1.0, |p| p[1].mean.max(1.0));
-        let mean = self.methods.keys().map(density).sum::<f64>() / self.methods.len().max(1) as f64;
-        (density(&method) / mean.max(1e-9)).clamp(PARTS.0, PARTS.1)
+    /// A method's share of the in-flight limit: its gain per time of an answer, relative to the mean of all methods.
+    fn method_limit_share(&self, method: MethodId) -> f64 {
+        let gain = |m: &MethodId| self.method_setting(*m, "gain").and_then(Value::as_f64).unwrap_or(1.0);
+        let density = |m: &MethodId| gain(m) / self.answer_times.get(m).map_or(1.0, |p| p[1].mean.max(1.0));
+        let mean = self.answer_times.keys().map(density).sum::<f64>() / self.answer_times.len().max(1) as f64;
+        (density(&method) / mean.max(1e-9)).clamp(METHOD_SHARE_RANGE.0, METHOD_SHARE_RANGE.1)
     }
 
-    /// Whether an RPC has to wait; none: near the bound, its tenant is over its share or its time too short.
+    /// Whether an RPC has to wait; none: it is rejected, as the limit is near and its tenant is over its share or its
+    /// time is too short.
     fn admit(&self, now: Time, id: RpcId) -> Option<bool> {
         let tenant = self.rpcs[&id].tenant;
-        let (limit, out, of_tenant) = self.load(tenant);
+        let (limit, in_flight, of_tenant) = self.in_flight_limit(tenant);
         let share = self.settings.get("tenants").and_then(|l| l.get(tenant.0)?.get("share")?.as_f64());
-        let over = share.is_some_and(|s| of_tenant > s * limit + CHANCE);
-        let room = out < self.part_of_bound(self.rpcs[&id].method) * limit || (share.is_some() && !over);
-        // Shares are for tenants that meet here: one alone may have all.
-        let over = over && of_tenant < out;
-        (out <= CLOSE * limit || !(over || self.hopeless(now, id))).then_some(!room)
-    }
-
-    /// Whether there are loads enough near the bound: they push out wanted copies and take memory and cores.
-    fn loads_rationed(&self, now: Time, to: WorkerId, id: RpcId) -> bool {
-        let (limit, out, _) = self.load(self.rpcs[&id].tenant);
-        let loading = |w: &Worker| w.beliefs.values().filter(|b| b.copies == Copies::Loading).count();
-        out > CLOSE * limit
-            && self.affinity_at(now, to, self.rpcs[&id].function) < IMAGE
+        let over = share.is_some_and(|s| of_tenant > s * limit + IN_FLIGHT_SLACK);
+        let room =
+            in_flight < self.method_limit_share(self.rpcs[&id].method) * limit || (share.is_some() && !over);
+        // Shares only apply between tenants that are active: a single one may use the whole limit.
+        let over = over && of_tenant < in_flight;
+        (in_flight <= NEAR_LIMIT_SHARE * limit || !(over || self.is_hopeless(now, id))).then_some(!room)
+    }
+
+    /// Whether the attempt would begin a load while the limit is near and an eighth as many loads as workers are under
+    /// way. Loads push out copies that are in use, and take memory and cores.
+    fn is_load_excessive(&self, now: Time, to: WorkerId, id: RpcId) -> bool {
+        let (limit, in_flight, _) = self.in_flight_limit(self.rpcs[&id].tenant);
+        let loading = |w: &Worker| w.beliefs.values().filter(|b| b.copy == CopyState::Loading).count();
+        in_flight > NEAR_LIMIT_SHARE * limit
+            && self.affinity_at(now, to, self.rpcs[&id].function) < AFFINITY_IMAGE
             && self.workers.values().map(loading).sum::<usize>() * 8 >= self.workers.len()
     }
 
-    /// Whether an RPC that waits can no longer be in time. Guards against queues that make every answer late;
-    /// should hold for any overload. May hurt where a late answer is worth nearly as much as one in time.
-    fn hopeless(&self, now: Time, id: RpcId) -> bool {
+    /// Whether a waiting RPC can no longer be answered by its soft deadline. Giving such RPCs up keeps a queue, in any
+    /// overload, from making every answer late. Limit: this loses value where a late answer is worth nearly as much as a
+    /// timely one.
+    fn is_hopeless(&self, now: Time, id: RpcId) -> bool {
         let rpc = &self.rpcs[&id];
-        let aim = rpc.taken + Time::from_ms(self.aim(rpc.method));
-        let usual = self.methods.get(&rpc.method).map_or(0.0, |p| p[1].mean);
-        now + Time::from_ms(usual) > aim.min(rpc.deadline)
+        let soft_deadline = rpc.received_at + Time::from_ms(self.soft_deadline(rpc.method));
+        let mean_answer_ms = self.answer_times.get(&rpc.method).map_or(0.0, |p| p[1].mean);
+        now + Time::from_ms(mean_answer_ms) > soft_deadline.min(rpc.deadline)
     }
 
-    /// The final answer for an RPC that cannot be answered in time: a denial where that is harmless.
+    /// Gives the final answer of an RPC that cannot be answered in time: denied where a repeat is safe, else aborted.
     fn give_up(&mut self, now: Time, id: RpcId) {
-        if self.harmless(now, &self.rpcs[&id], None) {
+        if self.is_repeatable(now, &self.rpcs[&id], None) {
             let advised = self.allowed("limits", "retryAfter");
-            let most = if advised { self.span("limits", "maxRetryAfter") } else { Time(0) };
-            self.host.deny(id, Time(most.0 / 2));
+            let max = if advised { self.duration("limits", "maxRetryAfter") } else { Time(0) };
+            self.host.deny(id, Time(max.0 / 2));
         } else {
             self.host.abort(id);
         }
         self.close(id);
     }
 
-    /// Nothing more is owed for an RPC; its open attempts are ended, and it is kept until they have.
+    /// Ends an RPC whose final answer is given or no longer wanted. Its open attempts are cancelled, and its entry is
+    /// kept until they have ended.
     fn close(&mut self, id: RpcId) {
         let may_cancel = self.allowed("limits", "mayCancel");
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
-        let first = !std::mem::replace(&mut rpc.done, true);
-        if rpc.open() == 0 {
+        let first_close = !std::mem::replace(&mut rpc.done, true);
+        if rpc.open_attempts() == 0 {
             self.rpcs.remove(&id);
-        } else if first && may_cancel {
-            for (no, _) in rpc.outs.iter().enumerate().filter(|(_, o)| o.open) {
-                self.host.cancel(id, AttemptNumber(no));
+        } else if first_close && may_cancel {
+            for (number, _) in rpc.attempts.iter().enumerate().filter(|(_, a)| a.open) {
+                self.host.cancel(id, AttemptNumber(number));
             }
         }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,122 +1,133 @@
-//! What the decision module keeps of workers and RPCs; it alone decides what goes in.
+//! The state that the scheduler keeps of workers and RPCs.
 
 use std::collections::BTreeMap;
 
 use crate::types::*;
 
-/// What I believe of a function on a worker, from my sends and answers only.
+/// What this scheduler believes of a function's copies on a worker, from its own attempts and their answers only.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Copies {
+pub enum CopyState {
     #[default]
     Unknown,
     Loading,
-    /// Last known warm at this time; past keep-alive only an image may be left on its disk.
+    /// Last known warm at this time. Past keep-alive, at most an image is left on the worker's disk.
     Warm(Time),
 }
 
+/// What this scheduler believes of one function on one worker.
 #[derive(Default)]
 pub struct Belief {
-    pub copies: Copies,
-    pub mine: u64,
-    /// RPCs of the function that others had there, as answers told at `told`.
-    pub others: f64,
-    pub told: Time,
-    /// The worker turned the function away where it lacked a copy: no load is begun there until then.
+    pub copy: CopyState,
+    /// Attempts of this scheduler in flight.
+    pub own_in_flight: u64,
+    /// RPCs in flight from other schedulers, a decaying mean of what answers and hints reported.
+    pub others_in_flight: f64,
+    /// When `others_in_flight` was last updated.
+    pub others_at: Time,
+    /// No load is begun here until then: the worker had no copy and turned the function away.
     pub no_load_until: Time,
-    /// When I last saw myself whether a copy stands there.
-    pub seen: Time,
-    /// What another scheduler has seen since, and when.
+    /// When this scheduler itself last observed whether the worker has a copy.
+    pub observed_at: Time,
+    /// The latest observation of another scheduler that is newer than `observed_at`, and its time.
     pub hint: Option<(Hint, Time)>,
 }
 
 impl Belief {
-    /// What was told of others, halved for each `half` milliseconds since.
-    pub fn others_now(&self, now: Time, half: f64) -> f64 {
-        faded(self.others, 0.0, now - self.told, half)
+    /// `others_in_flight`, halved for each `half_life_ms` since it was updated.
+    pub fn others_now(&self, now: Time, half_life_ms: f64) -> f64 {
+        decayed(self.others_in_flight, 0.0, now - self.others_at, half_life_ms)
     }
 
-    /// An answer told of `others`, which weighs `step` against all before.
-    pub fn tell(&mut self, now: Time, others: f64, half: f64, step: f64) {
-        let before = self.others_now(now, half);
-        (self.others, self.told) = (before + (others - before) * step, now);
+    /// Adds a reported number of other schedulers' RPCs, with this weight against all before it.
+    pub fn record_others(&mut self, now: Time, others: f64, half_life_ms: f64, weight: f64) {
+        let before = self.others_now(now, half_life_ms);
+        (self.others_in_flight, self.others_at) = (before + (others - before) * weight, now);
     }
 }
 
-/// What is left of `value` above `rest` after a time, halved each `half` milliseconds.
-pub fn faded(value: f64, rest: f64, age: Time, half: f64) -> f64 {
-    if value == rest {
-        return rest;
+/// `value` after `age`: its distance from `baseline` halves each `half_life_ms`.
+pub fn decayed(value: f64, baseline: f64, age: Time, half_life_ms: f64) -> f64 {
+    if value == baseline {
+        return baseline;
     }
-    rest + (value - rest) * (-age.ms() / half).exp2()
+    baseline + (value - baseline) * (-age.ms() / half_life_ms).exp2()
 }
 
 #[derive(Default)]
 pub struct Worker {
-    pub standing: Lifecycle,
+    pub lifecycle: Lifecycle,
     pub size: f64,
-    /// When the list last told something of it.
-    pub told: Time,
-    pub since: Time,
-    /// Since when it may be cold: its listed start, or a death that I saw myself.
+    /// When an endpoint list last named this worker, or a complete one left it out.
+    pub listed_at: Time,
+    /// The start of its process, as listed.
+    pub started_at: Time,
+    /// Since when its process may be cold: its listed start, or a death that this scheduler saw.
     pub cold_since: Option<Time>,
     pub zone: ZoneId,
     pub cell: CellId,
-    pub mine: u64,
+    /// Attempts of this scheduler in flight.
+    pub own_in_flight: u64,
+    /// Most attempts that this scheduler keeps in flight here.
     pub ceiling: f64,
-    /// A 'full' reply holds until then, longer with each in a row.
+    /// End of the pause after a 'full' reply; the pause grows with each such reply in a row.
     pub full_until: Time,
-    pub fulls: u32,
-    pub util: Option<f64>,
-    /// The share of its memory that can't be freed, as last reported.
-    pub memory: f64,
-    /// How long its warm answers took against the usual, at `paced`; nought where it has given none.
+    /// 'Full' replies in a row, as far as they lengthen the pause.
+    pub consecutive_fulls: u32,
+    pub utilization: Option<f64>,
+    /// Share of its memory that can't be freed, as last reported.
+    pub pinned_memory: f64,
+    /// Its warm answers' times as a multiple of the method's mean, at `slowness_at`; meaningless before any.
     pub slowness: f64,
-    pub paced: Time,
+    /// When `slowness` was last updated; zero: never.
+    pub slowness_at: Time,
     pub beliefs: BTreeMap<FunctionId, Belief>,
+    /// Log-likelihood ratio that the worker is failing.
     pub evidence: f64,
     pub suspect: bool,
-    /// Where in its gap between attempts my first one to it lies while it is cold, drawn anew at each start.
-    pub phase: f64,
+    /// Position of this scheduler's slots among those of all schedulers while the worker is cold, from 0 to 1. Drawn at
+    /// each start of the worker.
+    pub slot_phase: f64,
     pub last_sent: Time,
-    /// When an attempt to it last broke off.
-    pub broke: Time,
-    /// When it last answered anything.
-    pub heard: Time,
-    pub probed: Time,
+    /// When the connection of an attempt last broke.
+    pub last_broken: Time,
+    /// When the worker last answered anything.
+    pub last_answer: Time,
+    /// When a load report last arrived or was last asked for.
+    pub last_report: Time,
 }
 
 impl Worker {
-    pub fn slowness_now(&self, now: Time, half: f64) -> f64 {
-        let told = if self.paced == Time(0) { 1.0 } else { self.slowness };
-        faded(told, 1.0, now - self.paced, half)
+    pub fn slowness_now(&self, now: Time, half_life_ms: f64) -> f64 {
+        let last = if self.slowness_at == Time(0) { 1.0 } else { self.slowness };
+        decayed(last, 1.0, now - self.slowness_at, half_life_ms)
     }
 
-    /// A warm answer took so much against the usual; it weighs `step` against all before.
-    pub fn took(&mut self, now: Time, against_usual: f64, half: f64, step: f64) {
-        let before = self.slowness_now(now, half);
-        (self.slowness, self.paced) = (before + (against_usual - before) * step, now);
+    /// Adds a warm answer's time, as a multiple of the method's mean, with this weight against all before it.
+    pub fn record_slowness(&mut self, now: Time, multiple: f64, half_life_ms: f64, weight: f64) {
+        let before = self.slowness_now(now, half_life_ms);
+        (self.slowness, self.slowness_at) = (before + (multiple - before) * weight, now);
     }
 
-    /// A death, a restart or a broken connection: nothing that was believed of its copies holds.
+    /// Drops all beliefs about copies, after a death, a restart or a broken connection.
     pub fn forget_copies(&mut self) {
-        self.beliefs.values_mut().for_each(|b| (b.copies, b.hint) = (Copies::Unknown, None));
+        self.beliefs.values_mut().for_each(|b| (b.copy, b.hint) = (CopyState::Unknown, None));
     }
 }
 
 pub struct Attempt {
     pub worker: WorkerId,
-    pub sent: Time,
+    pub sent_at: Time,
     pub open: bool,
     pub never_ran: bool,
-    /// The worker turned it away.
+    /// The worker turned it away, or its load failed.
     pub full: bool,
-    /// Its connection broke; the worker may be well.
-    pub broke: bool,
-    /// Sent where a copy was believed warm.
+    /// Its connection broke; the worker itself may be healthy.
+    pub connection_broke: bool,
+    /// A copy was believed warm when it was sent.
     pub warm: bool,
-    /// My RPCs of the function that were there already.
-    pub beside: u64,
-    /// How often it was counted as overdue.
+    /// This scheduler's RPCs of the function that were in flight at the worker when it was sent.
+    pub own_ahead: u64,
+    /// How often it has been counted as overdue.
     pub overdue: u32,
 }
 
@@ -125,18 +136,18 @@
     pub function: FunctionId,
     pub tenant: TenantId,
     pub lanes: f64,
-    pub taken: Time,
+    pub received_at: Time,
     pub deadline: Time,
-    pub outs: Vec<Attempt>,
-    /// In the first line, or (once it has been called out) in the second.
+    pub attempts: Vec<Attempt>,
+    /// In the queue of first attempts or, once it has been sent, in the retry queue.
     pub waiting: bool,
-    /// The final answer has been given; kept while attempts are still open.
+    /// The final answer has been given; the entry is kept while attempts are still open.
     pub done: bool,
     pub streaming: bool,
 }
 
 impl Rpc {
-    pub fn open(&self) -> usize {
-        self.outs.iter().filter(|o| o.open).count()
+    pub fn open_attempts(&self) -> usize {
+        self.attempts.iter().filter(|a| a.open).count()
     }
 }
--- a/src/types.rs
+++ b/src/types.rs
@@ -1,12 +1,12 @@
-//! The words that the decision module and its hosts share.
+//! Types that the scheduler shares with its hosts.
 
 use std::ops::{Add, Sub};
 
-/// An RPC taken by this scheduler.
+/// An RPC that this scheduler received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RpcId(pub u64);
 
-/// A worker, the same at every scheduler and across restarts of its process.
+/// A worker; the id is the same at every scheduler and across restarts of the worker's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WorkerId(pub u64);
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub usize);
 
-/// A cell: workers that share which tokens they have seen.
+/// A cell: a group of workers that share their record of used idempotency tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u64);
 
@@ -34,16 +34,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNumber(pub usize);
 
-/// A wake-up that the module asked for.
+/// A timer that the scheduler set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
 
-/// A moment or a span, in whole tenths of a millisecond.
+/// A point in time or a duration, in whole tenths of a millisecond.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Whole tenths of a millisecond, rounded down; what is negative or no number is nought.
+    /// Converts milliseconds, rounding down to whole tenths; negative values and NaN become zero.
     pub fn from_ms(ms: f64) -> Self {
         Time((ms * 10.0) as u64)
     }
@@ -67,7 +67,7 @@
     }
 }
 
-/// What the list of workers says of one.
+/// The lifecycle state of a worker, as the endpoint list gives it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Lifecycle {
     #[default]
@@ -76,16 +76,16 @@
     Gone,
 }
 
-/// What schedulers that know of each other tell of a function at a worker.
+/// An observation of a function at a worker, as schedulers of a fleet share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Hint {
-    /// A copy is not there, or a load of it failed.
+    /// The worker has no copy, or a load of it failed.
     Gone,
-    /// It was turned away where it lacked a copy.
+    /// The worker had no copy and turned an RPC away.
     Full,
     /// A load is under way.
     Loading,
-    /// A copy gave an answer.
+    /// A copy answered an RPC.
     Warm,
 }
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// What an answer says of the copy that the RPC met.
+/// The state in which an RPC found the function's copy at the worker, as the answer reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyReport {
     Unreported,
