--- a/benches/module.rs
+++ b/benches/module.rs
@@ -1,5 +1,5 @@
-//! What one RPC costs the decision module, from its arrival to its answer: by workers, by workers long gone, by RPCs
-//! that are open besides.
+//! Time that the scheduler spends on one RPC, from arrival to answer, by the number of workers, of workers long gone
+//! and of other open RPCs.
 
 use std::collections::BTreeSet;
 
@@ -10,15 +10,15 @@
 use oorandom::Rand64;
 use serde_json::json;
 
-/// Remembers where the last attempt went.
+/// Records attempts until the workload takes them.
 #[derive(Default)]
-struct Last {
-    calls: Vec<(RpcId, WorkerId)>,
+struct RecordingHost {
+    attempts: Vec<(RpcId, WorkerId)>,
 }
 
-impl Host for Last {
+impl Host for RecordingHost {
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, _: Time) {
-        self.calls.push((rpc, worker));
+        self.attempts.push((rpc, worker));
     }
     fn cancel(&mut self, _: RpcId, _: AttemptNumber) {}
     fn deny(&mut self, _: RpcId, _: Time) {}
@@ -31,18 +31,19 @@
     fn log(&mut self, _: &str) {}
 }
 
-const TICK: TimerId = TimerId(u64::MAX >> 1);
+const TICK_TIMER: TimerId = TimerId(u64::MAX >> 1);
 const FUNCTIONS: u64 = 300;
 
-struct Day {
-    module: Scheduler<Last>,
+/// A scheduler under a steady load of RPCs, each answered from a warm copy.
+struct Workload {
+    scheduler: Scheduler<RecordingHost>,
     rng: Rand64,
     now: Time,
-    next: u64,
+    last_rpc: u64,
 }
 
-impl Day {
-    fn new(workers: u64, gone: u64) -> Day {
+impl Workload {
+    fn new(workers: u64, gone: u64) -> Workload {
         let method =
             json!({"aim": 600.0, "effect": "read_like", "group": "all", "gain": 2.0, "memorySpan": 5000.0});
         let settings = json!({
@@ -53,33 +54,33 @@
             "loadInfo": {"how": "pull", "names": ["utilization", "outstanding", "x0"]},
         });
         let settings = settings.as_object().expect("an object").clone();
-        let mut module = Scheduler::start(Last::default(), 1, settings);
+        let mut scheduler = Scheduler::start(RecordingHost::default(), 1, settings);
         let mut now = Time(1_000_000);
         for id in 0..workers + gone {
             let id = WorkerId(id.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-            module.worker_listed(now, id, Lifecycle::Ready, Time(0), ZoneId(0), CellId(0), 1.0);
+            scheduler.worker_listed(now, id, Lifecycle::Ready, Time(0), ZoneId(0), CellId(0), 1.0);
         }
-        let left: BTreeSet<_> =
+        let remaining: BTreeSet<_> =
             (0..workers).map(|id| WorkerId(id.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect();
-        module.list_received(now, Some(&left));
-        // Those gone have been so for ten minutes.
+        scheduler.list_received(now, Some(&remaining));
+        // Ten minutes pass after the other workers have gone.
         for _ in 0..30_000 {
             now = now + Time(200);
-            module.timer_fired(now, TICK);
+            scheduler.timer_fired(now, TICK_TIMER);
         }
-        let mut day = Day { module, rng: Rand64::new(3), now, next: 0 };
-        (0..20_000).for_each(|_| day.rpc());
-        day
+        let mut workload = Workload { scheduler, rng: Rand64::new(3), now, last_rpc: 0 };
+        (0..20_000).for_each(|_| workload.rpc());
+        workload
     }
 
-    fn ask(&mut self) {
-        self.next += 1;
-        // Functions are asked for unevenly, as a power law has it.
+    fn submit(&mut self) {
+        self.last_rpc += 1;
+        // Functions are called with frequencies that follow a power law.
         let rank = (FUNCTIONS as f64).powf(self.rng.rand_float()) as u64;
         let function = FunctionId(rank.wrapping_mul(0xbf58_476d_1ce4_e5b9));
-        self.module.rpc_received(
+        self.scheduler.rpc_received(
             self.now,
-            RpcId(self.next),
+            RpcId(self.last_rpc),
             MethodId(0),
             function,
             TenantId(0),
@@ -88,25 +89,26 @@
         );
     }
 
+    /// Submits an RPC and answers all open attempts.
     fn rpc(&mut self) {
         self.now = self.now + Time(20);
-        if self.next.is_multiple_of(10) {
-            self.module.timer_fired(self.now, TICK);
+        if self.last_rpc.is_multiple_of(10) {
+            self.scheduler.timer_fired(self.now, TICK_TIMER);
         }
-        self.ask();
-        for (rpc, worker) in std::mem::take(&mut self.module.host().calls) {
-            let (no, elapsed) = (AttemptNumber(0), Time(400));
-            let report = [0.4, 3.0, 0.3];
-            self.module.attempt_ended(
+        self.submit();
+        for (rpc, worker) in std::mem::take(&mut self.scheduler.host().attempts) {
+            let (number, elapsed) = (AttemptNumber(0), Time(400));
+            let load_report = [0.4, 3.0, 0.3];
+            self.scheduler.attempt_ended(
                 self.now,
                 rpc,
-                no,
+                number,
                 Outcome::Ok,
                 elapsed,
                 true,
                 CopyReport::Warm,
                 1,
-                &report,
+                &load_report,
             );
             let _ = worker;
         }
@@ -118,14 +120,14 @@
     for (name, workers, gone) in
         [("87 workers", 87, 0), ("870 workers", 870, 0), ("87 workers, 5000 long gone", 87, 5_000)]
     {
-        let mut day = Day::new(workers, gone);
-        group.bench_function(name, |b| b.iter(|| day.rpc()));
+        let mut workload = Workload::new(workers, gone);
+        group.bench_function(name, |b| b.iter(|| workload.rpc()));
     }
     for open in [0, 10_000] {
-        let mut day = Day::new(870, 0);
-        (0..open).for_each(|_| day.ask());
-        day.module.host().calls.clear();
-        group.bench_function(format!("870 workers, {open} open besides"), |b| b.iter(|| day.rpc()));
+        let mut workload = Workload::new(870, 0);
+        (0..open).for_each(|_| workload.submit());
+        workload.scheduler.host().attempts.clear();
+        group.bench_function(format!("870 workers, {open} open besides"), |b| b.iter(|| workload.rpc()));
     }
     group.finish();
 }
