--- a/crates/curlewpoint-drill/src/main.rs
+++ b/crates/curlewpoint-drill/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs decision modules on the simulator's wire: decodes a line, calls the module, encodes what it does.
+//! Bench adapter: runs schedulers under the simulator's line protocol. Decodes each event line of standard input, calls
+//! the scheduler that it names, and writes the schedulers' actions to standard output as the reply to each batch.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,73 +13,79 @@
 use curlewpoint::types::*;
 use serde_json::{Map, Value};
 
-/// One instance's way out: its actions go to the reply in the order given.
-struct Wire {
-    instance: u64,
+/// The host of one scheduler: writes its actions to the reply, in order.
+struct SimulatorHost {
+    scheduler_id: u64,
     reply: Rc<RefCell<String>>,
 }
 
-impl Wire {
-    fn say(&self, action: &str, rest: std::fmt::Arguments) {
+impl SimulatorHost {
+    fn write_action(&self, name: &str, fields: std::fmt::Arguments) {
         // Writing to a String cannot fail.
-        let _ = writeln!(self.reply.borrow_mut(), "{action} schedulerId={}{rest}", self.instance);
+        let _ = writeln!(self.reply.borrow_mut(), "{name} schedulerId={}{fields}", self.scheduler_id);
     }
 }
 
-impl Host for Wire {
+impl Host for SimulatorHost {
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, limit: Time) {
         let limit = limit.ms();
-        self.say("PASS_ON", format_args!(" req={} worker={} allowFor={limit:.1}", rpc.0, worker.0));
+        self.write_action("PASS_ON", format_args!(" req={} worker={} allowFor={limit:.1}", rpc.0, worker.0));
     }
-    fn cancel(&mut self, rpc: RpcId, no: AttemptNumber) {
-        self.say("UNDO_SEND", format_args!(" req={} seqNo={}", rpc.0, no.0));
+    fn cancel(&mut self, rpc: RpcId, number: AttemptNumber) {
+        self.write_action("UNDO_SEND", format_args!(" req={} seqNo={}", rpc.0, number.0));
     }
     fn deny(&mut self, rpc: RpcId, retry_after: Time) {
-        self.say("OVERLOAD_REPLY", format_args!(" req={} retryAfter={:.1}", rpc.0, retry_after.ms()));
+        self.write_action(
+            "OVERLOAD_REPLY",
+            format_args!(" req={} retryAfter={:.1}", rpc.0, retry_after.ms()),
+        );
     }
     fn abort(&mut self, rpc: RpcId) {
-        self.say("GIVE_UP", format_args!(" req={}", rpc.0));
+        self.write_action("GIVE_UP", format_args!(" req={}", rpc.0));
     }
     fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u64) {
         let (worker, function) = (worker.0, function.0);
-        self.say("HOLD_THERE", format_args!(" worker={worker} callee={function} instances={copies}"));
+        self.write_action(
+            "HOLD_THERE",
+            format_args!(" worker={worker} callee={function} instances={copies}"),
+        );
     }
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
-        self.say("SHELVE", format_args!(" callee={} worker={}", function.0, worker.0));
+        self.write_action("SHELVE", format_args!(" callee={} worker={}", function.0, worker.0));
     }
     fn probe(&mut self, worker: WorkerId) {
-        self.say("SOUND_OUT", format_args!(" worker={}", worker.0));
+        self.write_action("SOUND_OUT", format_args!(" worker={}", worker.0));
     }
     fn set_timer(&mut self, delay: Time, id: TimerId) {
-        self.say("SET_TIMER", format_args!(" offset={:.1} ref={}", delay.ms(), id.0));
+        self.write_action("SET_TIMER", format_args!(" offset={:.1} ref={}", delay.ms(), id.0));
     }
     fn watch_list(&mut self) {
-        self.say("OBSERVE", format_args!(" active=1"));
+        self.write_action("OBSERVE", format_args!(" active=1"));
     }
     fn log(&mut self, line: &str) {
-        self.say("DEBUG", format_args!(" bodyText={line}"));
+        self.write_action("DEBUG", format_args!(" bodyText={line}"));
     }
 }
 
-/// The fields of one line. Fields that nobody asks for are passed over.
+/// One line and its fields. Unknown fields are ignored.
 struct Line<'a> {
     text: &'a str,
     number: u64,
 }
 
 impl<'a> Line<'a> {
-    fn fault(&self, what: impl std::fmt::Display) -> String {
+    fn error(&self, message: impl std::fmt::Display) -> String {
         let name = self.text.split(' ').next().unwrap_or_default();
-        format!("line {}: {name}: {what}", self.number)
+        format!("line {}: {name}: {message}", self.number)
     }
 
-    /// The value of a field; `facts` runs to the end of its line.
+    /// The text of a field. The value of `facts` extends to the end of the line; other values end at a space.
     fn text(&self, field: &str) -> Option<&'a str> {
         let mut rest = self.text;
         while let Some((_, tail)) = rest.split_once(' ') {
             if let Some(value) = tail.strip_prefix(field).and_then(|t| t.strip_prefix('=')) {
-                let one = if field == "facts" { value } else { value.split(' ').next().unwrap_or_default() };
-                return Some(one);
+                let text = if field == "facts" { value } else { value.split(' ').next().unwrap_or_default() };
+                return Some(text);
             }
             if tail.starts_with("facts=") {
                 return None;
@@ -88,25 +95,25 @@
         None
     }
 
-    fn maybe<T: std::str::FromStr>(&self, field: &str) -> Result<Option<T>, String> {
+    fn optional<T: std::str::FromStr>(&self, field: &str) -> Result<Option<T>, String> {
         match self.text(field) {
             None | Some("") => Ok(None),
             Some(v) => {
-                v.parse().map(Some).map_err(|_| self.fault(format_args!("field {field}: cannot read '{v}'")))
+                v.parse().map(Some).map_err(|_| self.error(format_args!("field {field}: cannot read '{v}'")))
             }
         }
     }
 
-    fn get<T: std::str::FromStr>(&self, field: &str) -> Result<T, String> {
-        self.maybe(field)?.ok_or_else(|| self.fault(format_args!("field {field} is missing")))
+    fn required<T: std::str::FromStr>(&self, field: &str) -> Result<T, String> {
+        self.optional(field)?.ok_or_else(|| self.error(format_args!("field {field} is missing")))
     }
 
     fn ms(&self, field: &str) -> Result<Time, String> {
-        self.get::<f64>(field).map(Time::from_ms)
+        self.required::<f64>(field).map(Time::from_ms)
     }
 
     fn outcome(&self) -> Result<Outcome, String> {
-        Ok(match self.get::<String>("reason")?.as_str() {
+        Ok(match self.required::<String>("reason")?.as_str() {
             "S" => Outcome::Ok,
             "E" => Outcome::Error,
             "F" => Outcome::Full,
@@ -116,100 +123,102 @@
             "X" => Outcome::Cancelled,
             "N" => Outcome::NotSent,
             "M" => Outcome::Miss,
-            other => return Err(self.fault(format_args!("field reason: cannot read '{other}'"))),
+            other => return Err(self.error(format_args!("field reason: cannot read '{other}'"))),
         })
     }
 
-    fn report(&self) -> Result<Vec<f64>, String> {
+    fn load_report(&self) -> Result<Vec<f64>, String> {
         let values = self.text("stats").unwrap_or_default();
         let values = values.split(',').filter(|v| !v.is_empty() && *v != "-");
-        let bad = |v: &str| self.fault(format_args!("field stats: cannot read '{v}'"));
-        values.map(|v| v.parse().map_err(|_| bad(v))).collect()
+        let unreadable = |v: &str| self.error(format_args!("field stats: cannot read '{v}'"));
+        values.map(|v| v.parse().map_err(|_| unreadable(v))).collect()
     }
 }
 
-/// Everything that this process holds: the lists named by number, and the instances.
+/// The schedulers of this process by id, and the endpoint lists by bank number.
 #[derive(Default)]
-struct Process {
+struct Adapter {
     now: Time,
     lists: BTreeMap<u64, Vec<String>>,
-    filling: Option<(u64, usize)>,
-    instances: BTreeMap<u64, Scheduler<Wire>>,
+    /// The bank of the list that is being read, and the number of ITEM lines that are still to come.
+    incomplete_list: Option<(u64, usize)>,
+    schedulers: BTreeMap<u64, Scheduler<SimulatorHost>>,
     reply: Rc<RefCell<String>>,
 }
 
-impl Process {
+impl Adapter {
+    /// Handles one event line.
     fn event(&mut self, line: &Line) -> Result<(), String> {
         let now = self.now;
         let name = line.text.split(' ').next().unwrap_or_default();
         match name {
             "CATALOG" => {
-                let bank = line.get("bank")?;
+                let bank = line.required("bank")?;
                 self.lists.insert(bank, Vec::new());
-                let rows = line.get("rows")?;
-                self.filling = (rows > 0).then_some((bank, rows));
+                let rows = line.required("rows")?;
+                self.incomplete_list = (rows > 0).then_some((bank, rows));
                 return Ok(());
             }
             "LAUNCH" => {
-                let instance = line.get("schedulerId")?;
+                let scheduler_id = line.required("schedulerId")?;
                 let facts: Map<String, Value> =
-                    serde_json::from_str(line.text("facts").unwrap_or("{}")).map_err(|e| line.fault(e))?;
-                let wire = Wire { instance, reply: Rc::clone(&self.reply) };
-                let scheduler = Scheduler::start(wire, line.get("entropy")?, facts);
-                self.instances.insert(instance, scheduler);
+                    serde_json::from_str(line.text("facts").unwrap_or("{}")).map_err(|e| line.error(e))?;
+                let host = SimulatorHost { scheduler_id, reply: Rc::clone(&self.reply) };
+                let scheduler = Scheduler::start(host, line.required("entropy")?, facts);
+                self.schedulers.insert(scheduler_id, scheduler);
                 return Ok(());
             }
             "SHUTDOWN" => {
-                self.instances.remove(&line.get("schedulerId")?);
+                self.schedulers.remove(&line.required("schedulerId")?);
                 return Ok(());
             }
             _ => {}
         }
-        let Some(srv) = self.instances.get_mut(&line.get("schedulerId")?) else { return Ok(()) };
+        let Some(scheduler) = self.schedulers.get_mut(&line.required("schedulerId")?) else { return Ok(()) };
         match name {
             "UPDATE" => {
-                let kind: u64 = line.get("kind")?;
+                let kind: u64 = line.required("kind")?;
                 if kind == 3 {
-                    srv.list_failed();
+                    scheduler.list_failed();
                     return Ok(());
                 }
-                let bank = line.get("bank")?;
-                let rows = self.lists.get(&bank).ok_or_else(|| line.fault("field bank: no such list"))?;
+                let bank = line.required("bank")?;
+                let rows = self.lists.get(&bank).ok_or_else(|| line.error("field bank: no such list"))?;
                 let mut named = BTreeSet::new();
                 for text in rows {
                     let row = Line { text, number: line.number };
-                    let worker = WorkerId(row.get("worker")?);
-                    let standing = match row.maybe("lifecycle")?.unwrap_or(0u64) {
+                    let worker = WorkerId(row.required("worker")?);
+                    let lifecycle = match row.optional("lifecycle")?.unwrap_or(0u64) {
                         0 => Lifecycle::Ready,
                         2 => Lifecycle::Draining,
                         _ => Lifecycle::Gone,
                     };
                     named.insert(worker);
-                    srv.worker_listed(
+                    scheduler.worker_listed(
                         now,
                         worker,
-                        standing,
-                        Time::from_ms(row.maybe("since")?.unwrap_or(0.0)),
-                        ZoneId(row.maybe("locality")?.unwrap_or(0)),
-                        CellId(row.maybe("group")?.unwrap_or(0)),
-                        row.maybe("heft")?.unwrap_or(1.0),
+                        lifecycle,
+                        Time::from_ms(row.optional("since")?.unwrap_or(0.0)),
+                        ZoneId(row.optional("locality")?.unwrap_or(0)),
+                        CellId(row.optional("group")?.unwrap_or(0)),
+                        row.optional("heft")?.unwrap_or(1.0),
                     );
                 }
-                srv.list_received(now, (kind != 0).then_some(&named));
+                scheduler.list_received(now, (kind != 0).then_some(&named));
             }
-            "SUBMIT" => srv.rpc_received(
+            "SUBMIT" => scheduler.rpc_received(
                 now,
-                RpcId(line.get("req")?),
-                MethodId(line.maybe("cls")?.unwrap_or(0)),
-                FunctionId(line.maybe("callee")?.unwrap_or(0)),
-                TenantId(line.maybe("owner")?.unwrap_or(0)),
+                RpcId(line.required("req")?),
+                MethodId(line.optional("cls")?.unwrap_or(0)),
+                FunctionId(line.optional("callee")?.unwrap_or(0)),
+                TenantId(line.optional("owner")?.unwrap_or(0)),
                 line.ms("timeLeft")?,
-                line.maybe("width")?.unwrap_or(1.0),
+                line.optional("width")?.unwrap_or(1.0),
             ),
-            "VANISHED" => srv.rpc_abandoned(RpcId(line.get("req")?)),
-            "OPENED" => srv.answer_started(RpcId(line.get("req")?)),
+            "VANISHED" => scheduler.rpc_abandoned(RpcId(line.required("req")?)),
+            "OPENED" => scheduler.answer_started(RpcId(line.required("req")?)),
             "ATTEMPT_END" => {
-                let remark: u64 = line.maybe("remark")?.unwrap_or(0);
+                let remark: u64 = line.optional("remark")?.unwrap_or(0);
                 let copy = match remark % 8 {
                     1 => CopyReport::Warm,
                     2 => CopyReport::BeganLoad,
@@ -217,45 +226,62 @@
                     4 => CopyReport::LoadFailed,
                     _ => CopyReport::Unreported,
                 };
-                let no = AttemptNumber(line.get("seqNo")?);
-                let done = line.maybe("final")?.unwrap_or(0u64) == 1;
-                let (outcome, report) = (line.outcome()?, line.report()?);
+                let number = AttemptNumber(line.required("seqNo")?);
+                let done = line.optional("final")?.unwrap_or(0u64) == 1;
+                let (outcome, load_report) = (line.outcome()?, line.load_report()?);
                 let elapsed = line.ms("elapsed")?;
-                let rpc = RpcId(line.get("req")?);
-                srv.attempt_ended(now, rpc, no, outcome, elapsed, done, copy, remark / 8, &report);
+                let rpc = RpcId(line.required("req")?);
+                scheduler.attempt_ended(
+                    now,
+                    rpc,
+                    number,
+                    outcome,
+                    elapsed,
+                    done,
+                    copy,
+                    remark / 8,
+                    &load_report,
+                );
             }
             "STATUS_BACK" => {
-                srv.load_report_received(now, WorkerId(line.get("worker")?), &line.report()?);
+                scheduler.load_report_received(now, WorkerId(line.required("worker")?), &line.load_report()?);
             }
             "LOAD_RESULT" => {
-                // A load order ends in 'F' (no room), 'E' (a load failed) and the like; all but 'S' leave no copy.
-                let (worker, function) = (WorkerId(line.get("worker")?), FunctionId(line.get("callee")?));
-                srv.load_ended(now, worker, function, line.outcome()?, line.maybe("instances")?.unwrap_or(0));
+                // Any outcome but 'S' (such as 'F', no room, or 'E', the load failed) means that there is no copy.
+                let (worker, function) =
+                    (WorkerId(line.required("worker")?), FunctionId(line.required("callee")?));
+                scheduler.load_ended(
+                    now,
+                    worker,
+                    function,
+                    line.outcome()?,
+                    line.optional("instances")?.unwrap_or(0),
+                );
             }
-            "REMINDER" => srv.timer_fired(now, TimerId(line.get("ref")?)),
-            // Schedulers share nothing here, and events of later wires are passed over.
+            "REMINDER" => scheduler.timer_fired(now, TimerId(line.required("ref")?)),
+            // Other events are ignored: schedulers share nothing here, and later protocol versions may add events.
             _ => {}
         }
         Ok(())
     }
 
-    /// Takes one line; the reply is due after the last of a batch.
-    fn line(&mut self, line: &Line, batch: &mut Option<String>) -> Result<bool, String> {
-        if let Some((bank, left)) = self.filling {
+    /// Reads one line; true: it ended a batch and the reply is due.
+    fn read_line(&mut self, line: &Line, batch: &mut Option<String>) -> Result<bool, String> {
+        if let Some((bank, missing)) = self.incomplete_list {
             if !line.text.starts_with("ITEM ") {
-                return Err(line.fault(format_args!("{left} more ITEM lines were due")));
+                return Err(line.error(format_args!("expected {missing} more ITEM lines")));
             }
             self.lists.entry(bank).or_default().push(line.text.to_owned());
-            self.filling = (left > 1).then_some((bank, left - 1));
+            self.incomplete_list = (missing > 1).then_some((bank, missing - 1));
             return Ok(false);
         }
         match (line.text.split(' ').next().unwrap_or_default(), &batch) {
             ("", _) => {}
             ("SYNC", _) => {
                 self.now = line.ms("moment")?;
-                *batch = Some(line.get("batch")?);
+                *batch = Some(line.required("batch")?);
             }
-            (_, None) => return Err(line.fault("stands outside a batch")),
+            (_, None) => return Err(line.error("outside of a batch (no SYNC line)")),
             ("EOF_BATCH", Some(_)) => return Ok(true),
             _ => self.event(line)?,
         }
@@ -266,7 +292,7 @@
 fn run() -> Result<(), String> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
-    let (mut process, mut batch) = (Process::default(), None);
+    let (mut adapter, mut batch) = (Adapter::default(), None);
     let (mut text, mut number) = (String::new(), 0);
     loop {
         text.clear();
@@ -275,8 +301,8 @@
             return Ok(());
         }
         let line = Line { text: text.trim_end_matches(['\n', '\r']), number };
-        if process.line(&line, &mut batch)? {
-            let mut reply = process.reply.borrow_mut();
+        if adapter.read_line(&line, &mut batch)? {
+            let mut reply = adapter.reply.borrow_mut();
             let batch = batch.take().unwrap_or_default();
             let written = writeln!(output, "{reply}EOR batch={batch}").and_then(|()| output.flush());
             written.map_err(|e| format!("reply {batch}: {e}"))?;
@@ -288,8 +314,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("curlewpoint-drill: {why}");
+        Err(error) => {
+            eprintln!("curlewpoint-drill: {error}");
             ExitCode::FAILURE
         }
     }
