--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -626,8 +626,8 @@
             let ceiling = w.ceiling.min((slots * size).max(1.0));
             let may_load = belief.is_none_or(|b| b.no_load_until <= now);
             let accepts = w.full_until <= now && (affinity >= AFFINITY_LOADING || may_load);
-            // A worker is tried once per RPC. Where only the connection broke it is tried again, as it still has the
-            // copy and any other worker might have to load one.
+            // A worker at which an attempt may have run is not tried again. Where only the connection broke it is, as it
+            // still has the copy and any other worker might have to load one.
             let untried = rpc.attempts.iter().all(|a| a.worker != id || a.never_ran || a.connection_broke);
             let room = own < ceiling && accepts && untried && !w.suspect;
             if !room || !self.cold_budget_left(now, w) || !self.is_repeatable(now, rpc, Some(w)) {
