--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
 //! curlewpoint: places RPCs on a fleet of workers that load functions on demand.
 //!
-//! [`brain`] takes every decision, [`host`] is what it acts through, [`types`] the words both use.
+//! [`scheduler`] makes every decision, [`host`] is the interface it acts through, and [`types`] holds the types that
+//! both share. The crate does no I/O and reads no clock.
 
-pub mod brain;
 pub mod host;
-mod records;
+pub mod scheduler;
+mod state;
 pub mod types;
