--- a/crates/curlewpoint-cli/src/commands/node.rs
+++ b/crates/curlewpoint-cli/src/commands/node.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use clap::Args;
-use curlewpoint_node::Running;
-use curlewpoint_platform::told;
+use curlewpoint_node::SchedulerHandle;
+use curlewpoint_platform::startup;
 use tokio::signal::unix::{signal, SignalKind};
 use tracing::{debug, warn};
 
@@ -24,9 +24,9 @@
     log_level: String,
 }
 
-fn read(path: &Path) -> Result<told::Told, String> {
+fn read(path: &Path) -> Result<startup::StartupConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    told::read(&text).map_err(|e| format!("{}: {e}", path.display()))
+    startup::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// A file that cannot be read at a SIGHUP may be half written: so often, and after so long, it is read again.
@@ -72,26 +72,27 @@
             Err(why) => return fail(AT_FAULT, &format!("nothing was started: {why}")),
         };
         crate::logging::start(&self.log_level, false);
-        let Running { address, notes, resolver: moves, end } = match curlewpoint_node::start(told).await {
-            Ok(running) => running,
-            Err(why) => return fail(FAILED, &why.to_string()),
-        };
+        let SchedulerHandle { address, control, resolver: moves, stopped } =
+            match curlewpoint_node::start(told).await {
+                Ok(running) => running,
+                Err(why) => return fail(FAILED, &why.to_string()),
+            };
         println!("serving on {address}");
         let stop = || {
             tokio::spawn({
-                let notes = notes.clone();
-                async move { notes.stop().await }
+                let control = control.clone();
+                async move { control.stop().await }
             })
         };
         // The file is read for the newest SIGHUP alone; a stop and an end wait for nothing.
         let (mut moving, reading) = (false, resolver(&self.told));
-        tokio::pin!(end, reading);
+        tokio::pin!(stopped, reading);
         loop {
             tokio::select! {
                 biased;
                 _ = term.recv() => drop(stop()),
                 _ = int.recv() => drop(stop()),
-                _ = usr1.recv() => notes.log_figures().await,
+                _ = usr1.recv() => control.log_counters().await,
                 _ = hup.recv() => {
                     moving = true;
                     reading.set(resolver(&self.told));
@@ -103,7 +104,7 @@
                         Err(why) => warn!("the directory's address stays as it is: {why}"),
                     }
                 }
-                ended = &mut end => return if ended.is_ok() { DONE } else { FAILED },
+                ended = &mut stopped => return if ended.is_ok() { DONE } else { FAILED },
             }
         }
     }
--- a/crates/curlewpoint-cli/tests/node_stand/mod.rs
+++ b/crates/curlewpoint-cli/tests/node_stand/mod.rs
@@ -2,8 +2,8 @@
 //! read, and what workers heard and said, goes into one record.
 #![allow(dead_code)]
 
-#[path = "../../../curlewpoint-node/tests/stand/record.rs"]
-pub mod record;
+#[path = "../../../curlewpoint-node/tests/test_servers/transcript.rs"]
+pub mod transcript;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, TcpListener, TcpStream, UdpSocket};
@@ -16,8 +16,8 @@
 use hickory_proto::op::{Message, MessageType};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record};
-use record::{Conn, End};
 use serde_json::{json, Value};
+use transcript::{ClientConn, ConnState};
 
 /// No step of a story takes longer; one that does has failed.
 pub const STEP: Duration = Duration::from_secs(20);
@@ -49,16 +49,16 @@
 
 /// What a test's clients and workers have on record.
 #[derive(Clone, Default)]
-pub struct Book(pub Arc<Mutex<record::Record>>);
+pub struct Book(pub Arc<Mutex<transcript::Transcript>>);
 
 impl Book {
-    pub fn look<T>(&self, look: impl FnOnce(&mut record::Record) -> T) -> T {
+    pub fn look<T>(&self, look: impl FnOnce(&mut transcript::Transcript) -> T) -> T {
         look(&mut self.0.lock().unwrap())
     }
 
     /// Every request written whole has one answer, or its connection ended with nothing passed on.
     pub fn keeps_the_rule(&self) {
-        let faults = self.look(|r| r.faults());
+        let faults = self.look(|r| r.violations());
         assert!(faults.is_empty(), "{faults:#?}");
     }
 }
@@ -77,13 +77,13 @@
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(STEP)).unwrap();
         let no = book.look(|r| {
-            r.conns.push(Conn::default());
+            r.conns.push(ClientConn::default());
             r.conns.len() - 1
         });
         Client { stream, no, book: book.clone(), was_reset: false }
     }
 
-    pub fn conn<T>(&self, look: impl FnOnce(&mut Conn) -> T) -> T {
+    pub fn conn<T>(&self, look: impl FnOnce(&mut ClientConn) -> T) -> T {
         self.book.look(|r| look(&mut r.conns[self.no]))
     }
 
@@ -101,15 +101,15 @@
         self.was_reset = got.is_err();
         let n = got.unwrap_or(0);
         self.conn(|c| match n {
-            0 => c.end = End::Closed,
-            n => c.got.extend_from_slice(&some[..n]),
+            0 => c.state = ConnState::ClosedByScheduler,
+            n => c.received.extend_from_slice(&some[..n]),
         });
         n > 0
     }
 
     /// Reads until all that it asked is answered; false: the connection ended before.
     pub fn has_all(&mut self) -> bool {
-        while self.conn(|c| c.is_owed()) {
+        while self.conn(|c| c.awaits_reply()) {
             if !self.reads() {
                 return false;
             }
@@ -118,7 +118,7 @@
     }
 
     pub fn told(&self) -> String {
-        self.conn(|c| String::from_utf8_lossy(&c.got).into_owned())
+        self.conn(|c| String::from_utf8_lossy(&c.received).into_owned())
     }
 }
 
@@ -234,8 +234,8 @@
                             let no = u64::from_str_radix(id, 16).expect("a number");
                             came.lock().unwrap().push((Instant::now(), no));
                             book.look(|r| {
-                                r.hears(id);
-                                r.says(id, b"");
+                                r.worker_received(id);
+                                r.worker_answered(id, b"");
                             });
                             "OK"
                         }
--- a/crates/curlewpoint-cli/tests/nodes.rs
+++ b/crates/curlewpoint-cli/tests/nodes.rs
@@ -11,7 +11,7 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use node_stand::record::End;
+use node_stand::transcript::ConnState;
 use node_stand::*;
 use serde_json::{json, Value};
 
@@ -261,8 +261,8 @@
             let mut some = [0; 4096];
             while let Ok(n) = answers.read(&mut some) {
                 book.look(|r| match n {
-                    0 => r.conns[at].end = End::Closed,
-                    n => r.conns[at].got.extend_from_slice(&some[..n]),
+                    0 => r.conns[at].state = ConnState::ClosedByScheduler,
+                    n => r.conns[at].received.extend_from_slice(&some[..n]),
                 });
                 // An answer's row begins with the one asterisk that it holds.
                 let rows = some[..n].iter().filter(|b| **b == b'*').count();
--- a/crates/curlewpoint-cli/tests/system_calls.rs
+++ b/crates/curlewpoint-cli/tests/system_calls.rs
@@ -63,7 +63,7 @@
     /// Answers the request that it holds.
     fn answers_what_it_holds(&self, book: &Book) {
         let (mut stream, row) = self.held.lock().unwrap().take().expect("one is held");
-        book.look(|r| r.says(row["req"].as_str().unwrap(), b""));
+        book.look(|r| r.worker_answered(row["req"].as_str().unwrap(), b""));
         stream.write_all(&answer(&row, "OK")).unwrap();
     }
 
@@ -100,9 +100,9 @@
             };
             if row["type"] == "invoke" {
                 book.look(|r| {
-                    r.hears(row["req"].as_str().unwrap());
+                    r.worker_received(row["req"].as_str().unwrap());
                     if word == Some("OK") {
-                        r.says(row["req"].as_str().unwrap(), b"");
+                        r.worker_answered(row["req"].as_str().unwrap(), b"");
                     }
                 });
             }
--- a/crates/curlewpoint-node/src/clients.rs
+++ b/crates/curlewpoint-node/src/clients.rs
@@ -6,8 +6,8 @@
 use curlewpoint_link::{
     at_once, is_of_one_accept, linger, next_at_once, outbox, split, Ahead, Bounds, Clock, LINGER, METRICS,
 };
-use curlewpoint_platform::asked::CANCEL;
-use curlewpoint_platform::resp::{Commands, RespError};
+use curlewpoint_platform::commands::CANCEL;
+use curlewpoint_platform::resp::{CommandDecoder, RespError};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::yield_now;
@@ -154,7 +154,7 @@
 async fn client(id: ClientId, stream: TcpStream, desk: Desk, presence: Arc<Presence>, place: Place) {
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let codec = Commands { most_words: 8, most_word: desk.bounds.frame };
+    let codec = CommandDecoder { max_words: 8, max_word_len: desk.bounds.frame };
     let mut reader = FramedRead::new(read, codec);
     // Nothing is kept for it, here or with the engine, until it has said a first thing.
     let until = Instant::now() + 2 * QUIET;
@@ -259,7 +259,7 @@
             () = tokio::time::sleep_until(silent_at), if ahead.is_empty() => {
                 let begun = !reader.read_buffer().is_empty();
                 if half && begun {
-                    why = Some(RespError::CutShort);
+                    why = Some(RespError::Truncated);
                     break;
                 }
                 (half, silent_at) = (begun, Instant::now() + QUIET);
--- a/crates/curlewpoint-node/src/clients/tests.rs
+++ b/crates/curlewpoint-node/src/clients/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use curlewpoint_platform::resp::row;
+use curlewpoint_platform::resp::encode_array;
 use test_case::test_case;
 use tokio::io::AsyncWriteExt;
 
@@ -21,7 +21,7 @@
 }
 
 fn said(words: &[&str]) -> Vec<u8> {
-    row(&words.iter().map(|w| w.as_bytes()).collect::<Vec<_>>()).to_vec()
+    encode_array(&words.iter().map(|w| w.as_bytes()).collect::<Vec<_>>()).to_vec()
 }
 
 /// Guards against calls that begin after their client has gone, where the engine is busy and the reader held back: the
--- a/crates/curlewpoint-node/src/directory.rs
+++ b/crates/curlewpoint-node/src/directory.rs
@@ -9,8 +9,8 @@
 
 use curlewpoint::types::Standing;
 use curlewpoint_link::{is_ours, METRICS};
-use curlewpoint_platform::dns::{self, DirectoryError, MOST_ANSWER};
-use curlewpoint_platform::Roll;
+use curlewpoint_platform::dns::{self, DiscoveryError, MAX_RESPONSE_BYTES};
+use curlewpoint_platform::EndpointListVisitor;
 use oorandom::Rand64;
 use tokio::io::ReadBuf;
 use tokio::net::UdpSocket;
@@ -42,19 +42,19 @@
     rows: Vec<(String, String, Standing, u64, String, String, f64)>,
 }
 
-impl Roll for List {
-    fn begins(&mut self, version: u64, _: Option<u64>) {
+impl EndpointListVisitor for List {
+    fn begin_list(&mut self, version: u64, _: Option<u64>) {
         self.version = version;
     }
 
-    fn worker(
+    fn endpoint(
         &mut self, name: &str, address: &str, standing: Standing, started: u64, zone: &str, cell: &str,
         size: f64,
     ) {
         self.rows.push((name.into(), address.into(), standing, started, zone.into(), cell.into(), size));
     }
 
-    fn ends(&mut self) {}
+    fn end_list(&mut self) {}
 }
 
 impl List {
@@ -62,12 +62,12 @@
         self.version
     }
 
-    pub fn call(&self, roll: &mut impl Roll) {
-        roll.begins(self.version, None);
+    pub fn call(&self, visitor: &mut impl EndpointListVisitor) {
+        visitor.begin_list(self.version, None);
         for (name, address, standing, started, zone, cell, size) in &self.rows {
-            roll.worker(name, address, *standing, *started, zone, cell, *size);
+            visitor.endpoint(name, address, *standing, *started, zone, cell, *size);
         }
-        roll.ends();
+        visitor.end_list();
     }
 }
 
@@ -116,7 +116,7 @@
         if self.asked.len() > QUESTIONS {
             self.asked.pop_front();
         }
-        let query = dns::query(id).map_err(|why| why.to_string())?;
+        let query = dns::build_query(id).map_err(|why| why.to_string())?;
         for _ in 0..MOST_INTERRUPTS {
             match timeout(SEND, self.socket.send(&query)).await {
                 Ok(Err(why)) if why.kind() == ErrorKind::Interrupted => METRICS.interrupted.add(1),
@@ -231,7 +231,7 @@
 /// an answer tells counts as told from the moment it was sent, however late it comes.
 pub(crate) async fn follow(mut at: watch::Receiver<SocketAddr>, notes: mpsc::Sender<Note>, mut rng: Rand64) {
     let (mut health, mut places, mut moves) = (Health { failures: 0 }, Places::default(), true);
-    let mut answer = vec![0; MOST_ANSWER];
+    let mut answer = vec![0; MAX_RESPONSE_BYTES];
     let mut schedule = Schedule { due: Instant::now(), out: false, unanswered: 0, took: Duration::ZERO };
     // Until when nothing is read, after a failure to read.
     let mut deaf = Instant::now();
@@ -263,7 +263,7 @@
                             return;
                         }
                     }
-                    Err(DirectoryError::NotMine) => debug!("an answer to another question"),
+                    Err(DiscoveryError::OtherQuery) => debug!("an answer to another question"),
                     Err(_) if !came.from_now => {}
                     Err(why) => {
                         health.bad(address, &why.to_string());
@@ -296,11 +296,11 @@
 /// An answer to one of these questions, whether that is the newest of them, and how long it took.
 fn read(
     answer: &[u8], asked: Option<&VecDeque<(u16, Instant)>>,
-) -> Result<(List, bool, Duration), DirectoryError> {
+) -> Result<(List, bool, Duration), DiscoveryError> {
     let id = answer.first_chunk().map_or(0, |id| u16::from_be_bytes(*id));
-    let asked = asked.ok_or(DirectoryError::NotMine)?;
-    let to = asked.iter().rposition(|(a, _)| *a == id).ok_or(DirectoryError::NotMine)?;
+    let asked = asked.ok_or(DiscoveryError::OtherQuery)?;
+    let to = asked.iter().rposition(|(a, _)| *a == id).ok_or(DiscoveryError::OtherQuery)?;
     let mut list = List::default();
-    dns::read(answer, id, &mut list)?;
+    dns::parse_response(answer, id, &mut list)?;
     Ok((list, to + 1 == asked.len(), asked[to].1.elapsed()))
 }
--- a/crates/curlewpoint-node/src/lib.rs
+++ b/crates/curlewpoint-node/src/lib.rs
@@ -11,4 +11,4 @@
 mod stall;
 mod workers;
 
-pub use run::{start, Running, StartError, Stopper};
+pub use run::{start, Control, SchedulerHandle, StartError};
--- a/crates/curlewpoint-node/src/line.rs
+++ b/crates/curlewpoint-node/src/line.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use curlewpoint::types::Time;
 use curlewpoint_link::{Clock, Parcel};
-use curlewpoint_platform::lines::Invoke;
+use curlewpoint_platform::json_lines::Invoke;
 
 /// One line to a worker.
 #[derive(Clone, Debug)]
--- a/crates/curlewpoint-node/src/outside.rs
+++ b/crates/curlewpoint-node/src/outside.rs
@@ -6,8 +6,8 @@
 use curlewpoint::types::{Outcome, RpcId, Time, WorkerId};
 use curlewpoint_engine::{Answer, ClientId, ConnId, Pool, RequestId, UpstreamRequest, Wires, World};
 use curlewpoint_link::{Clock, Outbox, Ticket};
-use curlewpoint_platform::asked::{self, Tags};
-use curlewpoint_platform::{lines, resp};
+use curlewpoint_platform::commands::{self, TagSet};
+use curlewpoint_platform::{json_lines, resp};
 use tokio::task::AbortHandle;
 use tracing::{debug, info};
 
@@ -20,7 +20,7 @@
     pub outbox: Outbox<Bytes>,
     pub writer: AbortHandle,
     pub presence: Arc<Presence>,
-    pub tags: Tags,
+    pub tags: TagSet,
     pub open: BTreeSet<u64>,
     /// Tags that it cancelled before they came.
     pub cancelled: BTreeSet<u64>,
@@ -110,7 +110,7 @@
         };
         // A probe or an order is not taken back: its end is passed over. Where the outbox is full nothing is told.
         if !name.starts_with(OWN) {
-            let _ = outbox.send(WorkerLine::Ready(lines::abort(name)), None);
+            let _ = outbox.send(WorkerLine::Ready(json_lines::abort_line(name)), None);
         }
     }
 
@@ -168,7 +168,7 @@
     /// Says a row to a client; one whose outbox is full does not read, and is cut off rather than waited for.
     pub fn tell(&mut self, id: ClientId, tag: u64, word: &str, fields: &str, body: &[u8]) {
         let Some(client) = self.clients.get(&id) else { return };
-        let row = resp::row(&[tag.to_string().as_bytes(), word.as_bytes(), fields.as_bytes(), body]);
+        let row = resp::encode_array(&[tag.to_string().as_bytes(), word.as_bytes(), fields.as_bytes(), body]);
         if client.outbox.send(row, None).is_err() {
             info!(client = id.0, "cut off: it does not read its answers");
             client.writer.abort();
@@ -244,17 +244,21 @@
         let asked = match request {
             UpstreamRequest::Attempt { rpc, method, model, token, left, body, .. } => {
                 let name = Arc::clone(&self.ids[&rpc]);
-                let invoke = lines::Invoke::new(&name, method, model, token, body);
+                let invoke = json_lines::Invoke::new(&name, method, model, token, body);
                 let line = WorkerLine::Attempt { invoke, deadline: now + left, clock: self.clock };
                 Asked { name, line, attempt: true }
             }
             UpstreamRequest::Load { model, copies } => {
                 let name: Arc<str> = name();
-                Asked { line: WorkerLine::Ready(lines::prewarm(&name, model, copies)), name, attempt: false }
+                Asked {
+                    line: WorkerLine::Ready(json_lines::prewarm_line(&name, model, copies)),
+                    name,
+                    attempt: false,
+                }
             }
             UpstreamRequest::Probe => {
                 let name: Arc<str> = name();
-                Asked { line: WorkerLine::Ready(lines::gauges(&name)), name, attempt: false }
+                Asked { line: WorkerLine::Ready(json_lines::gauges_line(&name)), name, attempt: false }
             }
         };
         debug!(request = id.0, worker = worker.0, attempt = asked.attempt, "asked as {}", asked.name);
@@ -280,11 +284,11 @@
             return;
         }
         let word = match answer {
-            Answer::Ok => asked::GOOD,
-            Answer::Denied => asked::REFUSED,
-            Answer::Aborted => asked::BROKEN,
+            Answer::Ok => commands::GOOD,
+            Answer::Denied => commands::REFUSED,
+            Answer::Aborted => commands::BROKEN,
         };
-        self.tell(client, tag, word, &asked::answer_fields(retry_after), &body);
+        self.tell(client, tag, word, &commands::reply_fields(retry_after), &body);
     }
 
     fn ended(&mut self) -> Option<(RequestId, Outcome)> {
@@ -294,7 +298,7 @@
     fn unload(&mut self, now: Time, worker: WorkerId, model: &str) {
         self.pool.tell(now, &mut self.sockets, worker, |sockets, conn| {
             if let Some(outbox) = sockets.outboxes.get(&conn) {
-                let _ = outbox.send(WorkerLine::Ready(lines::evict(model)), None);
+                let _ = outbox.send(WorkerLine::Ready(json_lines::evict_line(model)), None);
             }
         });
     }
--- a/crates/curlewpoint-node/src/run.rs
+++ b/crates/curlewpoint-node/src/run.rs
@@ -5,8 +5,8 @@
 use curlewpoint::types::{Copy, Standing, Time};
 use curlewpoint_engine::{ClientId, ConnId, Engine, Figures, Pool, PoolLimits, Refusal};
 use curlewpoint_link::{listen_again, Bounds, Clock, Turns, METRICS};
-use curlewpoint_platform::told::{self, Told, ToldError};
-use curlewpoint_platform::{asked, lines, Roll};
+use curlewpoint_platform::startup::{self, StartupConfig, StartupError};
+use curlewpoint_platform::{commands, json_lines, EndpointListVisitor};
 use oorandom::Rand64;
 use serde_json::{Map, Value};
 use thiserror::Error;
@@ -28,7 +28,7 @@
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     #[error("what is known of workers: {0}")]
-    Known(#[from] ToldError),
+    Known(#[from] StartupError),
 }
 
 /// Notes that wait for the engine's task; beyond these their senders wait. Few of what begins something, so that what a
@@ -59,27 +59,27 @@
 const OWN: usize = 16;
 /// Tells a scheduler to stop, or to log its figures.
 #[derive(Clone)]
-pub struct Stopper(mpsc::Sender<Note>);
+pub struct Control(mpsc::Sender<Note>);
 
-impl Stopper {
+impl Control {
     pub async fn stop(&self) {
         let _ = self.0.send(Note::Stop).await;
     }
 
     /// Has where its RPCs went and what its sockets met logged in one line.
-    pub async fn log_figures(&self) {
+    pub async fn log_counters(&self) {
         let _ = self.0.send(Note::Figures).await;
     }
 }
 
 /// A scheduler that serves.
-pub struct Running {
+pub struct SchedulerHandle {
     pub address: SocketAddr,
-    pub notes: Stopper,
+    pub control: Control,
     /// Where the directory is; another may be told at any time.
     pub resolver: watch::Sender<SocketAddr>,
     /// Ends with where every RPC went.
-    pub end: JoinHandle<Figures>,
+    pub stopped: JoinHandle<Figures>,
 }
 
 /// Takes the list for the engine.
@@ -89,12 +89,12 @@
     now: Time,
 }
 
-impl Roll for ToEngine<'_> {
-    fn begins(&mut self, version: u64, since: Option<u64>) {
+impl EndpointListVisitor for ToEngine<'_> {
+    fn begin_list(&mut self, version: u64, since: Option<u64>) {
         self.engine.list_begins(0, version, since);
     }
 
-    fn worker(
+    fn endpoint(
         &mut self, name: &str, address: &str, standing: Standing, started: u64, zone: &str, cell: &str,
         size: f64,
     ) {
@@ -102,7 +102,7 @@
         self.engine.list_row(self.now, name, address, standing, started, age, zone, cell, size);
     }
 
-    fn ends(&mut self) {
+    fn end_list(&mut self) {
         self.engine.list_ends(self.now);
     }
 }
@@ -121,8 +121,8 @@
 }
 
 /// Starts a scheduler. It serves from the moment this returns.
-pub async fn start(told: Told) -> Result<Running, StartError> {
-    let Told { name, listen: at, seed, sockets, memory_mb, resolver, mut settings, known } = told;
+pub async fn start(told: StartupConfig) -> Result<SchedulerHandle, StartError> {
+    let StartupConfig { name, listen: at, seed, sockets, memory_mb, resolver, mut settings, known } = told;
     let listener = listen_again(&at.to_string()).await.map_err(|e| StartError::Listen(at, e))?;
     let address = listener.local_addr().map_err(|e| StartError::Listen(at, e))?;
     info!(name, %address, seed = %seed, sockets, memory_mb, "serving");
@@ -154,7 +154,7 @@
     let clock = Clock::start();
     let mut engine =
         Engine::start(clock.now(), Outside::new(Pool::new(limits, seed), dialler, clock), seed, settings);
-    told::known(&known, &mut ToEngine { engine: &mut engine, clock, now: clock.now() })?;
+    startup::visit_known_workers(&known, &mut ToEngine { engine: &mut engine, clock, now: clock.now() })?;
 
     let (tasks, closing) = (TaskTracker::new(), CancellationToken::new());
     let desk = clients::Desk {
@@ -182,13 +182,13 @@
         stalls: Stalls::default(),
         checked: false,
     };
-    let end = tokio::spawn(async move {
+    let stopped = tokio::spawn(async move {
         let figures = turn.run(Turns::new(ended, asks, ASKS), tasks, closing).await;
         following.abort();
         accepting.abort();
         figures
     });
-    Ok(Running { address, notes: Stopper(endings), resolver, end })
+    Ok(SchedulerHandle { address, control: Control(endings), resolver, stopped })
 }
 
 /// Whether anybody is served.
@@ -276,11 +276,11 @@
             }
         }
         self.engine.abort_all(self.clock.now());
-        self.log_figures("stopped");
+        self.log_counters("stopped");
         self.engine.figures()
     }
 
-    fn log_figures(&mut self, why: &str) {
+    fn log_counters(&mut self, why: &str) {
         let conns = self.engine.world().conns();
         let f = self.engine.figures();
         let (loads, probes, list) = (f.loads, f.probes, self.listed);
@@ -381,7 +381,7 @@
                 }
                 list.call(&mut ToEngine { engine, clock: self.clock, now });
             }
-            Note::Figures => self.log_figures("figures"),
+            Note::Figures => self.log_counters("figures"),
             Note::Stop => {
                 info!(open = self.engine.open(), "stopping");
                 self.ending.get_or_insert_with(Instant::now);
@@ -395,10 +395,10 @@
         let Some(client) = self.engine.world().clients.get_mut(&id) else { return Ok(()) };
         client.quiet = 0;
         let word = |no: usize| words.get(no).map_or(&b""[..], |w| &w[..]);
-        let tag = asked::tag(word(1)).ok_or("a tag that is none")?;
+        let tag = commands::parse_tag(word(1)).ok_or("a tag that is none")?;
         match word(0) {
-            asked::CALL => {
-                if !client.tags.is_new(tag, MOST_SCATTERED) {
+            commands::CALL => {
+                if !client.tags.insert(tag, MOST_SCATTERED) {
                     return Err("a tag for the second time");
                 }
                 if client.cancelled.remove(&tag) {
@@ -406,7 +406,7 @@
                 }
                 if client.open.len() >= MOST_OPEN {
                     self.engine.refused();
-                    self.engine.world().tell(id, tag, asked::ENOUGH, "", b"");
+                    self.engine.world().tell(id, tag, commands::ENOUGH, "", b"");
                     return Ok(());
                 }
                 let body = words.get(4).cloned().unwrap_or_default();
@@ -415,19 +415,19 @@
                 }
             }
             // A cancel goes ahead of calls: what it withdraws may still be on its way.
-            asked::CANCEL if !client.tags.was_used(tag) => {
+            commands::CANCEL if !client.tags.contains(tag) => {
                 client.cancelled.insert(tag);
                 if client.cancelled.len() > MOST_SCATTERED {
                     return Err("too many tags cancelled that were never used");
                 }
             }
-            asked::CANCEL => {
+            commands::CANCEL => {
                 self.engine.world().withdrawn = Some((id, tag));
                 self.engine.cancelled(now, id, tag);
                 self.engine.world().withdrawn = None;
             }
-            asked::CHECK => {
-                let said = if stopping { asked::UNFIT } else { asked::FIT };
+            commands::CHECK => {
+                let said = if stopping { commands::UNFIT } else { commands::FIT };
                 if !std::mem::replace(&mut self.checked, true) {
                     let after = self.begun.elapsed().as_millis() as u64;
                     info!(after, "first asked whether it is {said}, milliseconds from the start");
@@ -443,7 +443,7 @@
     fn turned_down(&mut self, id: ClientId, tag: u64, word: &str) -> Result<(), &'static str> {
         let world = self.engine.world();
         world.tell(id, tag, word, "", b"");
-        if let Some(client) = world.clients.get_mut(&id).filter(|_| word == asked::BROKEN) {
+        if let Some(client) = world.clients.get_mut(&id).filter(|_| word == commands::BROKEN) {
             client.faults += 1;
             if client.faults >= MOST_FAULTS {
                 return Err("too many faults");
@@ -458,15 +458,15 @@
     ) -> Result<(), &'static str> {
         let unfit = |what| {
             debug!(client = id.0, tag, "not taken: {what}");
-            asked::BROKEN
+            commands::BROKEN
         };
         let text = |bytes| std::str::from_utf8(bytes).map_err(|_| unfit("no text"));
         let (method, fields) = (text(method)?, text(fields)?);
-        let field = |name| asked::field(fields, name);
-        let req = field("req").and_then(asked::hex).ok_or_else(|| unfit("its id"))?;
-        let left = field("timeout").and_then(asked::timeout).ok_or_else(|| unfit("its time"))?;
-        let model = field("subject").and_then(asked::hex).ok_or_else(|| unfit("its function"))?;
-        let info = asked::info(field("info").unwrap_or("")).ok_or_else(|| unfit("its figures"))?;
+        let field = |name| commands::field(fields, name);
+        let req = field("req").and_then(commands::parse_hex_id).ok_or_else(|| unfit("its id"))?;
+        let left = field("timeout").and_then(commands::parse_timeout).ok_or_else(|| unfit("its time"))?;
+        let model = field("subject").and_then(commands::parse_hex_id).ok_or_else(|| unfit("its function"))?;
+        let info = commands::parse_info(field("info").unwrap_or("")).ok_or_else(|| unfit("its figures"))?;
         let lanes = info.iter().find(|(name, _)| *name == "lanes").map(|(_, lanes)| *lanes);
         if lanes.is_some_and(|lanes| lanes < 1.0) {
             return Err(unfit("its lanes"));
@@ -485,7 +485,7 @@
         let world = self.engine.world();
         world.clients.get_mut(&id).into_iter().for_each(|c| c.open.retain(|t| *t != tag));
         match why {
-            Refusal::Full | Refusal::NoTime | Refusal::Stopping => Err(asked::REFUSED),
+            Refusal::Full | Refusal::NoTime | Refusal::Stopping => Err(commands::REFUSED),
             _ => Err(unfit("its method, its token or its function")),
         }
     }
@@ -502,15 +502,18 @@
     }
 
     /// What a worker says; what nobody waits for is passed over.
-    fn worker(&mut self, now: Time, conn: ConnId, row: &Map<String, Value>) -> Result<(), lines::LineError> {
-        let outcome = lines::outcome(row)?;
-        let Some(request) = self.engine.world().asked_as(conn, lines::text(row, "req")?) else {
+    fn worker(
+        &mut self, now: Time, conn: ConnId, row: &Map<String, Value>,
+    ) -> Result<(), json_lines::LineError> {
+        let outcome = json_lines::outcome(row)?;
+        let Some(request) = self.engine.world().asked_as(conn, json_lines::text_field(row, "req")?) else {
             return Ok(());
         };
-        let body = lines::body(row)?;
+        let body = json_lines::body(row)?;
         let is_attempt = self.engine.asked_by(request).is_some();
-        let copy = if is_attempt { lines::copy(row) } else { Copy::Untold };
-        let (held, copies, report) = (lines::held(row), lines::copies(row), lines::report(row, &self.report));
+        let copy = if is_attempt { json_lines::copy(row) } else { Copy::Untold };
+        let (held, copies, report) =
+            (json_lines::held_rpcs(row), json_lines::copies(row), json_lines::load_report(row, &self.report));
         self.engine.world().answered(now, request);
         self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
         Ok(())
--- a/crates/curlewpoint-node/src/workers.rs
+++ b/crates/curlewpoint-node/src/workers.rs
@@ -2,7 +2,7 @@
 
 use curlewpoint_engine::ConnId;
 use curlewpoint_link::{dial, is_ours, linger, outbox, split, Bounds};
-use curlewpoint_platform::lines::{LineError, Lines};
+use curlewpoint_platform::json_lines::{LineDecoder, LineError};
 use serde_json::{Map, Value};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
@@ -46,7 +46,7 @@
 
 /// The next line; none: the connection has ended, or a line on it that has begun does not end.
 async fn next<R: tokio::io::AsyncRead + Unpin>(
-    reader: &mut FramedRead<R, Lines>,
+    reader: &mut FramedRead<R, LineDecoder>,
 ) -> Option<Result<Map<String, Value>, LineError>> {
     let mut begun = false;
     loop {
@@ -65,7 +65,7 @@
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
     let (outbox, mut writer) = outbox::<WorkerLine>(write, bounds);
-    let mut reader = FramedRead::new(read, Lines { most: bounds.frame, looked_at: 0 });
+    let mut reader = FramedRead::new(read, LineDecoder { max_len: bounds.frame, scanned: 0 });
     if notes.send(Note::Up(conn, outbox)).await.is_err() {
         return;
     }
--- a/crates/curlewpoint-node/tests/crossings.rs
+++ b/crates/curlewpoint-node/tests/crossings.rs
@@ -1,15 +1,15 @@
 //! Events that cross, on real sockets, the crossing forced: a peer acts at a named point, or a clock is moved by hand.
 //! The table of all pairs is in docs/crossings.md.
 
-mod stand;
+mod test_servers;
 
 use std::io::Write;
 use std::time::Duration;
 
-use curlewpoint_platform::resp::row;
+use curlewpoint_platform::resp::encode_array;
 use serde_json::json;
-use stand::*;
 use test_case::test_case;
+use test_servers::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, UdpSocket};
 
@@ -112,7 +112,8 @@
         slow.call(&tag.to_string(), "read", &format!("{tag:016x}")).await;
         let (asked, to) = soon(heard.recv()).await.unwrap();
         to.send(answer(&asked, "OK", &body)).unwrap();
-        want += std::str::from_utf8(&row(&[tag.to_string().as_bytes(), b"good", b"", &[0; 12_000]])).unwrap();
+        want += std::str::from_utf8(&encode_array(&[tag.to_string().as_bytes(), b"good", b"", &[0; 12_000]]))
+            .unwrap();
         // One at a time on one connection: what is answered to this one was answered to the slow one before.
         other.call(&tag.to_string(), "read", &format!("{:016x}", 1000 + tag)).await;
         let (asked, to) = soon(heard.recv()).await.unwrap();
@@ -216,8 +217,8 @@
     assert_eq!(let_go["req"], kept["req"]);
     deaf.0.reset();
     of.settles().await;
-    of.notes.stop().await;
-    let figures = soon(&mut of.end).await.unwrap();
+    of.control.stop().await;
+    let figures = soon(&mut of.stopped).await.unwrap();
     assert_eq!((figures.left, figures.ok + figures.left), (1, figures.taken));
 }
 
@@ -408,7 +409,7 @@
     let mut open = Client::new(&of).await;
     open.say(&["CHECK", "1", ""]).await;
     open.hears(&["1", "fit", "", ""]).await;
-    of.notes.stop().await;
+    of.control.stop().await;
     open.say(&["CHECK", "2", ""]).await;
     open.hears(&["2", "unfit", "", ""]).await;
     // Before the scheduler, on this thread, looks again: the time is up, and all this has come.
@@ -425,7 +426,7 @@
     });
     assert_eq!(answers.matches("unfit").count(), 32);
     assert_eq!(rest(&mut late).await, String::from_utf8(say(&["1", "unfit", "", ""])).unwrap());
-    soon(&mut of.end).await.unwrap();
+    soon(&mut of.stopped).await.unwrap();
     of.settled().await;
 }
 
@@ -440,14 +441,14 @@
     client.call("1", "read", IDS[0]).await;
     let mut tag = 1;
     client.looks(&mut tag, "fit").await;
-    of.notes.stop().await;
+    of.control.stop().await;
     client.looks(&mut tag, "unfit").await;
     // The platform kills 3.7 s after the stop here; 0.2 s before that are for last words.
     tokio::time::pause();
     tokio::time::advance(Duration::from_millis(3_501)).await;
     tokio::time::resume();
     assert_eq!(rest(&mut client).await, String::from_utf8(say(&["1", "broken", "", ""])).unwrap());
-    let figures = soon(&mut of.end).await.unwrap();
+    let figures = soon(&mut of.stopped).await.unwrap();
     assert_eq!((figures.taken, figures.aborted, figures.cut_off), (1, 1, 1));
     drop(soon(listener.accept()).await.unwrap());
     drop(held);
@@ -463,14 +464,14 @@
     client.call("1", "read", IDS[0]).await;
     let (asked, say) = soon(heard.recv()).await.unwrap();
     of.resolver.send("127.0.0.1:10".parse().unwrap()).unwrap();
-    of.notes.stop().await;
-    of.notes.stop().await;
+    of.control.stop().await;
+    of.control.stop().await;
     of.resolver.send(NOWHERE.parse().unwrap()).unwrap();
     client.say(&["CHECK", "2", ""]).await;
     client.hears(&["2", "unfit", "", ""]).await;
     say.send(answer(&asked, "OK", "ZG9uZQ==")).unwrap();
     client.hears(&["1", "good", "", "done"]).await;
-    let figures = soon(&mut of.end).await.unwrap();
+    let figures = soon(&mut of.stopped).await.unwrap();
     assert_eq!((figures.taken, figures.ok, figures.cut_off), (1, 1, 0));
     of.settled().await;
 }
@@ -512,8 +513,8 @@
         client.hears(&["99", "fit", "", ""]).await;
     }
     of.settles().await;
-    of.notes.stop().await;
-    let figures = soon(&mut of.end).await.unwrap();
+    of.control.stop().await;
+    let figures = soon(&mut of.stopped).await.unwrap();
     assert_eq!((figures.taken, figures.aborted, figures.cut_off), (CLIENTS * OPEN, CLIENTS * OPEN, 0));
 }
 
--- a/crates/curlewpoint-node/tests/crowd.rs
+++ b/crates/curlewpoint-node/tests/crowd.rs
@@ -1,14 +1,14 @@
 //! Crowds at the doors, on real sockets, while the clock of all timers stands still: nothing that makes room may wait for
 //! a timer, or what a crowd brings beyond a timer's pace lies there until its time is over.
 
-mod stand;
+mod test_servers;
 
 use std::sync::mpsc;
 use std::time::Duration;
 
-use curlewpoint_platform::resp::row;
+use curlewpoint_platform::resp::encode_array;
 use serde_json::json;
-use stand::*;
+use test_servers::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// The clock stands still until this is dropped: a paused clock goes on by itself only where nothing blocks. A story that
@@ -45,8 +45,8 @@
     }
     let still = stand_still();
     // In waves, each there as a whole before the scheduler has looked.
-    let check = row(&[b"CHECK", b"1", b""]).to_vec();
-    let fit = row(&[b"1", b"fit", b"", b""]).to_vec();
+    let check = encode_array(&[b"CHECK", b"1", b""]).to_vec();
+    let fit = encode_array(&[b"1", b"fit", b"", b""]).to_vec();
     let (mut stays, mut pieces, mut usual) = (Vec::new(), Vec::new(), OWED);
     for wave in 0..CROWD / 40 {
         let mut wave: Vec<(usize, Client)> = (0..40)
--- a/crates/curlewpoint-node/tests/deadlines.rs
+++ b/crates/curlewpoint-node/tests/deadlines.rs
@@ -1,11 +1,11 @@
 //! What a worker is told of the time that is left, where an attempt has waited on its way.
 
-mod stand;
+mod test_servers;
 
 use std::time::Instant;
 
 use serde_json::{json, Value};
-use stand::*;
+use test_servers::*;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 
 /// What a call of the stand has, and the slack that the deadline passed on may have.
--- a/crates/curlewpoint-node/tests/descriptors.rs
+++ b/crates/curlewpoint-node/tests/descriptors.rs
@@ -2,7 +2,7 @@
 //! runs at a time; what stands for peers is opened before the table is filled, as the scheduler, on the same thread, does
 //! not look meanwhile.
 
-mod stand;
+mod test_servers;
 
 use std::fs::File;
 use std::future::Future;
@@ -10,7 +10,7 @@
 
 use curlewpoint_node::start;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
-use stand::*;
+use test_servers::*;
 use tokio::io::AsyncWriteExt;
 
 /// Runs a test while no other of them has anything open.
--- a/crates/curlewpoint-node/tests/directory.rs
+++ b/crates/curlewpoint-node/tests/directory.rs
@@ -1,10 +1,10 @@
 //! Answers of the directory that are late, lost, or on their way as it moves.
 
-mod stand;
+mod test_servers;
 
 use std::time::{Duration, Instant};
 
-use stand::*;
+use test_servers::*;
 
 /// What the settings of the stand leave of a drain, less some time to act.
 const WITHIN_A_GRACE: Duration = Duration::from_millis(500);
--- a/crates/curlewpoint-node/tests/lists.rs
+++ b/crates/curlewpoint-node/tests/lists.rs
@@ -1,14 +1,14 @@
 //! Lists that cross other events: a directory that moves and then drains, one that falls silent late, and one that comes
 //! back with the whole list at once.
 
-mod stand;
+mod test_servers;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use serde_json::{json, Value};
-use stand::*;
+use test_servers::*;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::{mpsc, watch};
@@ -278,8 +278,8 @@
     while let Ok(id) = begun.try_recv() {
         assert!(here.insert(id), "twice");
     }
-    of.notes.stop().await;
-    let figures = soon(&mut of.end).await.unwrap();
+    of.control.stop().await;
+    let figures = soon(&mut of.stopped).await.unwrap();
     let elsewhere = elsewhere.lock().unwrap();
     let (all, line) = ((id - ANSWERS) as usize, *elsewhere.values().max().expect("nothing was taken back"));
     println!("{} of {all} were begun, {} went elsewhere; {taken} bytes taken", here.len(), elsewhere.len());
--- a/crates/curlewpoint-node/tests/pieces.rs
+++ b/crates/curlewpoint-node/tests/pieces.rs
@@ -1,12 +1,12 @@
 //! Requests that come in pieces, cut at every byte, and what may fall between two of them. A piece counts as read by
 //! itself once a word on another connection, sent behind it, is answered.
 
-mod stand;
+mod test_servers;
 
 use std::time::Duration;
 
 use oorandom::Rand32;
-use stand::*;
+use test_servers::*;
 use tokio::io::AsyncWriteExt;
 
 fn id(no: usize) -> String {
@@ -103,7 +103,7 @@
     let mut of = scheduler_with(&[&at], NOWHERE, with_room).await;
     let (mut other, mut tag) = (Client::new(&of).await, 0);
     let mut clients = one_for_each_cut(&of, &mut other, &mut tag).await;
-    of.notes.stop().await;
+    of.control.stop().await;
     other.looks(&mut tag, "unfit").await;
     let mut served = Vec::new();
     for (no, (client, rest)) in clients.iter_mut().enumerate().step_by(2) {
@@ -118,7 +118,7 @@
         client.is_closed().await;
     }
     assert_eq!(all_of(&came), ids(served));
-    let figures = soon(&mut of.end).await.unwrap();
+    let figures = soon(&mut of.stopped).await.unwrap();
     assert_eq!((figures.taken, figures.cut_off), (clients.len().div_ceil(2) as u64, 0));
     of.settled().await;
 }
--- a/crates/curlewpoint-node/tests/sockets.rs
+++ b/crates/curlewpoint-node/tests/sockets.rs
@@ -1,13 +1,13 @@
 //! A scheduler on real sockets, with stand-ins for its clients, its workers and the directory. Each story causes what
 //! it is about, and waits for what must follow.
 
-mod stand;
+mod test_servers;
 
 use std::time::Duration;
 
 use serde_json::json;
-use stand::*;
 use test_case::test_case;
+use test_servers::*;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -170,7 +170,7 @@
     let mut client = Client::new(&of).await;
     client.call("1", "read", IDS[0]).await;
     let first = soon(heard.recv()).await.unwrap();
-    of.notes.stop().await;
+    of.control.stop().await;
     client.say(&["CHECK", "2", ""]).await;
     client.hears(&["2", "unfit", "", ""]).await;
     let mut late = Client::new(&of).await;
@@ -181,7 +181,7 @@
     }
     client.hears(&["1", "good", "", "done"]).await;
     late.hears(&["1", "good", "", "done"]).await;
-    let figures = soon(&mut of.end).await.unwrap();
+    let figures = soon(&mut of.stopped).await.unwrap();
     assert_eq!((figures.taken, figures.ok, figures.cut_off), (2, 2, 0));
     of.settled().await;
 }
--- a/crates/curlewpoint-node/tests/stop.rs
+++ b/crates/curlewpoint-node/tests/stop.rs
@@ -1,11 +1,11 @@
 //! Clients that go on using their connections after a stop, until the platform kills.
 
-mod stand;
+mod test_servers;
 
 use std::time::{Duration, Instant};
 
-use curlewpoint_platform::resp::Commands;
-use stand::*;
+use curlewpoint_platform::resp::CommandDecoder;
+use test_servers::*;
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 use tokio_stream::StreamExt;
@@ -25,8 +25,8 @@
     let (at, _) = gives_back().await;
     let of = scheduler(&[&at], NOWHERE).await;
     let mut client = Client::new(&of).await;
-    let mut rows = FramedRead::new(&mut client.0, Commands { most_words: 8, most_word: 16 * 1024 });
-    of.notes.stop().await;
+    let mut rows = FramedRead::new(&mut client.0, CommandDecoder { max_words: 8, max_word_len: 16 * 1024 });
+    of.control.stop().await;
     let stopped = Instant::now();
     let mut no = 0;
     while stopped.elapsed() + LAST < KILL {
@@ -52,17 +52,17 @@
     client.call("1", "read", IDS[0]).await;
     client.hears(&["1", "good", "", "body"]).await;
     drop(client);
-    of.notes.stop().await;
+    of.control.stop().await;
     let stopped = Instant::now();
-    soon(&mut of.end).await.unwrap();
+    soon(&mut of.stopped).await.unwrap();
     assert!(stopped.elapsed() < KILL, "it waits for nobody: {:?}", stopped.elapsed());
     of.settled().await;
     let mut held = scheduler(&[&at], NOWHERE).await;
     let mut client = Client::new(&held).await;
     client.call("1", "read", IDS[1]).await;
     client.hears(&["1", "good", "", "body"]).await;
-    held.notes.stop().await;
-    soon(&mut held.end).await.unwrap();
+    held.control.stop().await;
+    soon(&mut held.stopped).await.unwrap();
     client.is_closed().await;
     held.settled().await;
 }
--- a/crates/curlewpoint-node/tests/stand/mod.rs
+++ b/crates/curlewpoint-node/tests/test_servers/mod.rs
@@ -2,7 +2,7 @@
 //! workers hear and say, goes into one record a test, which is judged when the test settles.
 #![allow(dead_code)]
 
-pub mod record;
+pub mod transcript;
 
 use std::cell::RefCell;
 use std::io::Write;
@@ -16,19 +16,19 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 
-use curlewpoint_node::{start, Running};
-use curlewpoint_platform::resp::row;
-use curlewpoint_platform::told;
+use curlewpoint_node::{start, SchedulerHandle};
+use curlewpoint_platform::resp::encode_array;
+use curlewpoint_platform::startup;
 use hickory_proto::op::{Message, MessageType};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record};
-use record::{Conn, End};
 use serde_json::{json, Value};
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, BufReader, ReadBuf};
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::sync::mpsc;
 use tokio::time::timeout;
+use transcript::{ClientConn, ConnState};
 
 /// No step of a story takes longer; one that does has failed.
 pub const STEP: Duration = Duration::from_secs(10);
@@ -41,7 +41,7 @@
 /// asked something.
 #[derive(Default)]
 struct Seen {
-    record: record::Record,
+    transcript: transcript::Transcript,
     streams: Vec<Weak<TcpStream>>,
     asked: Vec<(Value, mpsc::WeakUnboundedSender<String>)>,
     /// From here on workers answer all that they are asked.
@@ -60,7 +60,7 @@
 
 /// Puts on record what a worker of a test's own has heard.
 pub fn went_out(asked: &Value) {
-    seen(|s| s.record.hears(asked["req"].as_str().unwrap_or_default()));
+    seen(|s| s.transcript.worker_received(asked["req"].as_str().unwrap_or_default()));
 }
 
 /// A client's connection, all of it on record.
@@ -76,14 +76,14 @@
         let stream = Arc::new(stream);
         let no = seen(|s| {
             s.streams.push(Arc::downgrade(&stream));
-            s.record.conns.push(Conn { sent: sent.to_vec(), ..Conn::default() });
+            s.transcript.conns.push(ClientConn { sent: sent.to_vec(), ..ClientConn::default() });
             s.streams.len() - 1
         });
         Wire { stream, no }
     }
 
-    fn conn<T>(&self, look: impl FnOnce(&mut Conn) -> T) -> Option<T> {
-        seen(|s| s.record.conns.get_mut(self.no).map(look))
+    fn conn<T>(&self, look: impl FnOnce(&mut ClientConn) -> T) -> Option<T> {
+        seen(|s| s.transcript.conns.get_mut(self.no).map(look))
     }
 
     pub fn try_write(&self, bytes: &[u8]) -> std::io::Result<usize> {
@@ -101,18 +101,18 @@
 impl Drop for Wire {
     fn drop(&mut self) {
         self.conn(|c| {
-            if c.end == End::Open {
-                c.end = End::Left;
+            if c.state == ConnState::Open {
+                c.state = ConnState::ClosedByClient;
             }
         });
     }
 }
 
 /// Puts on record what was read; nought bytes, or an error, is the end.
-fn reads(conn: &mut Conn, got: std::io::Result<&[u8]>) {
+fn reads(conn: &mut ClientConn, got: std::io::Result<&[u8]>) {
     match got {
-        Ok(bytes) if !bytes.is_empty() => conn.got.extend_from_slice(bytes),
-        _ if conn.end == End::Open => conn.end = End::Closed,
+        Ok(bytes) if !bytes.is_empty() => conn.received.extend_from_slice(bytes),
+        _ if conn.state == ConnState::Open => conn.state = ConnState::ClosedByScheduler,
         _ => {}
     }
 }
@@ -158,27 +158,27 @@
 
     /// A client that shuts its writing side counts as gone.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<std::io::Result<()>> {
-        self.conn(|c| c.end = End::Left);
+        self.conn(|c| c.state = ConnState::ClosedByClient);
         Poll::Ready(rustix::net::shutdown(&*self.stream, rustix::net::Shutdown::Write).map_err(Into::into))
     }
 }
 
 /// A scheduler on the thread of its test.
 pub struct Scheduler {
-    running: Running,
+    running: SchedulerHandle,
     settled: bool,
 }
 
 impl Deref for Scheduler {
-    type Target = Running;
+    type Target = SchedulerHandle;
 
-    fn deref(&self) -> &Running {
+    fn deref(&self) -> &SchedulerHandle {
         &self.running
     }
 }
 
 impl DerefMut for Scheduler {
-    fn deref_mut(&mut self) -> &mut Running {
+    fn deref_mut(&mut self) -> &mut SchedulerHandle {
         &mut self.running
     }
 }
@@ -215,10 +215,11 @@
         for (no, stream) in streams.into_iter().enumerate() {
             let Some(stream) = stream else { continue };
             read_what_is_owed(no, &stream).await;
-            let last = row(&[b"CHECK", (LAST + no as u64).to_string().as_bytes(), b""]);
+            let last = encode_array(&[b"CHECK", (LAST + no as u64).to_string().as_bytes(), b""]);
             let says = seen(|s| {
-                let conn = &mut s.record.conns[no];
-                let says = conn.end == End::Open && conn.is_at_rows_end() && !conn.sent.is_empty();
+                let conn = &mut s.transcript.conns[no];
+                let says =
+                    conn.state == ConnState::Open && conn.has_no_partial_request() && !conn.sent.is_empty();
                 if says && stream.try_write(&last).is_ok() {
                     conn.sent.extend_from_slice(&last);
                 }
@@ -228,7 +229,7 @@
                 read_what_is_owed(no, &stream).await;
             }
         }
-        let faults = seen(|s| s.record.faults());
+        let faults = seen(|s| s.transcript.violations());
         assert!(faults.is_empty(), "{faults:#?}");
     }
 }
@@ -237,13 +238,15 @@
 async fn read_what_is_owed(no: usize, stream: &TcpStream) {
     let mut some = [0; 4096];
     let all = async {
-        while seen(|s| s.record.conns[no].end == End::Open && s.record.conns[no].is_owed()) {
+        while seen(|s| {
+            s.transcript.conns[no].state == ConnState::Open && s.transcript.conns[no].awaits_reply()
+        }) {
             if stream.readable().await.is_err() {
                 return;
             }
             match stream.try_read(&mut some) {
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-                got => seen(|s| reads(&mut s.record.conns[no], got.map(|n| &some[..n]))),
+                got => seen(|s| reads(&mut s.transcript.conns[no], got.map(|n| &some[..n]))),
             }
         }
     };
@@ -315,7 +318,7 @@
 }
 
 pub fn say(words: &[&str]) -> Vec<u8> {
-    row(&words.iter().map(|w| w.as_bytes()).collect::<Vec<_>>()).to_vec()
+    encode_array(&words.iter().map(|w| w.as_bytes()).collect::<Vec<_>>()).to_vec()
 }
 
 async fn write_lines(mut write: OwnedWriteHalf, mut said: mpsc::UnboundedReceiver<String>) {
@@ -327,7 +330,7 @@
 /// A worker's answer; what is 'ok' goes on record.
 pub fn answer(to: &Value, word: &str, data: &str) -> String {
     if let (Some(id), "OK", Ok(body)) = (to["req"].as_str(), word, STANDARD.decode(data)) {
-        seen(|s| s.record.says(id, &body));
+        seen(|s| s.transcript.worker_answered(id, &body));
     }
     format!("{}\n", json!({"type": word, "req": to["req"], "meta": {"detail": "resident"}, "data": data}))
 }
@@ -335,7 +338,7 @@
 pub struct Client(pub Wire);
 
 impl Client {
-    pub async fn new(of: &Running) -> Client {
+    pub async fn new(of: &SchedulerHandle) -> Client {
         Client::of(TcpStream::connect(of.address).await.unwrap())
     }
 
@@ -353,7 +356,7 @@
 
     pub async fn say(&mut self, words: &[&str]) {
         let words: Vec<&[u8]> = words.iter().map(|w| w.as_bytes()).collect();
-        self.0.write_all(&row(&words)).await.unwrap();
+        self.0.write_all(&encode_array(&words)).await.unwrap();
     }
 
     pub async fn call(&mut self, tag: &str, method: &str, id: &str) {
@@ -364,7 +367,7 @@
     /// Waits for exactly this answer.
     pub async fn hears(&mut self, words: &[&str]) {
         let words: Vec<&[u8]> = words.iter().map(|w| w.as_bytes()).collect();
-        let want = row(&words);
+        let want = encode_array(&words);
         let mut got = vec![0; want.len()];
         soon(self.0.read_exact(&mut got)).await.unwrap();
         assert_eq!(String::from_utf8_lossy(&got), String::from_utf8_lossy(&want));
@@ -397,7 +400,7 @@
     Scheduler { running, settled: false }
 }
 
-pub fn told(workers: &[&str], resolver: &str, change: impl Fn(&mut Value)) -> told::Told {
+pub fn told(workers: &[&str], resolver: &str, change: impl Fn(&mut Value)) -> startup::StartupConfig {
     let nodes: Vec<Value> = workers
         .iter()
         .enumerate()
@@ -419,7 +422,7 @@
         },
     });
     change(&mut told);
-    told::read(&told.to_string()).unwrap()
+    startup::parse(&told.to_string()).unwrap()
 }
 
 /// No directory answers there.
--- a/crates/curlewpoint-node/tests/stand/record.rs
+++ b/crates/curlewpoint-node/tests/test_servers/transcript.rs
@@ -7,21 +7,21 @@
 
 /// How a client's connection has ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum End {
+pub enum ConnState {
     #[default]
     Open,
     /// By the scheduler: the client has read to the end.
-    Closed,
+    ClosedByScheduler,
     /// By the client itself: nothing is owed to it any more.
-    Left,
+    ClosedByClient,
 }
 
 /// A client's connection.
 #[derive(Debug, Default)]
-pub struct Conn {
+pub struct ClientConn {
     pub sent: Vec<u8>,
-    pub got: Vec<u8>,
-    pub end: End,
+    pub received: Vec<u8>,
+    pub state: ConnState,
 }
 
 type Row<'a> = Vec<&'a [u8]>;
@@ -70,19 +70,19 @@
     id.unwrap_or_default().to_owned()
 }
 
-impl Conn {
+impl ClientConn {
     /// Nothing of a request lies half written.
-    pub fn is_at_rows_end(&self) -> bool {
+    pub fn has_no_partial_request(&self) -> bool {
         rows(&self.sent).1 == self.sent.len()
     }
 
     /// Something that was asked whole and not withdrawn has no answer.
-    pub fn is_owed(&self) -> bool {
+    pub fn awaits_reply(&self) -> bool {
         !self.unanswered().is_empty()
     }
 
     fn unanswered(&self) -> Vec<Row<'_>> {
-        let (asked, told) = (rows(&self.sent).0, rows(&self.got).0);
+        let (asked, told) = (rows(&self.sent).0, rows(&self.received).0);
         let withdrawn: BTreeSet<_> =
             asked.iter().filter(|r| word(r, 0) == b"CANCEL").map(|r| word(r, 1)).collect();
         let mut answers: BTreeMap<&[u8], usize> = BTreeMap::new();
@@ -102,32 +102,34 @@
 
 /// All of a test's connections and attempts.
 #[derive(Debug, Default)]
-pub struct Record {
-    pub conns: Vec<Conn>,
+pub struct Transcript {
+    pub conns: Vec<ClientConn>,
     /// The ids of which a worker has heard anything, and the bodies that were given for each as 'ok'.
     heard: BTreeSet<String>,
     said: BTreeMap<String, Vec<Vec<u8>>>,
 }
 
-impl Record {
+impl Transcript {
     /// A worker has read an attempt, or a part of one that holds its id.
-    pub fn hears(&mut self, id: &str) {
+    pub fn worker_received(&mut self, id: &str) {
         self.heard.insert(id.to_owned());
     }
 
     /// A worker gives this body for the request.
-    pub fn says(&mut self, id: &str, body: &[u8]) {
+    pub fn worker_answered(&mut self, id: &str, body: &[u8]) {
         self.said.entry(id.to_owned()).or_default().push(body.to_vec());
     }
 
     /// What breaks the rule.
-    pub fn faults(&self) -> Vec<String> {
-        let (mut faults, mut whole) = (Vec::new(), BTreeSet::new());
+    pub fn violations(&self) -> Vec<String> {
+        let (mut violations, mut whole) = (Vec::new(), BTreeSet::new());
         for (no, conn) in self.conns.iter().enumerate() {
-            let (asked, (told, read)) = (rows(&conn.sent).0, rows(&conn.got));
-            if read < conn.got.len() && conn.end != End::Left {
-                faults
-                    .push(format!("client {no} read what is no whole answer: {}", shown(&conn.got[read..])));
+            let (asked, (told, read)) = (rows(&conn.sent).0, rows(&conn.received));
+            if read < conn.received.len() && conn.state != ConnState::ClosedByClient {
+                violations.push(format!(
+                    "client {no} read what is no whole answer: {}",
+                    shown(&conn.received[read..])
+                ));
             }
             let calls = asked.iter().filter(|r| word(r, 0) == b"CALL");
             whole.extend(calls.map(id));
@@ -137,7 +139,7 @@
                 let (tag, said) = (word(answer, 0), word(answer, 1));
                 let fits = |r: &&Row<'_>| word(r, 1) == tag && [&b"CALL"[..], b"CHECK"].contains(&word(r, 0));
                 let Some(at) = open.iter().position(fits) else {
-                    faults.push(format!(
+                    violations.push(format!(
                         "client {no}: an answer too many under tag {}: {}",
                         shown(tag),
                         shown(said)
@@ -147,27 +149,28 @@
                 let to = open.remove(at);
                 let of_check = [&b"fit"[..], b"unfit"].contains(&said);
                 if of_check != (word(to, 0) == b"CHECK") {
-                    faults.push(format!("client {no}: '{}' to a {}", shown(said), shown(word(to, 0))));
+                    violations.push(format!("client {no}: '{}' to a {}", shown(said), shown(word(to, 0))));
                 }
                 let body = word(answer, 3);
                 let made = || self.said.get(&id(to)).is_some_and(|all| all.iter().any(|b| b == body));
                 if said == b"good" && !made() {
-                    faults.push(format!("client {no}: no worker made the answer to {}", id(to)));
+                    violations.push(format!("client {no}: no worker made the answer to {}", id(to)));
                 }
             }
             for row in conn.unanswered() {
                 let (what, id) = (shown(word(&row, 0)), id(&row));
-                match conn.end {
-                    End::Open => faults.push(format!("client {no}: no answer to {what} {id}")),
-                    End::Closed if self.heard.contains(&id) => {
-                        faults.push(format!("client {no}: {id} was passed on, and closed without an answer"));
+                match conn.state {
+                    ConnState::Open => violations.push(format!("client {no}: no answer to {what} {id}")),
+                    ConnState::ClosedByScheduler if self.heard.contains(&id) => {
+                        violations
+                            .push(format!("client {no}: {id} was passed on, and closed without an answer"));
                     }
-                    End::Closed | End::Left => {}
+                    ConnState::ClosedByScheduler | ConnState::ClosedByClient => {}
                 }
             }
         }
         let strange = self.heard.iter().filter(|id| !whole.contains(*id));
-        faults.extend(strange.map(|id| format!("{id} was passed on, and no client has asked it whole")));
-        faults
+        violations.extend(strange.map(|id| format!("{id} was passed on, and no client has asked it whole")));
+        violations
     }
 }
--- a/crates/curlewpoint-platform/src/asked/tests.rs
+++ b/crates/curlewpoint-platform/src/commands/tests.rs
@@ -12,7 +12,7 @@
 #[test_case("99999999999999999999999", None)]
 #[test_case("", None)]
 fn only_a_plain_time_is_one(text: &str, want: Option<Time>) {
-    assert_eq!(timeout(text), want);
+    assert_eq!(parse_timeout(text), want);
 }
 
 #[test_case("memory_mb:512;lanes:2", Some(vec![("memory_mb", 512.0), ("lanes", 2.0)]))]
@@ -20,20 +20,20 @@
 #[test_case("lanes:many", None)]
 #[test_case("lanes", None)]
 fn figures_are_read_or_refused(text: &str, want: Option<Vec<(&str, f64)>>) {
-    assert_eq!(info(text), want);
+    assert_eq!(parse_info(text), want);
 }
 
 #[test]
 fn a_tag_is_new_once_and_counted_ones_take_no_room() {
     for from in [1, 100, u64::MAX - 3000] {
-        let mut tags = Tags::default();
-        assert!((from..from + 1000).all(|tag| tags.is_new(tag, 4)) && tags.runs.len() == 1);
-        assert!(!tags.is_new(from + 6, 4) && tags.is_new(from + 1001, 4) && tags.is_new(from + 1000, 4));
-        assert!(!tags.is_new(from + 1001, 4) && tags.runs.len() == 1);
+        let mut tags = TagSet::default();
+        assert!((from..from + 1000).all(|tag| tags.insert(tag, 4)) && tags.runs.len() == 1);
+        assert!(!tags.insert(from + 6, 4) && tags.insert(from + 1001, 4) && tags.insert(from + 1000, 4));
+        assert!(!tags.insert(from + 1001, 4) && tags.runs.len() == 1);
         // One run and three scattered: that is all.
-        assert!([1999, 2003, 2001].iter().all(|n| tags.is_new(from + n, 4)) && !tags.is_new(from + 2500, 4));
-        assert!(tags.is_new(from + 2000, 4) && tags.is_new(from + 2002, 4) && tags.runs.len() == 2);
-        assert!((1999..=2003).all(|n| tags.was_used(from + n)) && !tags.was_used(from + 2004));
+        assert!([1999, 2003, 2001].iter().all(|n| tags.insert(from + n, 4)) && !tags.insert(from + 2500, 4));
+        assert!(tags.insert(from + 2000, 4) && tags.insert(from + 2002, 4) && tags.runs.len() == 2);
+        assert!((1999..=2003).all(|n| tags.contains(from + n)) && !tags.contains(from + 2004));
     }
 }
 
@@ -45,8 +45,8 @@
 
 #[test]
 fn a_tag_is_known_as_used_from_its_first_use_on() {
-    let mut tags = Tags::default();
-    assert!(!tags.was_used(1) && !tags.was_used(7));
-    assert!(tags.is_new(7, 9) && tags.is_new(1, 9));
-    assert!(tags.was_used(1) && tags.was_used(7) && !tags.was_used(2));
+    let mut tags = TagSet::default();
+    assert!(!tags.contains(1) && !tags.contains(7));
+    assert!(tags.insert(7, 9) && tags.insert(1, 9));
+    assert!(tags.contains(1) && tags.contains(7) && !tags.contains(2));
 }
--- a/crates/curlewpoint-platform/src/lines.rs
+++ b/crates/curlewpoint-platform/src/json_lines.rs
@@ -12,37 +12,37 @@
 #[derive(Debug, Error)]
 pub enum LineError {
     #[error("a line of more than {0} bytes")]
-    Long(usize),
+    TooLong(usize),
     #[error("no object in a line: {0}")]
-    NotRead(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
     #[error("field '{0}' is missing or cannot be used")]
-    Field(&'static str),
+    InvalidField(&'static str),
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
 /// Reads lines within a bound.
 #[derive(Clone, Copy, Debug)]
-pub struct Lines {
+pub struct LineDecoder {
     /// The longest line, in bytes.
-    pub most: usize,
+    pub max_len: usize,
     /// How much of what has come is known to hold no line's end.
-    pub looked_at: usize,
+    pub scanned: usize,
 }
 
-impl Decoder for Lines {
+impl Decoder for LineDecoder {
     type Item = Map<String, Value>;
     type Error = LineError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Map<String, Value>>, LineError> {
-        let Some(end) = src[self.looked_at..].iter().position(|b| *b == b'\n') else {
-            self.looked_at = src.len();
-            return if src.len() > self.most { Err(LineError::Long(self.most)) } else { Ok(None) };
+        let Some(end) = src[self.scanned..].iter().position(|b| *b == b'\n') else {
+            self.scanned = src.len();
+            return if src.len() > self.max_len { Err(LineError::TooLong(self.max_len)) } else { Ok(None) };
         };
-        let line = src.split_to(self.looked_at + end + 1);
-        self.looked_at = 0;
-        if line.len() > self.most {
-            return Err(LineError::Long(self.most));
+        let line = src.split_to(self.scanned + end + 1);
+        self.scanned = 0;
+        if line.len() > self.max_len {
+            return Err(LineError::TooLong(self.max_len));
         }
         Ok(Some(serde_json::from_slice(&line)?))
     }
@@ -96,25 +96,25 @@
     }
 }
 
-pub fn abort(req: &str) -> Bytes {
+pub fn abort_line(req: &str) -> Bytes {
     line(json!({"type": "abort", "req": req}))
 }
 
-pub fn gauges(tag: &str) -> Bytes {
+pub fn gauges_line(tag: &str) -> Bytes {
     line(json!({"type": "gauges", "req": tag}))
 }
 
-pub fn prewarm(tag: &str, model: &str, copies: u64) -> Bytes {
+pub fn prewarm_line(tag: &str, model: &str, copies: u64) -> Bytes {
     line(json!({"type": "prewarm", "req": tag, "meta": {"path": model, "instances": copies}}))
 }
 
-pub fn evict(model: &str) -> Bytes {
+pub fn evict_line(model: &str) -> Bytes {
     line(json!({"type": "evict", "req": model}))
 }
 
 /// A text of the row; every answer has a `type` and a `req`.
-pub fn text<'a>(row: &'a Map<String, Value>, name: &'static str) -> Result<&'a str, LineError> {
-    row.get(name).and_then(Value::as_str).ok_or(LineError::Field(name))
+pub fn text_field<'a>(row: &'a Map<String, Value>, name: &'static str) -> Result<&'a str, LineError> {
+    row.get(name).and_then(Value::as_str).ok_or(LineError::InvalidField(name))
 }
 
 /// A further field of the row, as text or as a number.
@@ -129,13 +129,13 @@
 
 /// How what was asked has ended; a word that is none is an error of the line.
 pub fn outcome(row: &Map<String, Value>) -> Result<Outcome, LineError> {
-    Ok(match text(row, "type")? {
+    Ok(match text_field(row, "type")? {
         "OK" | "UP" => Outcome::Ok,
         "MISS" => Outcome::Miss,
         "BUSY" => Outcome::Full,
         "ERR" | "DOWN" => Outcome::Error,
         "VOID" => Outcome::NotSent,
-        _ => return Err(LineError::Field("type")),
+        _ => return Err(LineError::InvalidField("type")),
     })
 }
 
@@ -150,7 +150,7 @@
 }
 
 /// How many RPCs of the function the worker held when this one came.
-pub fn held(row: &Map<String, Value>) -> u64 {
+pub fn held_rpcs(row: &Map<String, Value>) -> u64 {
     count(row, "rivals")
 }
 
@@ -159,7 +159,7 @@
 }
 
 /// What workers call the figures that the settings name otherwise.
-const SHORT: [(&str, &str); 6] = [
+const WORKER_NAMES: [(&str, &str); 6] = [
     ("utilization", "util"),
     ("outstanding", "inflight"),
     ("backlog", "queue"),
@@ -169,13 +169,14 @@
 ];
 
 /// A load report, in the order of the settings' names; empty where one of them is not told.
-pub fn report(row: &Map<String, Value>, names: &[String]) -> Vec<f64> {
+pub fn load_report(row: &Map<String, Value>, names: &[String]) -> Vec<f64> {
     let told = meta(row, "use").and_then(Value::as_str).unwrap_or_default();
     let of = |name: &str| {
         let mut entries = told.split(';').filter_map(|e| e.split_once(':'));
         entries.find(|(n, _)| *n == name)?.1.parse::<f64>().ok().filter(|v| v.is_finite())
     };
-    let short = |name: &str| SHORT.iter().find(|(long, _)| *long == name).map_or("", |(_, short)| short);
+    let short =
+        |name: &str| WORKER_NAMES.iter().find(|(long, _)| *long == name).map_or("", |(_, short)| short);
     let values: Option<Vec<f64>> = names.iter().map(|n| of(n).or_else(|| of(short(n)))).collect();
     values.unwrap_or_default()
 }
@@ -184,8 +185,8 @@
     match row.get("data") {
         None => Ok(Bytes::new()),
         Some(data) => {
-            let text = data.as_str().ok_or(LineError::Field("data"))?;
-            STANDARD.decode(text).map(Bytes::from).map_err(|_| LineError::Field("data"))
+            let text = data.as_str().ok_or(LineError::InvalidField("data"))?;
+            STANDARD.decode(text).map(Bytes::from).map_err(|_| LineError::InvalidField("data"))
         }
     }
 }
@@ -196,7 +197,7 @@
     use test_case::test_case;
 
     fn read(bytes: &[u8]) -> Result<Option<Map<String, Value>>, LineError> {
-        Lines { most: 200, looked_at: 0 }.decode(&mut BytesMut::from(bytes))
+        LineDecoder { max_len: 200, scanned: 0 }.decode(&mut BytesMut::from(bytes))
     }
 
     #[test]
@@ -204,11 +205,14 @@
         let line = br#"{"type":"OK","req":"9b","meta":{"detail":"rode","rivals":"3","use":"inflight:7;util:0.61"},"data":"aGk="}
 "#;
         let row = read(line).unwrap().unwrap();
-        assert_eq!((outcome(&row).unwrap(), copy(&row), held(&row)), (Outcome::Ok, Copy::WaitedForLoad, 3));
+        assert_eq!(
+            (outcome(&row).unwrap(), copy(&row), held_rpcs(&row)),
+            (Outcome::Ok, Copy::WaitedForLoad, 3)
+        );
         assert_eq!(body(&row).unwrap(), "hi");
         let names = |n: &[&str]| n.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-        assert_eq!(report(&row, &names(&["utilization", "outstanding"])), [0.61, 7.0]);
-        assert!(report(&row, &names(&["util", "x0"])).is_empty(), "a part of a report is none");
+        assert_eq!(load_report(&row, &names(&["utilization", "outstanding"])), [0.61, 7.0]);
+        assert!(load_report(&row, &names(&["util", "x0"])).is_empty(), "a part of a report is none");
     }
 
     #[test_case(b"{\"type\":\"OK\",\"re" ; "half a line")]
@@ -221,8 +225,8 @@
 
     #[test]
     fn a_line_that_comes_byte_by_byte_is_read_once_and_whole() {
-        let whole = abort("9b1f03aa5c7e2d41");
-        let (mut src, mut codec) = (BytesMut::new(), Lines { most: 200, looked_at: 0 });
+        let whole = abort_line("9b1f03aa5c7e2d41");
+        let (mut src, mut codec) = (BytesMut::new(), LineDecoder { max_len: 200, scanned: 0 });
         let read: Vec<_> = whole
             .iter()
             .filter_map(|b| {
@@ -231,7 +235,7 @@
             })
             .collect();
         assert_eq!(read.len(), 1);
-        assert_eq!(text(&read[0], "req").unwrap(), "9b1f03aa5c7e2d41");
+        assert_eq!(text_field(&read[0], "req").unwrap(), "9b1f03aa5c7e2d41");
     }
 
     #[test]
--- a/crates/curlewpoint-platform/src/resp.rs
+++ b/crates/curlewpoint-platform/src/resp.rs
@@ -10,13 +10,13 @@
     #[error("'{0}' where {1} was due")]
     Unexpected(char, &'static str),
     #[error("a number that cannot be read")]
-    Number,
+    InvalidNumber,
     #[error("{0} words, {1} are taken at most")]
-    Words(usize, usize),
+    WordCount(usize, usize),
     #[error("a word of {0} bytes, {1} are taken at most")]
-    Long(usize, usize),
+    WordTooLong(usize, usize),
     #[error("ended within a command")]
-    CutShort,
+    Truncated,
     #[error(transparent)]
     Io(#[from] IoError),
 }
@@ -39,10 +39,10 @@
 
 /// Reads commands: rows of words.
 #[derive(Clone, Copy, Debug)]
-pub struct Commands {
-    pub most_words: usize,
+pub struct CommandDecoder {
+    pub max_words: usize,
     /// The longest word, in bytes.
-    pub most_word: usize,
+    pub max_word_len: usize,
 }
 
 /// A length's digits, its mark and its line's end.
@@ -57,11 +57,11 @@
     let rest = &src[at + 1..src.len().min(at + MOST_HEAD)];
     let Some(end) = rest.iter().position(|b| *b == b'\r') else {
         let whole = rest.len() + 1 == MOST_HEAD || !rest.iter().all(u8::is_ascii_digit);
-        return if whole { Err(RespError::Number) } else { Ok(None) };
+        return if whole { Err(RespError::InvalidNumber) } else { Ok(None) };
     };
-    let digits = std::str::from_utf8(&rest[..end]).map_err(|_| RespError::Number)?;
+    let digits = std::str::from_utf8(&rest[..end]).map_err(|_| RespError::InvalidNumber)?;
     let plain = !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit());
-    let number = digits.parse().ok().filter(|_| plain).ok_or(RespError::Number)?;
+    let number = digits.parse().ok().filter(|_| plain).ok_or(RespError::InvalidNumber)?;
     let after = at + 1 + end + 1;
     match src.get(after) {
         None => Ok(None),
@@ -70,20 +70,20 @@
     }
 }
 
-impl Decoder for Commands {
+impl Decoder for CommandDecoder {
     type Item = Vec<Bytes>;
     type Error = RespError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
         let Some((count, mut at)) = head(src, 0, b'*', "a command")? else { return Ok(None) };
-        if count == 0 || count > self.most_words {
-            return Err(RespError::Words(count, self.most_words));
+        if count == 0 || count > self.max_words {
+            return Err(RespError::WordCount(count, self.max_words));
         }
         let mut words = [(0, 0); 16];
-        for word in words.get_mut(..count).ok_or(RespError::Words(count, 16))? {
+        for word in words.get_mut(..count).ok_or(RespError::WordCount(count, 16))? {
             let Some((length, begin)) = head(src, at, b'$', "a word")? else { return Ok(None) };
-            if length > self.most_word {
-                return Err(RespError::Long(length, self.most_word));
+            if length > self.max_word_len {
+                return Err(RespError::WordTooLong(length, self.max_word_len));
             }
             let end = begin + length;
             if src.len() < end + 2 {
@@ -101,14 +101,14 @@
 
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Vec<Bytes>>, RespError> {
         match self.decode(src)? {
-            None if !src.is_empty() => Err(RespError::CutShort),
+            None if !src.is_empty() => Err(RespError::Truncated),
             command => Ok(command),
         }
     }
 }
 
 /// A command or an answer, as it is written.
-pub fn row(words: &[&[u8]]) -> Bytes {
+pub fn encode_array(words: &[&[u8]]) -> Bytes {
     let mut row = BytesMut::with_capacity(words.iter().map(|w| w.len() + 16).sum());
     row.put_slice(format!("*{}\r\n", words.len()).as_bytes());
     for word in words {
@@ -125,7 +125,7 @@
     use proptest::prelude::*;
     use test_case::test_case;
 
-    const BOUNDS: Commands = Commands { most_words: 6, most_word: 64 };
+    const BOUNDS: CommandDecoder = CommandDecoder { max_words: 6, max_word_len: 64 };
 
     #[test_case(b"*2\r\n$4\r\nPING\r\n$-1\r\n" ; "a negative length")]
     #[test_case(b"*2\r\n$4\r\nPING\r\n$99999999999999\r\n" ; "a length that no machine holds")]
@@ -145,7 +145,7 @@
             words in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..64), 1..6), cut in 0usize..400
         ) {
             let rows: Vec<&[u8]> = words.iter().map(Vec::as_slice).collect();
-            let bytes = row(&rows);
+            let bytes = encode_array(&rows);
             let (mut src, mut codec) = (BytesMut::from(&bytes[..cut.min(bytes.len() - 1)]), BOUNDS);
             prop_assert_eq!(codec.decode(&mut src), Ok(None));
             src.extend_from_slice(&bytes[src.len()..]);
--- a/crates/curlewpoint-platform/tests/told.rs
+++ b/crates/curlewpoint-platform/tests/startup.rs
@@ -1,6 +1,6 @@
 //! What a scheduler is told at its start: a key that cannot be used is named, and nothing is started.
 
-use curlewpoint_platform::told;
+use curlewpoint_platform::startup;
 use serde_json::{json, Value};
 use test_case::test_case;
 
@@ -20,9 +20,9 @@
 #[test_case("/settings", json!([]), "settings" ; "settings of another type")]
 fn a_key_that_cannot_be_used_is_named(key: &str, value: Value, named: &str) {
     let mut file = file();
-    assert!(told::read(&file.to_string()).is_ok());
+    assert!(startup::parse(&file.to_string()).is_ok());
     *file.pointer_mut(key).expect("it is there") = value;
-    let why = told::read(&file.to_string()).err().expect("it cannot be used").to_string();
+    let why = startup::parse(&file.to_string()).err().expect("it cannot be used").to_string();
     assert!(why.contains(&format!("'{named}'")) && !why.contains('\n'), "{why}");
 }
 
@@ -31,5 +31,5 @@
 fn odd_but_legal_limits_are_survived(memory: Value) {
     let mut file = file();
     file["limits"]["memory_mb"] = memory;
-    let _ = told::read(&file.to_string());
+    let _ = startup::parse(&file.to_string());
 }
--- a/crates/curlewpoint-soak/src/client.rs
+++ b/crates/curlewpoint-soak/src/client.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use curlewpoint_platform::asked::{GOOD, REFUSED};
-use curlewpoint_platform::resp::{row, Commands};
+use curlewpoint_platform::commands::{GOOD, REFUSED};
+use curlewpoint_platform::resp::{encode_array, CommandDecoder};
 use oorandom::Rand64;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::OwnedWriteHalf;
@@ -49,7 +49,7 @@
 const RECONNECT: Duration = Duration::from_millis(20);
 
 fn words(of: &[&[u8]]) -> Bytes {
-    row(of)
+    encode_array(of)
 }
 
 struct Call {
@@ -134,7 +134,7 @@
     async fn converse(&self, stream: TcpStream, repeated: Option<Call>, rng: &mut Rand64) -> Option<Call> {
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
-        let mut reader = FramedRead::new(read, Commands { most_words: 8, most_word: 64 * 1024 });
+        let mut reader = FramedRead::new(read, CommandDecoder { max_words: 8, max_word_len: 64 * 1024 });
         let (mut open, mut tag) = (BTreeMap::<u64, Open>::new(), 0);
         let (mut left, mut last) = (rng.rand_range(3..60), None::<Call>);
         if let Some(call) = repeated {
