--- a/crates/curlewpoint-platform/src/commands.rs
+++ b/crates/curlewpoint-platform/src/commands.rs
@@ -1,20 +1,28 @@
-//! The fields of what clients ask, and the words of the answers.
+//! Verbs and fields of client commands, and the status words of replies.
 
 use curlewpoint::types::Time;
 
+/// Command: starts an RPC.
 pub const CALL: &[u8] = b"CALL";
+/// Command: withdraws an RPC by its tag.
 pub const CANCEL: &[u8] = b"CANCEL";
+/// Command: health check.
 pub const CHECK: &[u8] = b"CHECK";
 
+/// Reply to a call: the RPC succeeded.
 pub const GOOD: &str = "good";
+/// Reply to a call: the RPC was denied and has not run.
 pub const REFUSED: &str = "refused";
+/// Reply to a call: the RPC was aborted, or the call is malformed.
 pub const BROKEN: &str = "broken";
+/// Reply to a check: the scheduler is healthy.
 pub const FIT: &str = "fit";
+/// Reply to a check: the scheduler is stopping.
 pub const UNFIT: &str = "unfit";
-/// More is open on this connection than it may carry.
+/// Reply to a call: the connection already has the maximum number of open RPCs.
 pub const ENOUGH: &str = "enough";
 
-/// A field of `name=value,name=value`.
+/// Returns the value of `name` in `name=value,name=value`.
 pub fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     fields.split(',').find_map(|f| f.split_once('=').filter(|(n, _)| *n == name).map(|(_, v)| v))
 }
@@ -23,38 +31,38 @@
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit())
 }
 
-/// A tag: a decimal number from 1 up.
+/// Parses a tag: a decimal number of at least 1.
 pub fn parse_tag(word: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(word).ok().filter(|t| is_digits(t))?;
     text.parse().ok().filter(|tag| *tag > 0)
 }
 
-/// An id or a function: 16 hex digits.
+/// Validates a request or function ID: 16 hex digits.
 pub fn parse_hex_id(text: &str) -> Option<&str> {
     (text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit())).then_some(text)
 }
 
-/// A plain number, not negative, of digits and at most one point.
+/// Parses a non-negative decimal number: digits with at most one decimal point, no sign and no exponent.
 fn parse_number(text: &str) -> Option<f64> {
-    let (whole, part) = text.split_once('.').unwrap_or((text, "0"));
-    (is_digits(whole) && is_digits(part)).then(|| text.parse().ok())?
+    let (integer, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    (is_digits(integer) && is_digits(fraction)).then(|| text.parse().ok())?
 }
 
-/// How long no client waits.
+/// Timeouts of an hour or more are rejected.
 const MAX_TIMEOUT_MS: f64 = 3_600_000.0;
 
-/// The time that a client has left, in milliseconds on the wire.
+/// Parses a client timeout in milliseconds; it must be positive and less than an hour.
 pub fn parse_timeout(text: &str) -> Option<Time> {
     parse_number(text).filter(|ms| *ms > 0.0 && *ms < MAX_TIMEOUT_MS).map(Time::from_ms)
 }
 
-/// The further figures, as `name:number;name:number`; none: they cannot be read.
+/// Parses the optional parameters of a call, `name:number;name:number`. Returns `None` if any entry is malformed.
 pub fn parse_info(text: &str) -> Option<Vec<(&str, f64)>> {
     let entries = text.split(';').filter(|e| !e.is_empty());
     entries.map(|e| e.split_once(':').and_then(|(name, value)| Some((name, parse_number(value)?)))).collect()
 }
 
-/// The fields of an answer: when to come back, where that is told.
+/// The fields of a reply: the retry delay in milliseconds, if one is given.
 pub fn reply_fields(retry_after: Time) -> String {
     match retry_after {
         Time(0) => String::new(),
@@ -62,20 +70,21 @@
     }
 }
 
-/// The tags used on a connection: each is new there. They are kept as runs, by the first of each, so that a long
-/// connection's tags take no room wherever its client begins to count; more than `most` runs are none that a client counts.
+/// The tags that were used on a connection, where each tag may be used once. Consecutive tags are stored as one run, so that
+/// the tags of a long connection take constant memory, whichever number its client starts from.
 #[derive(Debug, Default)]
 pub struct TagSet {
-    /// The last of each run, by its first.
+    /// The last tag of each run, keyed by its first tag.
     runs: std::collections::BTreeMap<u64, u64>,
 }
 
 impl TagSet {
+    /// Whether the tag was used.
     pub fn contains(&self, tag: u64) -> bool {
         self.runs.range(..=tag).next_back().is_some_and(|(_, last)| tag <= *last)
     }
 
-    /// False: it was used before, or too many lie scattered to tell.
+    /// Marks a tag as used. Returns false if it was used before, or if it would need more than `max_runs` separate runs.
     pub fn insert(&mut self, tag: u64, max_runs: usize) -> bool {
         if self.contains(tag) {
             return false;
--- a/crates/curlewpoint-platform/src/commands/tests.rs
+++ b/crates/curlewpoint-platform/src/commands/tests.rs
@@ -2,7 +2,7 @@
 use test_case::test_case;
 
 #[test_case("1500", Some(Time(15_000)))]
-#[test_case("0.25", Some(Time(2)) ; "a part is rounded down")]
+#[test_case("0.25", Some(Time(2)) ; "fractions of a tick are rounded down")]
 #[test_case("0", None)]
 #[test_case("-5", None)]
 #[test_case("+5", None)]
@@ -11,7 +11,7 @@
 #[test_case("inf", None)]
 #[test_case("99999999999999999999999", None)]
 #[test_case("", None)]
-fn only_a_plain_time_is_one(text: &str, want: Option<Time>) {
+fn timeout_must_be_a_plain_positive_number(text: &str, want: Option<Time>) {
     assert_eq!(parse_timeout(text), want);
 }
 
@@ -19,18 +19,18 @@
 #[test_case("", Some(vec![]))]
 #[test_case("lanes:many", None)]
 #[test_case("lanes", None)]
-fn figures_are_read_or_refused(text: &str, want: Option<Vec<(&str, f64)>>) {
+fn malformed_call_parameters_are_rejected(text: &str, want: Option<Vec<(&str, f64)>>) {
     assert_eq!(parse_info(text), want);
 }
 
 #[test]
-fn a_tag_is_new_once_and_counted_ones_take_no_room() {
+fn tags_are_accepted_once_and_consecutive_tags_share_a_run() {
     for from in [1, 100, u64::MAX - 3000] {
         let mut tags = TagSet::default();
         assert!((from..from + 1000).all(|tag| tags.insert(tag, 4)) && tags.runs.len() == 1);
         assert!(!tags.insert(from + 6, 4) && tags.insert(from + 1001, 4) && tags.insert(from + 1000, 4));
         assert!(!tags.insert(from + 1001, 4) && tags.runs.len() == 1);
-        // One run and three scattered: that is all.
+        // One run and three single tags reach the limit of four runs.
         assert!([1999, 2003, 2001].iter().all(|n| tags.insert(from + n, 4)) && !tags.insert(from + 2500, 4));
         assert!(tags.insert(from + 2000, 4) && tags.insert(from + 2002, 4) && tags.runs.len() == 2);
         assert!((1999..=2003).all(|n| tags.contains(from + n)) && !tags.contains(from + 2004));
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn a_field_is_found_by_its_whole_name() {
+fn fields_are_matched_by_full_name() {
     let fields = "req=9b1f03aa5c7e2d41,timeout=1500";
     assert_eq!((field(fields, "timeout"), field(fields, "time")), (Some("1500"), None));
 }
 
 #[test]
-fn a_tag_is_known_as_used_from_its_first_use_on() {
+fn tag_set_contains_only_inserted_tags() {
     let mut tags = TagSet::default();
     assert!(!tags.contains(1) && !tags.contains(7));
     assert!(tags.insert(7, 9) && tags.insert(1, 9));
--- a/crates/curlewpoint-platform/src/dns.rs
+++ b/crates/curlewpoint-platform/src/dns.rs
@@ -1,4 +1,4 @@
-//! The directory's answers: DNS records that name the workers, whole lists with the number of their last event.
+//! Discovery over DNS: each response is a complete list of workers, versioned by the serial number of its SOA record.
 
 use std::collections::BTreeMap;
 
@@ -10,39 +10,43 @@
 
 use crate::EndpointListVisitor;
 
-const LIST: &str = "_app._tcp.cluster.lan.";
-/// Longer than any answer.
+const SERVICE_NAME: &str = "_app._tcp.cluster.lan.";
+/// Upper bound on the size of a response.
 pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    #[error("an answer that cannot be read: {0}")]
+    #[error("malformed response: {0}")]
     Malformed(#[from] ProtoError),
-    #[error("no answer to this question")]
+    #[error("the response belongs to another query")]
     OtherQuery,
-    #[error("the directory says {0}")]
+    #[error("discovery returned {0}")]
     ErrorCode(ResponseCode),
-    #[error("an answer cut short")]
+    #[error("truncated response")]
     Truncated,
-    #[error("no number of the last event")]
+    #[error("the response has no serial number")]
     NoSerial,
-    #[error("no {1} of worker '{0}'")]
+    #[error("worker '{0}' has no {1}")]
     Missing(String, &'static str),
 }
 
-/// The question for the whole list.
+/// Builds the query for the complete endpoint list.
 pub fn build_query(id: u16) -> Result<Vec<u8>, DiscoveryError> {
     let mut m = Message::new();
     m.set_id(id).set_message_type(MessageType::Query).set_op_code(OpCode::Query);
-    m.add_query(Query::query(Name::from_ascii(LIST)?, RecordType::SRV));
+    m.add_query(Query::query(Name::from_ascii(SERVICE_NAME)?, RecordType::SRV));
     Ok(m.to_vec()?)
 }
 
-/// Reads an answer to the question with this id; nothing of it counts unless all can be read.
+/// Parses the response to the query with this ID and passes its endpoints to `visitor`. On an error the list is not
+/// concluded, so that nothing of a malformed response takes effect.
+///
+/// An SRV record stands for a worker: priority 0 means ready, any other priority draining; the weight is ten times the
+/// worker's size; the target is `NAME.ZONE...`. A TXT record of the target gives the start time and the cell.
 pub fn parse_response(
-    answer: &[u8], id: u16, visitor: &mut impl EndpointListVisitor,
+    response: &[u8], id: u16, visitor: &mut impl EndpointListVisitor,
 ) -> Result<(), DiscoveryError> {
-    let m = Message::from_vec(answer)?;
+    let m = Message::from_vec(response)?;
     if m.id() != id || m.message_type() != MessageType::Response {
         return Err(DiscoveryError::OtherQuery);
     }
@@ -69,19 +73,20 @@
     for r in m.answers() {
         let RData::SRV(srv) = r.data() else { continue };
         let target = srv.target();
-        let lacks = |what| DiscoveryError::Missing(target.to_ascii(), what);
-        let label = |no| target.iter().nth(no).and_then(|l| std::str::from_utf8(l).ok());
-        let (name, zone) = (label(0).ok_or_else(|| lacks("name"))?, label(1).ok_or_else(|| lacks("zone"))?);
-        let at = addresses.get(target).ok_or_else(|| lacks("address"))?;
-        let words = texts.get(target).ok_or_else(|| lacks("text"))?;
+        let missing = |what| DiscoveryError::Missing(target.to_ascii(), what);
+        let label = |index| target.iter().nth(index).and_then(|l| std::str::from_utf8(l).ok());
+        let (name, zone) =
+            (label(0).ok_or_else(|| missing("name"))?, label(1).ok_or_else(|| missing("zone"))?);
+        let ip = addresses.get(target).ok_or_else(|| missing("address"))?;
+        let strings = texts.get(target).ok_or_else(|| missing("TXT record"))?;
         let text = |field: &str| {
-            let words = words.iter().filter_map(|w| std::str::from_utf8(w).ok());
-            words.filter_map(|w| w.split_once('=')).find(|(n, _)| *n == field).map(|(_, v)| v)
+            let strings = strings.iter().filter_map(|s| std::str::from_utf8(s).ok());
+            strings.filter_map(|s| s.split_once('=')).find(|(name, _)| *name == field).map(|(_, v)| v)
         };
-        let started = text("started").and_then(|v| v.parse().ok()).ok_or_else(|| lacks("start"))?;
-        let standing = if srv.priority() == 0 { Standing::Ready } else { Standing::Draining };
-        let (address, size) = (format!("{at}:{}", srv.port()), f64::from(srv.weight()) / 10.0);
-        visitor.endpoint(name, &address, standing, started, zone, text("cell").unwrap_or(""), size);
+        let started = text("started").and_then(|v| v.parse().ok()).ok_or_else(|| missing("start time"))?;
+        let lifecycle = if srv.priority() == 0 { Standing::Ready } else { Standing::Draining };
+        let (address, size) = (format!("{ip}:{}", srv.port()), f64::from(srv.weight()) / 10.0);
+        visitor.endpoint(name, &address, lifecycle, started, zone, text("cell").unwrap_or(""), size);
     }
     visitor.end_list();
     Ok(())
--- a/crates/curlewpoint-platform/src/json_lines.rs
+++ b/crates/curlewpoint-platform/src/json_lines.rs
@@ -1,5 +1,5 @@
-//! What schedulers and workers say to each other: JSON objects, one to a line, bodies in base64. A line read is a plain
-//! row of fields.
+//! Messages between schedulers and workers: JSON objects, one per line, with bodies in base64. A received message is a
+//! JSON object; the functions below read its fields.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
@@ -11,22 +11,22 @@
 
 #[derive(Debug, Error)]
 pub enum LineError {
-    #[error("a line of more than {0} bytes")]
+    #[error("line longer than {0} bytes")]
     TooLong(usize),
-    #[error("no object in a line: {0}")]
+    #[error("line is not a JSON object: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("field '{0}' is missing or cannot be used")]
+    #[error("field '{0}' is missing or invalid")]
     InvalidField(&'static str),
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Reads lines within a bound.
+/// Decodes messages from lines of bounded length.
 #[derive(Clone, Copy, Debug)]
 pub struct LineDecoder {
-    /// The longest line, in bytes.
+    /// The longest accepted line, in bytes with its newline.
     pub max_len: usize,
-    /// How much of what has come is known to hold no line's end.
+    /// Length of the buffered prefix that is known to contain no newline.
     pub scanned: usize,
 }
 
@@ -48,26 +48,27 @@
     }
 
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Map<String, Value>>, LineError> {
-        // What is left without a line's end was cut off: it is nothing.
+        // A final line without a newline is incomplete and is dropped.
         self.decode(src)
     }
 }
 
-fn line(of: Value) -> Bytes {
-    let mut text = of.to_string();
+fn line(message: Value) -> Bytes {
+    let mut text = message.to_string();
     text.push('\n');
     text.into()
 }
 
-/// A request to run a function. Its budget is told when it is written, as it may wait until then.
+/// An `invoke` message: an attempt of an RPC. Its time budget is filled in when the message is written, because it may
+/// have waited in a queue until then.
 #[derive(Clone, Debug)]
 pub struct Invoke {
     before_budget: Bytes,
     after_budget: Bytes,
 }
 
-/// The digits of the longest budget.
-const BUDGET_DIGITS: usize = 20;
+/// Digits of the longest budget, a `u64`.
+const MAX_BUDGET_DIGITS: usize = 20;
 
 impl Invoke {
     pub fn new(req: &str, method: &str, model: &str, token: Option<&str>, body: &[u8]) -> Invoke {
@@ -81,55 +82,60 @@
         Invoke { before_budget: before.into(), after_budget: after.into() }
     }
 
-    /// No less than the bytes of the line.
+    /// Upper bound on the length of the line in bytes.
     pub fn size(&self) -> usize {
-        self.before_budget.len() + BUDGET_DIGITS + self.after_budget.len()
+        self.before_budget.len() + MAX_BUDGET_DIGITS + self.after_budget.len()
     }
 
-    /// The line, of a request that has so much time left.
-    pub fn write(&self, left: Time, to: &mut BytesMut) {
-        // A budget of nought could not be used.
-        let budget = (left.0 / 10).max(1);
-        to.extend_from_slice(&self.before_budget);
-        to.extend_from_slice(budget.to_string().as_bytes());
-        to.extend_from_slice(&self.after_budget);
+    /// Appends the line to `buf`, with `time_left` as its budget in milliseconds.
+    pub fn write(&self, time_left: Time, buf: &mut BytesMut) {
+        // Workers do not accept a budget of 0.
+        let budget = (time_left.0 / 10).max(1);
+        buf.extend_from_slice(&self.before_budget);
+        buf.extend_from_slice(budget.to_string().as_bytes());
+        buf.extend_from_slice(&self.after_budget);
     }
 }
 
+/// Cancels an attempt.
 pub fn abort_line(req: &str) -> Bytes {
     line(json!({"type": "abort", "req": req}))
 }
 
+/// Asks for a load report.
 pub fn gauges_line(tag: &str) -> Bytes {
     line(json!({"type": "gauges", "req": tag}))
 }
 
+/// Orders the worker to load copies of a function ahead of demand.
 pub fn prewarm_line(tag: &str, model: &str, copies: u64) -> Bytes {
     line(json!({"type": "prewarm", "req": tag, "meta": {"path": model, "instances": copies}}))
 }
 
+/// Orders the worker to unload a function.
 pub fn evict_line(model: &str) -> Bytes {
     line(json!({"type": "evict", "req": model}))
 }
 
-/// A text of the row; every answer has a `type` and a `req`.
-pub fn text_field<'a>(row: &'a Map<String, Value>, name: &'static str) -> Result<&'a str, LineError> {
-    row.get(name).and_then(Value::as_str).ok_or(LineError::InvalidField(name))
+/// Returns a text field of a message. Every reply has a `type` and a `req`.
+pub fn text_field<'a>(message: &'a Map<String, Value>, name: &'static str) -> Result<&'a str, LineError> {
+    message.get(name).and_then(Value::as_str).ok_or(LineError::InvalidField(name))
 }
 
-/// A further field of the row, as text or as a number.
-fn meta<'a>(row: &'a Map<String, Value>, name: &str) -> Option<&'a Value> {
-    row.get("meta")?.get(name)
+/// Returns a field of the message's `meta` object.
+fn meta<'a>(message: &'a Map<String, Value>, name: &str) -> Option<&'a Value> {
+    message.get("meta")?.get(name)
 }
 
-fn count(row: &Map<String, Value>, name: &str) -> u64 {
-    let told = meta(row, name);
-    told.and_then(|v| v.as_u64().or_else(|| v.as_str()?.parse().ok())).unwrap_or(0)
+/// Returns a count from `meta`, given as a number or as text; 0 if it is absent or malformed.
+fn count(message: &Map<String, Value>, name: &str) -> u64 {
+    let value = meta(message, name);
+    value.and_then(|v| v.as_u64().or_else(|| v.as_str()?.parse().ok())).unwrap_or(0)
 }
 
-/// How what was asked has ended; a word that is none is an error of the line.
-pub fn outcome(row: &Map<String, Value>) -> Result<Outcome, LineError> {
-    Ok(match text_field(row, "type")? {
+/// The outcome of a request, by the reply's type. An unknown type is an error.
+pub fn outcome(message: &Map<String, Value>) -> Result<Outcome, LineError> {
+    Ok(match text_field(message, "type")? {
         "OK" | "UP" => Outcome::Ok,
         "MISS" => Outcome::Miss,
         "BUSY" => Outcome::Full,
@@ -139,8 +145,9 @@
     })
 }
 
-pub fn copy(row: &Map<String, Value>) -> Copy {
-    match meta(row, "detail").and_then(Value::as_str) {
+/// Whether the function's copy was loaded when the attempt came, by the reply's `detail`.
+pub fn copy(message: &Map<String, Value>) -> Copy {
+    match meta(message, "detail").and_then(Value::as_str) {
         Some("resident") => Copy::Warm,
         Some("booted") => Copy::BeganLoad,
         Some("rode") => Copy::WaitedForLoad,
@@ -149,17 +156,18 @@
     }
 }
 
-/// How many RPCs of the function the worker held when this one came.
-pub fn held_rpcs(row: &Map<String, Value>) -> u64 {
-    count(row, "rivals")
+/// Number of RPCs of the same function that the worker held when this one arrived.
+pub fn held_rpcs(message: &Map<String, Value>) -> u64 {
+    count(message, "rivals")
 }
 
-pub fn copies(row: &Map<String, Value>) -> u64 {
-    count(row, "instances")
+/// Number of copies of the function at the worker.
+pub fn copies(message: &Map<String, Value>) -> u64 {
+    count(message, "instances")
 }
 
-/// What workers call the figures that the settings name otherwise.
-const WORKER_NAMES: [(&str, &str); 6] = [
+/// Load figures by the name used in the settings, with the shorter name that workers use.
+const SHORT_FIGURE_NAMES: [(&str, &str); 6] = [
     ("utilization", "util"),
     ("outstanding", "inflight"),
     ("backlog", "queue"),
@@ -168,21 +176,22 @@
     ("errors_per_s", "eps"),
 ];
 
-/// A load report, in the order of the settings' names; empty where one of them is not told.
-pub fn load_report(row: &Map<String, Value>, names: &[String]) -> Vec<f64> {
-    let told = meta(row, "use").and_then(Value::as_str).unwrap_or_default();
-    let of = |name: &str| {
-        let mut entries = told.split(';').filter_map(|e| e.split_once(':'));
+/// The load report of a message, in the order of `names`. Empty if any of the named figures is missing or malformed.
+pub fn load_report(message: &Map<String, Value>, names: &[String]) -> Vec<f64> {
+    let report = meta(message, "use").and_then(Value::as_str).unwrap_or_default();
+    let figure = |name: &str| {
+        let mut entries = report.split(';').filter_map(|e| e.split_once(':'));
         entries.find(|(n, _)| *n == name)?.1.parse::<f64>().ok().filter(|v| v.is_finite())
     };
     let short =
-        |name: &str| WORKER_NAMES.iter().find(|(long, _)| *long == name).map_or("", |(_, short)| short);
-    let values: Option<Vec<f64>> = names.iter().map(|n| of(n).or_else(|| of(short(n)))).collect();
+        |name: &str| SHORT_FIGURE_NAMES.iter().find(|(long, _)| *long == name).map_or("", |(_, short)| short);
+    let values: Option<Vec<f64>> = names.iter().map(|n| figure(n).or_else(|| figure(short(n)))).collect();
     values.unwrap_or_default()
 }
 
-pub fn body(row: &Map<String, Value>) -> Result<Bytes, LineError> {
-    match row.get("data") {
+/// The decoded body of a message; empty if it has none.
+pub fn body(message: &Map<String, Value>) -> Result<Bytes, LineError> {
+    match message.get("data") {
         None => Ok(Bytes::new()),
         Some(data) => {
             let text = data.as_str().ok_or(LineError::InvalidField("data"))?;
@@ -196,51 +205,51 @@
     use super::*;
     use test_case::test_case;
 
-    fn read(bytes: &[u8]) -> Result<Option<Map<String, Value>>, LineError> {
+    fn decode(bytes: &[u8]) -> Result<Option<Map<String, Value>>, LineError> {
         LineDecoder { max_len: 200, scanned: 0 }.decode(&mut BytesMut::from(bytes))
     }
 
     #[test]
-    fn an_answer_is_read_field_by_field() {
+    fn reply_fields_are_read() {
         let line = br#"{"type":"OK","req":"9b","meta":{"detail":"rode","rivals":"3","use":"inflight:7;util:0.61"},"data":"aGk="}
 "#;
-        let row = read(line).unwrap().unwrap();
+        let message = decode(line).unwrap().unwrap();
         assert_eq!(
-            (outcome(&row).unwrap(), copy(&row), held_rpcs(&row)),
+            (outcome(&message).unwrap(), copy(&message), held_rpcs(&message)),
             (Outcome::Ok, Copy::WaitedForLoad, 3)
         );
-        assert_eq!(body(&row).unwrap(), "hi");
-        let names = |n: &[&str]| n.iter().map(|n| n.to_string()).collect::<Vec<_>>();
-        assert_eq!(load_report(&row, &names(&["utilization", "outstanding"])), [0.61, 7.0]);
-        assert!(load_report(&row, &names(&["util", "x0"])).is_empty(), "a part of a report is none");
+        assert_eq!(body(&message).unwrap(), "hi");
+        let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
+        assert_eq!(load_report(&message, &names(&["utilization", "outstanding"])), [0.61, 7.0]);
+        assert!(load_report(&message, &names(&["util", "x0"])).is_empty(), "a partial report is ignored");
     }
 
-    #[test_case(b"{\"type\":\"OK\",\"re" ; "half a line")]
-    #[test_case(b"{}x\n" ; "more than an object")]
-    #[test_case(b"[1,2]\n" ; "no object")]
-    #[test_case(&[b'a'; 300] ; "a line that does not end")]
-    fn spoilt_lines_are_never_rows(bytes: &[u8]) {
-        assert!(!matches!(read(bytes), Ok(Some(_))));
+    #[test_case(b"{\"type\":\"OK\",\"re" ; "incomplete line")]
+    #[test_case(b"{}x\n" ; "trailing characters")]
+    #[test_case(b"[1,2]\n" ; "not an object")]
+    #[test_case(&[b'a'; 300] ; "too long a line")]
+    fn malformed_lines_are_rejected(bytes: &[u8]) {
+        assert!(!matches!(decode(bytes), Ok(Some(_))));
     }
 
     #[test]
-    fn a_line_that_comes_byte_by_byte_is_read_once_and_whole() {
-        let whole = abort_line("9b1f03aa5c7e2d41");
+    fn a_line_received_byte_by_byte_is_decoded_once() {
+        let line = abort_line("9b1f03aa5c7e2d41");
         let (mut src, mut codec) = (BytesMut::new(), LineDecoder { max_len: 200, scanned: 0 });
-        let read: Vec<_> = whole
+        let decoded: Vec<_> = line
             .iter()
             .filter_map(|b| {
                 src.extend_from_slice(&[*b]);
                 codec.decode(&mut src).unwrap()
             })
             .collect();
-        assert_eq!(read.len(), 1);
-        assert_eq!(text_field(&read[0], "req").unwrap(), "9b1f03aa5c7e2d41");
+        assert_eq!(decoded.len(), 1);
+        assert_eq!(text_field(&decoded[0], "req").unwrap(), "9b1f03aa5c7e2d41");
     }
 
     #[test]
-    fn a_body_that_is_not_base64_is_an_error() {
-        let row = read(b"{\"type\":\"OK\",\"req\":\"1\",\"data\":\"a*\"}\n").unwrap().unwrap();
-        assert!(body(&row).is_err());
+    fn a_body_that_is_not_base64_is_rejected() {
+        let message = decode(b"{\"type\":\"OK\",\"req\":\"1\",\"data\":\"a*\"}\n").unwrap().unwrap();
+        assert!(body(&message).is_err());
     }
 }
--- a/crates/curlewpoint-platform/src/lib.rs
+++ b/crates/curlewpoint-platform/src/lib.rs
@@ -1,6 +1,6 @@
-//! The platform's protocol, without I/O: what clients say ([`resp`], [`commands`]), what workers say ([`json_lines`]), what the
-//! directory says ([`dns`]) and what a scheduler is told at its start ([`startup`]). Fields are read where they are wanted;
-//! nothing here decides anything.
+//! The platform protocol, without I/O: client commands and replies ([`resp`], [`commands`]), messages exchanged with
+//! workers ([`json_lines`]), discovery responses ([`dns`]) and the startup configuration of a scheduler ([`startup`]).
+//! This crate encodes, decodes and validates; it makes no scheduling decisions.
 
 pub mod commands;
 pub mod dns;
@@ -10,14 +10,16 @@
 
 use curlewpoint::types::Standing;
 
-/// Takes a list of workers as it is read: a beginning, its rows, its end. A list without an end counts for nothing.
+/// Receives an endpoint list while it is parsed: `begin_list`, one `endpoint` per worker, `end_list`. A list that is not
+/// concluded by `end_list` must be discarded.
 pub trait EndpointListVisitor {
-    /// A list of this version begins: a whole one, or the changes since the version before.
+    /// Starts a list of this version: a complete list, or with `since` only the changes since that version.
     fn begin_list(&mut self, version: u64, since: Option<u64>);
-    /// One worker; `started` is the Unix millisecond of a late start, or nought.
+    /// Adds a worker. `started` is the Unix time of its start in milliseconds, or 0 if unknown.
     fn endpoint(
-        &mut self, name: &str, address: &str, standing: Standing, started: u64, zone: &str, cell: &str,
+        &mut self, name: &str, address: &str, lifecycle: Standing, started: u64, zone: &str, cell: &str,
         size: f64,
     );
+    /// Concludes the list.
     fn end_list(&mut self);
 }
