--- a/crates/curlewpoint-cli/tests/nodes.rs
+++ b/crates/curlewpoint-cli/tests/nodes.rs
@@ -177,19 +177,19 @@
     }
     assert!(client.has_all(), "it goes on answering");
     assert!(!client.told().contains("good"));
-    let before = node.logs("serves nobody");
-    assert_eq!(before.iter().filter(|l| l.contains("gives no good answer")).count(), 1, "{before:#?}");
+    let before = node.logs("no RPC succeeds");
+    assert_eq!(before.iter().filter(|l| l.contains("gives no valid response")).count(), 1, "{before:#?}");
     since.store(1, Ordering::Release);
     silent.store(false, Ordering::Release);
-    let mut between = node.logs("the directory answers again");
+    let mut between = node.logs("discovery is available again");
     while !client.told().contains("good") {
         events.recv_timeout(STEP).expect("it asks on");
         tag += 1;
         client.says(&call(tag, tag));
         assert!(client.has_all());
     }
-    between.extend(node.logs("serves again"));
-    assert!(!between.iter().any(|l| l.contains("serves nobody")), "said twice: {between:#?}");
+    between.extend(node.logs("RPCs succeed again"));
+    assert!(!between.iter().any(|l| l.contains("no RPC succeeds")), "said twice: {between:#?}");
     assert!(!calls.lock().unwrap().is_empty());
     book.keeps_the_rule();
 }
--- a/crates/curlewpoint-cli/tests/processes.rs
+++ b/crates/curlewpoint-cli/tests/processes.rs
@@ -320,13 +320,13 @@
     node.logs("the directory's address stays as it is");
     std::fs::write(&file, told("127.0.0.1:10")).unwrap();
     node.signal("HUP");
-    node.logs("the directory is at 127.0.0.1:10");
+    node.logs("the discovery address is now 127.0.0.1:10");
     // One that was half written at the signal is read again once it is whole.
     std::fs::write(&file, "{ half a fi").unwrap();
     node.signal("HUP");
     node.logs("read again in a moment");
     std::fs::write(&file, told("127.0.0.1:11")).unwrap();
-    node.logs("the directory is at 127.0.0.1:11");
+    node.logs("the discovery address is now 127.0.0.1:11");
     std::net::TcpStream::connect(&node.address).expect("it still serves");
     node.signal("TERM");
     node.logs("stopped");
--- a/crates/curlewpoint-node/src/clients.rs
+++ b/crates/curlewpoint-node/src/clients.rs
@@ -1,3 +1,5 @@
+//! Accepts client connections and runs a task for each.
+
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -18,189 +20,197 @@
 use tokio_util::task::TaskTracker;
 use tracing::{debug, info};
 
-use crate::doors::{Doors, Presence};
-use crate::notes::Note;
-use crate::outside::Client;
+use crate::admission::{Admission, ClientActivity};
+use crate::driver::Client;
+use crate::events::Event;
 
-/// A client that has said nothing for so long is looked at: at its first command, or at half of one, it is cut off.
-const QUIET: Duration = Duration::from_secs(1);
-/// Commands, and their bytes, read from one client ahead of what the engine has taken: with them its going is seen
-/// behind all that a client may have open.
-const AHEAD: (usize, usize) = (64, 32 * 1024);
-/// Where a connection could not be accepted, so long until the next try.
-const AGAIN: Duration = Duration::from_millis(20);
+/// Interval at which a silent client is checked. A client that sends no first command for twice this time, or leaves a
+/// command incomplete over two checks, is disconnected.
+const SILENCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of commands, and of their bytes, that are read from a client ahead of the engine. The count exceeds the
+/// RPCs that a client may have open, so that a disconnect behind all of them is noticed.
+const READ_AHEAD_LIMIT: (usize, usize) = (64, 32 * 1024);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-enum Seen {
+/// What a client's task reports to the task that accepts connections.
+enum SlotEvent {
     Closed(ClientId),
-    /// Asked to leave, it turned out to have spoken.
-    Stays,
+    /// The client turned out to be active and keeps its connection.
+    EvictionDeclined,
 }
 
-/// A client's place among those that may be connected, given back when its task ends in whatever way.
-struct Place(ClientId, mpsc::UnboundedSender<Seen>);
+/// The slot of a connected client, released when its task ends for whatever reason.
+struct Slot(ClientId, mpsc::UnboundedSender<SlotEvent>);
 
-impl Drop for Place {
+impl Drop for Slot {
     fn drop(&mut self) {
-        let _ = self.1.send(Seen::Closed(self.0));
+        let _ = self.1.send(SlotEvent::Closed(self.0));
     }
 }
 
-/// What the tasks of clients share.
+/// What the tasks of all clients share.
 #[derive(Clone)]
-pub(crate) struct Desk {
+pub(crate) struct ClientContext {
     pub bounds: Bounds,
     pub clock: Clock,
-    /// What ends something, and what begins something.
-    pub endings: mpsc::Sender<Note>,
-    pub asks: mpsc::Sender<Note>,
-    /// Cancelled where this scheduler ends: what has come is read, and then all is closed.
-    pub closing: CancellationToken,
+    /// Events that end something, processed before all others.
+    pub priority_tx: mpsc::Sender<Event>,
+    /// Events that start something.
+    pub command_tx: mpsc::Sender<Event>,
+    /// Cancelled when the scheduler shuts down: commands already received are read, then all connections are closed.
+    pub shutdown: CancellationToken,
     pub tasks: TaskTracker,
 }
 
-/// Takes clients' connections, up to a number at a time, until this scheduler ends; then what has come up to that
-/// moment is still let in, as a connection that was accepted by the machine counts as taken.
-pub(crate) async fn accept(listener: TcpListener, most: usize, desk: Desk) {
-    let (saw, mut seen) = mpsc::unbounded_channel();
-    let (closing, clock) = (desk.closing.clone(), desk.clock);
-    let mut doors = Doors::new(most);
-    let let_in = |doors: &mut Doors, stream, waited| {
-        let (id, presence) = doors.let_in(clock.now(), waited);
-        let place = Place(id, saw.clone());
-        desk.tasks.spawn(client(id, stream, desk.clone(), presence, place));
+/// Accepts client connections, up to `max_clients` at a time, until the scheduler shuts down. Connections that the kernel
+/// has accepted by then are still served, because their clients see them as established.
+pub(crate) async fn accept(listener: TcpListener, max_clients: usize, context: ClientContext) {
+    let (slot_tx, mut slot_rx) = mpsc::unbounded_channel();
+    let (shutdown, clock) = (context.shutdown.clone(), context.clock);
+    let mut admission = Admission::new(max_clients);
+    let admit = |admission: &mut Admission, stream, waited| {
+        let (id, activity) = admission.admit(clock.now(), waited);
+        let slot = Slot(id, slot_tx.clone());
+        context.tasks.spawn(client(id, stream, context.clone(), activity, slot));
     };
-    // One that has been accepted and waits for another's place.
-    let (mut comes, mut waited) = (None, false);
+    // A connection that is accepted and waits for a free slot.
+    let (mut pending, mut waited) = (None, false);
     loop {
-        if doors.has_room() {
-            comes.take().into_iter().for_each(|stream| let_in(&mut doors, stream, waited));
+        if admission.has_free_slot() {
+            pending.take().into_iter().for_each(|stream| admit(&mut admission, stream, waited));
         }
-        for presence in doors.make_room(clock.now(), comes.is_some()) {
-            presence.leave.notify_one();
+        for activity in admission.select_evictions(clock.now(), pending.is_some()) {
+            activity.evict.notify_one();
         }
-        if comes.is_some() && !doors.has_room() && !doors.is_making_room() {
-            say_once(&mut doors, true, "all places are taken by clients with something open");
-            comes = None;
+        if pending.is_some() && !admission.has_free_slot() && !admission.has_pending_evictions() {
+            log_transition(&mut admission, true, "every connected client has requests open");
+            pending = None;
         }
         let accepted = tokio::select! {
             biased;
-            Some(what) = seen.recv() => {
-                saw_of(&mut doors, what);
+            Some(event) = slot_rx.recv() => {
+                apply_slot_event(&mut admission, event);
                 continue;
             }
-            accepted = listener.accept(), if comes.is_none() => accepted,
-            () = closing.cancelled() => break,
+            accepted = listener.accept(), if pending.is_none() => accepted,
+            () = shutdown.cancelled() => break,
         };
         match accepted {
             Ok((stream, _)) => {
-                waited = !doors.has_room();
+                waited = !admission.has_free_slot();
                 if !waited {
-                    say_once(&mut doors, false, "a connection was accepted");
+                    log_transition(&mut admission, false, "a connection was accepted");
                 }
-                comes = Some(stream);
+                pending = Some(stream);
             }
             Err(e) if is_of_one_accept(&e) => METRICS.local_errors.add(1),
             Err(e) => {
-                // Out of descriptors, most likely. Room is made as at the cap, and nothing spins meanwhile.
-                say_once(&mut doors, true, &e.to_string());
-                for presence in doors.make_room_anyway(clock.now()) {
-                    presence.leave.notify_one();
+                // Most likely out of file descriptors: evicts clients as if all slots were taken, and waits before the
+                // next accept so that the loop does not spin.
+                log_transition(&mut admission, true, &e.to_string());
+                for activity in admission.select_evictions_for_descriptors(clock.now()) {
+                    activity.evict.notify_one();
                 }
-                if let Ok(Some(what)) = timeout(AGAIN, seen.recv()).await {
-                    saw_of(&mut doors, what);
+                if let Ok(Some(event)) = timeout(ACCEPT_RETRY_DELAY, slot_rx.recv()).await {
+                    apply_slot_event(&mut admission, event);
                 }
             }
         }
     }
-    // What the machine has accepted is asked for once more after the driver has looked.
+    // Lets the I/O driver poll once, so that it reports the connections that the kernel has accepted meanwhile.
     yield_now().await;
-    comes.into_iter().for_each(|stream| let_in(&mut doors, stream, waited));
+    pending.into_iter().for_each(|stream| admit(&mut admission, stream, waited));
     loop {
         match at_once(listener.accept()).await {
-            Some(Ok((stream, _))) => let_in(&mut doors, stream, false),
+            Some(Ok((stream, _))) => admit(&mut admission, stream, false),
             Some(Err(e)) if is_of_one_accept(&e) => {}
             _ => break,
         }
     }
 }
 
-fn saw_of(doors: &mut Doors, what: Seen) {
-    match what {
-        Seen::Closed(id) => doors.left(id),
-        Seen::Stays => doors.stayed(),
+fn apply_slot_event(admission: &mut Admission, event: SlotEvent) {
+    match event {
+        SlotEvent::Closed(id) => admission.remove(id),
+        SlotEvent::EvictionDeclined => admission.eviction_declined(),
     }
 }
 
-fn say_once(doors: &mut Doors, full: bool, why: &str) {
-    if doors.turns(full) {
+/// Logs that there is no room for clients, or room again, once for each change.
+fn log_transition(admission: &mut Admission, full: bool, reason: &str) {
+    if admission.is_transition(full) {
         let (connected, what) =
-            (doors.connected(), if full { "no room for clients" } else { "room for clients again" });
-        info!(connected, "{what}: {why}");
+            (admission.connected(), if full { "no room for clients" } else { "room for clients again" });
+        info!(connected, "{what}: {reason}");
     }
 }
 
-/// How much of the row of commands read ahead one takes up.
+/// Bytes that a command takes of the read-ahead limit.
 fn size(words: &[Bytes]) -> usize {
     words.iter().map(Bytes::len).sum()
 }
 
-/// It has said something whole, or part of something; whoever asked it to leave looks for another.
-fn stays(presence: &Presence, desk: &Desk, place: &Place, begun: bool) {
-    if presence.stays(desk.clock.now(), begun) {
-        let _ = place.1.send(Seen::Stays);
+/// Records that the client sent a command or a part of one. If its eviction was requested it is declined, so that another
+/// client can be selected.
+fn record_activity(activity: &ClientActivity, context: &ClientContext, slot: &Slot, is_partial: bool) {
+    if activity.record(context.clock.now(), is_partial) {
+        let _ = slot.1.send(SlotEvent::EvictionDeclined);
     }
 }
 
-async fn client(id: ClientId, stream: TcpStream, desk: Desk, presence: Arc<Presence>, place: Place) {
+async fn client(
+    id: ClientId, stream: TcpStream, context: ClientContext, activity: Arc<ClientActivity>, slot: Slot,
+) {
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let codec = CommandDecoder { max_words: 8, max_word_len: desk.bounds.frame };
+    let codec = CommandDecoder { max_words: 8, max_word_len: context.bounds.frame };
     let mut reader = FramedRead::new(read, codec);
-    // Nothing is kept for it, here or with the engine, until it has said a first thing.
-    let until = Instant::now() + 2 * QUIET;
+    // Neither an outbox nor state in the engine is allocated before the first command.
+    let first_command_deadline = Instant::now() + 2 * SILENCE_INTERVAL;
     let first = loop {
         tokio::select! {
             biased;
-            first = timeout_at(until, reader.next()) => break first.unwrap_or_default(),
-            () = presence.leave.notified() => {
+            first = timeout_at(first_command_deadline, reader.next()) => break first.unwrap_or_default(),
+            () = activity.evict.notified() => {
                 let first = next_at_once(&mut reader).await;
-                if first.is_some() || reader.read_buffer().is_empty() || presence.asked() == Some(true) {
+                if first.is_some() || reader.read_buffer().is_empty() || activity.eviction_requested() == Some(true) {
                     break first;
                 }
-                stays(&presence, &desk, &place, true);
+                record_activity(&activity, &context, &slot, true);
             }
-            () = desk.closing.cancelled() => break next_at_once(&mut reader).await,
+            () = context.shutdown.cancelled() => break next_at_once(&mut reader).await,
         }
     };
     let first = match first {
         Some(Ok(words)) => words,
-        Some(Err(why)) => {
-            info!(client = id.0, "a first command that cannot be read: {why}");
+        Some(Err(error)) => {
+            info!(client = id.0, "malformed first command: {error}");
             return linger(reader.get_mut(), LINGER.0, LINGER.1).await;
         }
         None => return,
     };
-    stays(&presence, &desk, &place, false);
-    let (outbox, mut writer) = outbox::<Bytes>(write, desk.bounds);
-    let client = Client::new(outbox, writer.abort_handle(), Arc::clone(&presence));
-    if desk.endings.send(Note::ClientIn(id, client)).await.is_err() {
+    record_activity(&activity, &context, &slot, false);
+    let (outbox, mut writer) = outbox::<Bytes>(write, context.bounds);
+    let client = Client::new(outbox, writer.abort_handle(), Arc::clone(&activity));
+    if context.priority_tx.send(Event::ClientConnected(id, client)).await.is_err() {
         return;
     }
-    let (mut ahead, mut half, mut why) = (Ahead::new(AHEAD), false, None);
+    let (mut ahead, mut was_partial, mut error) = (Ahead::new(READ_AHEAD_LIMIT), false, None);
     let (mut writing, mut lingers) = (true, true);
-    let mut came = Some(first);
-    let mut silent_at = Instant::now() + QUIET;
+    let mut received = Some(first);
+    let mut silence_check = Instant::now() + SILENCE_INTERVAL;
     loop {
-        if let Some(words) = came.take() {
-            (half, silent_at) = (false, Instant::now() + QUIET);
-            presence.reads();
-            stays(&presence, &desk, &place, false);
+        if let Some(words) = received.take() {
+            (was_partial, silence_check) = (false, Instant::now() + SILENCE_INTERVAL);
+            activity.command_read();
+            record_activity(&activity, &context, &slot, false);
             if words.first().is_some_and(|w| w == CANCEL) {
                 if ahead.withdraw(|call: &Vec<Bytes>| call.get(1) == words.get(1)).is_some() {
-                    // Neither was heard of elsewhere.
-                    presence.dealt_with(presence.open());
-                    presence.dealt_with(presence.open());
-                } else if desk.endings.send(Note::Cancel(id, words)).await.is_err() {
+                    // The engine sees neither the call nor its cancel: both count as handled here.
+                    activity.command_handled(activity.open_rpcs());
+                    activity.command_handled(activity.open_rpcs());
+                } else if context.priority_tx.send(Event::ClientCancel(id, words)).await.is_err() {
                     break;
                 }
             } else {
@@ -208,7 +218,7 @@
                 ahead.push(words, bytes);
             }
         }
-        // What has come is read before what was read is passed on, so that a client that has gone meanwhile is seen.
+        // Reading comes before passing commands on, so that a client that disconnected meanwhile is noticed first.
         tokio::select! {
             biased;
             _ = &mut writer => {
@@ -216,67 +226,67 @@
                 break;
             }
             next = reader.next(), if ahead.has_room() => match next {
-                Some(Ok(words)) => came = Some(words),
+                Some(Ok(words)) => received = Some(words),
                 Some(Err(e)) => {
-                    why = Some(e);
+                    error = Some(e);
                     break;
                 }
-                // It has gone: what it asked and nobody took is forgotten. One that has only shut its writing side says
-                // the same, and is taken for gone as well.
+                // Disconnected: commands that were not passed on are dropped. A client that only shut down its writing
+                // side cannot be told apart and is handled the same.
                 None => break,
             },
-            // A full channel holds back this client alone.
-            room = desk.asks.reserve(), if !ahead.is_empty() => match (room, ahead.pop()) {
-                (Ok(room), Some(words)) => room.send(Note::Client(id, words)),
+            // A full channel blocks this client's task only.
+            permit = context.command_tx.reserve(), if !ahead.is_empty() => match (permit, ahead.pop()) {
+                (Ok(permit), Some(words)) => permit.send(Event::ClientCommand(id, words)),
                 _ => break,
             },
-            () = presence.leave.notified() => {
-                let (next, begun) = (next_at_once(&mut reader).await, !reader.read_buffer().is_empty());
-                match (next, presence.asked()) {
-                    (Some(Ok(words)), _) => came = Some(words),
+            () = activity.evict.notified() => {
+                let (next, is_partial) = (next_at_once(&mut reader).await, !reader.read_buffer().is_empty());
+                match (next, activity.eviction_requested()) {
+                    (Some(Ok(words)), _) => received = Some(words),
                     (Some(Err(e)), _) => {
-                        why = Some(e);
+                        error = Some(e);
                         break;
                     }
-                    // Nothing of it is unread, and nothing that it was told is fresh.
-                    (None, Some(begun_too)) if presence.is_idle() && (begun_too || !begun) => {
+                    // Nothing complete is unread, and nothing is owed to the client.
+                    (None, Some(despite_partial)) if activity.is_idle() && (despite_partial || !is_partial) => {
                         lingers = false;
                         break;
                     }
-                    (None, Some(_)) => stays(&presence, &desk, &place, begun),
-                    // It has spoken since it was asked, and said so.
+                    (None, Some(_)) => record_activity(&activity, &context, &slot, is_partial),
+                    // The eviction was declined since by a command.
                     (None, None) => {}
                 }
             }
-            () = desk.closing.cancelled(), if ahead.is_empty() => match next_at_once(&mut reader).await {
-                Some(Ok(words)) => came = Some(words),
+            () = context.shutdown.cancelled(), if ahead.is_empty() => match next_at_once(&mut reader).await {
+                Some(Ok(words)) => received = Some(words),
                 Some(Err(e)) => {
-                    why = Some(e);
+                    error = Some(e);
                     break;
                 }
                 None => break,
             },
-            () = tokio::time::sleep_until(silent_at), if ahead.is_empty() => {
-                let begun = !reader.read_buffer().is_empty();
-                if half && begun {
-                    why = Some(RespError::Truncated);
+            () = tokio::time::sleep_until(silence_check), if ahead.is_empty() => {
+                let is_partial = !reader.read_buffer().is_empty();
+                if was_partial && is_partial {
+                    error = Some(RespError::Truncated);
                     break;
                 }
-                (half, silent_at) = (begun, Instant::now() + QUIET);
-                if desk.endings.send(Note::Quiet(id)).await.is_err() {
+                (was_partial, silence_check) = (is_partial, Instant::now() + SILENCE_INTERVAL);
+                if context.priority_tx.send(Event::ClientSilent(id)).await.is_err() {
                     break;
                 }
             }
         }
     }
-    let spoilt = why.as_ref().map(RespError::to_string);
-    // Where this scheduler ends, what was asked last is answered first: it went by the other channel.
-    let last = if desk.closing.is_cancelled() { &desk.asks } else { &desk.endings };
-    let _ = last.send(Note::ClientOut(id, why)).await;
+    let error_text = error.as_ref().map(RespError::to_string);
+    // At shutdown the last commands are answered before the disconnect takes effect: they went by the command channel.
+    let last_tx = if context.shutdown.is_cancelled() { &context.command_tx } else { &context.priority_tx };
+    let _ = last_tx.send(Event::ClientDisconnected(id, error)).await;
     if writing {
         let _ = writer.await;
     }
-    debug!(client = id.0, spoilt, "closed");
+    debug!(client = id.0, spoilt = error_text, "closed");
     if lingers {
         linger(reader.get_mut(), LINGER.0, LINGER.1).await;
     }
--- /dev/null
+++ b/crates/curlewpoint-node/src/driver.rs
@@ -0,0 +1,370 @@
+//! Implements the engine's and the pool's drivers: replies to clients, and requests to workers over their connections.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use curlewpoint::types::{Outcome, RpcId, Time, WorkerId};
+use curlewpoint_engine::{Answer, ClientId, ConnId, Pool, RequestId, UpstreamRequest, Wires, World};
+use curlewpoint_link::{Clock, Outbox, Ticket};
+use curlewpoint_platform::commands::{self, TagSet};
+use curlewpoint_platform::{json_lines, resp};
+use tokio::task::AbortHandle;
+use tracing::{debug, info};
+
+use crate::admission::ClientActivity;
+use crate::worker_line::WorkerLine;
+use crate::workers::Dialer;
+
+/// A client connection, as seen by the task that owns the engine.
+pub(crate) struct Client {
+    pub outbox: Outbox<Bytes>,
+    pub writer: AbortHandle,
+    pub activity: Arc<ClientActivity>,
+    pub tags: TagSet,
+    /// Tags of its open RPCs.
+    pub open: BTreeSet<u64>,
+    /// Tags whose cancel arrived before the call.
+    pub cancelled: BTreeSet<u64>,
+    /// Number of calls rejected as malformed.
+    pub malformed_calls: u32,
+    /// Number of silence intervals in a row without a command.
+    pub silent_intervals: u32,
+}
+
+impl Client {
+    pub fn new(outbox: Outbox<Bytes>, writer: AbortHandle, activity: Arc<ClientActivity>) -> Client {
+        let (tags, open, cancelled) = Default::default();
+        Client { outbox, writer, activity, tags, open, cancelled, malformed_calls: 0, silent_intervals: 0 }
+    }
+}
+
+/// A request to a worker: the `req` that the worker's reply repeats, and the line to send.
+pub(crate) struct WorkerRequest {
+    req: Arc<str>,
+    line: WorkerLine,
+    is_attempt: bool,
+}
+
+/// Connections to workers, through which the pool acts.
+pub(crate) struct WorkerConnections {
+    dialer: Dialer,
+    outboxes: BTreeMap<ConnId, Outbox<WorkerLine>>,
+    tickets: BTreeMap<RequestId, (Ticket, ConnId, Arc<str>)>,
+    /// Open requests on each connection, by the `req` that the reply repeats.
+    by_req: BTreeMap<(ConnId, Arc<str>), RequestId>,
+    /// Connections on which a `req` of an open RPC was used before. A `req` is used once per connection, so that a duplicate
+    /// reply to one attempt is not matched to the next: a duplicate 'full' would prove that the next attempt never ran.
+    used_reqs: BTreeMap<Arc<str>, Vec<ConnId>>,
+    ended: VecDeque<(RequestId, Outcome)>,
+}
+
+impl WorkerConnections {
+    fn forget(&mut self, request: RequestId) {
+        if let Some((_, conn, req)) = self.tickets.remove(&request) {
+            self.by_req.remove(&(conn, Arc::clone(&req)));
+            if !req.starts_with(OWN_REQ_PREFIX) {
+                self.used_reqs.entry(req).or_default().push(conn);
+            }
+        }
+    }
+}
+
+impl Wires<WorkerRequest> for WorkerConnections {
+    fn dial(&mut self, conn: ConnId, worker: WorkerId, address: &str) {
+        debug!(conn = conn.0, worker = worker.0, address, "dialing");
+        self.dialer.dial(conn, address.to_owned());
+    }
+
+    fn send(&mut self, conn: ConnId, request: RequestId, worker_request: &WorkerRequest) -> bool {
+        let Some(outbox) = self.outboxes.get(&conn) else { return false };
+        let key = (conn, Arc::clone(&worker_request.req));
+        let ticket = Ticket::default();
+        let is_used = self.used_reqs.get(&worker_request.req).is_some_and(|conns| conns.contains(&conn));
+        if is_used
+            || self.by_req.contains_key(&key)
+            || outbox.send(worker_request.line.clone(), Some(ticket.clone())).is_err()
+        {
+            return false;
+        }
+        self.by_req.insert(key, request);
+        self.tickets.insert(request, (ticket, conn, Arc::clone(&worker_request.req)));
+        true
+    }
+
+    fn take_back(&mut self, _conn: ConnId, request: RequestId) -> bool {
+        self.tickets.get(&request).is_some_and(|(ticket, ..)| ticket.take_back())
+    }
+
+    fn take_back_at_drain(&mut self, _conn: ConnId, request: RequestId) -> bool {
+        let Some((ticket, _, req)) = self.tickets.get(&request) else { return false };
+        if req.starts_with(OWN_REQ_PREFIX) {
+            ticket.take_back()
+        } else {
+            ticket.take_back_unbegun()
+        }
+    }
+
+    fn withdraw(&mut self, conn: ConnId, request: RequestId) {
+        let (Some(outbox), Some((_, _, req))) = (self.outboxes.get(&conn), self.tickets.get(&request)) else {
+            return;
+        };
+        // Probes and load orders cannot be aborted: their replies are ignored. With a full outbox the abort is not sent.
+        if !req.starts_with(OWN_REQ_PREFIX) {
+            let _ = outbox.send(WorkerLine::Encoded(json_lines::abort_line(req)), None);
+        }
+    }
+
+    fn close(&mut self, conn: ConnId) {
+        self.outboxes.remove(&conn);
+    }
+
+    fn ended(&mut self, request: RequestId, outcome: Outcome) {
+        self.forget(request);
+        self.ended.push_back((request, outcome));
+    }
+}
+
+/// How long the IDs of ended RPCs are remembered; replies do not arrive later than this.
+const RECENT_ID_RETENTION: Duration = Duration::from_secs(10);
+/// Maximum number of IDs of ended RPCs that are remembered.
+const MAX_RECENT_IDS: usize = 16_384;
+/// First character of the `req` of probes and load orders; client IDs consist of hex digits.
+const OWN_REQ_PREFIX: char = 't';
+
+/// The driver through which the engine acts on clients and workers.
+pub(crate) struct NodeDriver {
+    pub clients: BTreeMap<ClientId, Client>,
+    /// Clients that were cut off because they did not read their replies.
+    pub cut_off_clients: Vec<ClientId>,
+    /// ID of the RPC that is being handed to the engine.
+    pub next_rpc_id: Arc<str>,
+    /// The RPC that its client is withdrawing, which therefore gets no reply.
+    pub withdrawn: Option<(ClientId, u64)>,
+    /// Client IDs of all open RPCs.
+    open_ids: BTreeMap<RpcId, Arc<str>>,
+    /// IDs of the open and of the recently ended RPCs.
+    known_ids: BTreeSet<Arc<str>>,
+    /// IDs of recently ended RPCs, the oldest first.
+    recent_ids: VecDeque<(Instant, Arc<str>)>,
+    clock: Clock,
+    pool: Pool<WorkerRequest>,
+    connections: WorkerConnections,
+}
+
+impl NodeDriver {
+    pub fn new(pool: Pool<WorkerRequest>, dialer: Dialer, clock: Clock) -> NodeDriver {
+        let (outboxes, tickets, by_req, used_reqs, ended) = Default::default();
+        let connections = WorkerConnections { dialer, outboxes, tickets, by_req, used_reqs, ended };
+        let (clients, cut_off_clients, open_ids, known_ids, recent_ids) = Default::default();
+        let next_rpc_id = "".into();
+        NodeDriver {
+            clients,
+            cut_off_clients,
+            next_rpc_id,
+            withdrawn: None,
+            open_ids,
+            known_ids,
+            recent_ids,
+            clock,
+            pool,
+            connections,
+        }
+    }
+
+    /// Whether an RPC with this ID is open or ended recently. Workers identify RPCs by this ID, so a late or duplicate reply
+    /// to the earlier RPC would be matched to a new one. Clients that keep to the protocol use a new ID for each request.
+    pub fn is_known_id(&self, id: &str) -> bool {
+        self.known_ids.contains(id)
+    }
+
+    /// Sends a reply to a client. A client whose outbox is full does not read its replies and is cut off.
+    pub fn reply(&mut self, id: ClientId, tag: u64, status: &str, fields: &str, body: &[u8]) {
+        let Some(client) = self.clients.get(&id) else { return };
+        let reply =
+            resp::encode_array(&[tag.to_string().as_bytes(), status.as_bytes(), fields.as_bytes(), body]);
+        if client.outbox.send(reply, None).is_err() {
+            info!(client = id.0, "cut off: it does not read its answers");
+            client.writer.abort();
+            self.clients.remove(&id);
+            self.cut_off_clients.push(id);
+        }
+    }
+
+    pub fn conn_up(&mut self, now: Time, conn: ConnId, outbox: Outbox<WorkerLine>) {
+        self.connections.outboxes.insert(conn, outbox);
+        self.pool.conn_up(now, &mut self.connections, conn);
+    }
+
+    pub fn conn_failed(&mut self, now: Time, conn: ConnId, ours: bool) {
+        self.pool.conn_failed(now, &mut self.connections, conn, ours);
+    }
+
+    pub fn conn_broken(&mut self, now: Time, conn: ConnId) {
+        self.pool.conn_broken(now, &mut self.connections, conn);
+        self.connections.outboxes.remove(&conn);
+    }
+
+    /// The open request with this `req` on a connection.
+    pub fn open_request(&self, conn: ConnId, req: &str) -> Option<RequestId> {
+        self.connections.by_req.get(&(conn, Arc::from(req))).copied()
+    }
+
+    pub fn answered(&mut self, now: Time, request: RequestId) {
+        self.connections.forget(request);
+        self.pool.answered(now, &mut self.connections, request);
+    }
+
+    fn expire_recent_ids(&mut self, max: usize) {
+        while self
+            .recent_ids
+            .front()
+            .is_some_and(|(at, _)| self.recent_ids.len() > max || at.elapsed() >= RECENT_ID_RETENTION)
+        {
+            if let Some((_, id)) = self.recent_ids.pop_front() {
+                self.known_ids.remove(&id);
+            }
+        }
+    }
+
+    pub fn sweep(&mut self, now: Time) {
+        self.expire_recent_ids(MAX_RECENT_IDS);
+        self.pool.sweep(now, &mut self.connections);
+    }
+
+    /// The pool's open requests and the worker of each.
+    pub fn open(&self) -> BTreeMap<RequestId, WorkerId> {
+        self.pool.open().collect()
+    }
+
+    /// Sizes of the tables, by name.
+    pub fn sizes(&self) -> Vec<(&'static str, usize)> {
+        let own = [
+            ("clients", self.clients.len()),
+            ("ids of open RPCs", self.open_ids.len()),
+            ("ids of ended RPCs", self.recent_ids.len()),
+            ("reqs at workers", self.connections.by_req.len()),
+            ("used reqs", self.connections.used_reqs.len()),
+            ("tickets", self.connections.tickets.len()),
+            ("outboxes", self.connections.outboxes.len()),
+        ];
+        own.into_iter().chain(self.pool.sizes()).collect()
+    }
+
+    pub fn conns(&self) -> usize {
+        self.pool.conns()
+    }
+}
+
+impl World for NodeDriver {
+    fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
+        let own_req = || Arc::from(format!("{OWN_REQ_PREFIX}{}", id.0));
+        let worker_request = match request {
+            UpstreamRequest::Attempt { rpc, method, model, token, left, body, .. } => {
+                let req = Arc::clone(&self.open_ids[&rpc]);
+                let invoke = json_lines::Invoke::new(&req, method, model, token, body);
+                let line = WorkerLine::Attempt { invoke, deadline: now + left, clock: self.clock };
+                WorkerRequest { req, line, is_attempt: true }
+            }
+            UpstreamRequest::Load { model, copies } => {
+                let req: Arc<str> = own_req();
+                WorkerRequest {
+                    line: WorkerLine::Encoded(json_lines::prewarm_line(&req, model, copies)),
+                    req,
+                    is_attempt: false,
+                }
+            }
+            UpstreamRequest::Probe => {
+                let req: Arc<str> = own_req();
+                WorkerRequest {
+                    line: WorkerLine::Encoded(json_lines::gauges_line(&req)),
+                    req,
+                    is_attempt: false,
+                }
+            }
+        };
+        debug!(
+            request = id.0,
+            worker = worker.0,
+            attempt = worker_request.is_attempt,
+            "sent as {}",
+            worker_request.req
+        );
+        self.pool.request(now, &mut self.connections, worker, id, worker_request);
+    }
+
+    fn take_back(&mut self, now: Time, id: RequestId) -> bool {
+        let was_unsent = self.pool.take_back(now, &mut self.connections, id);
+        self.connections.forget(id);
+        was_unsent
+    }
+
+    fn answer(
+        &mut self, rpc: RpcId, client: ClientId, tag: u64, answer: Answer, reason: &str, retry_after: Time,
+        body: Bytes,
+    ) {
+        debug!(rpc = rpc.0, client = client.0, tag, "{answer:?} {reason}");
+        if let Some(client) = self.clients.get_mut(&client) {
+            client.open.remove(&tag);
+            client.activity.replied(self.clock.now(), client.open.len());
+        }
+        if self.withdrawn == Some((client, tag)) {
+            return;
+        }
+        let status = match answer {
+            Answer::Ok => commands::GOOD,
+            Answer::Denied => commands::REFUSED,
+            Answer::Aborted => commands::BROKEN,
+        };
+        self.reply(client, tag, status, &commands::reply_fields(retry_after), &body);
+    }
+
+    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+        self.connections.ended.pop_front()
+    }
+
+    fn unload(&mut self, now: Time, worker: WorkerId, model: &str) {
+        self.pool.tell(now, &mut self.connections, worker, |connections, conn| {
+            if let Some(outbox) = connections.outboxes.get(&conn) {
+                let _ = outbox.send(WorkerLine::Encoded(json_lines::evict_line(model)), None);
+            }
+        });
+    }
+
+    /// Discovery is polled for the complete list regardless; there is nothing to request.
+    fn watch_list(&mut self, _held: Option<(u64, u64)>) {}
+
+    fn worker_at(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time) {
+        debug!(worker = worker.0, name, address, "listed");
+        self.pool.worker_at(now, &mut self.connections, worker, address, since);
+    }
+
+    fn worker_drains(&mut self, now: Time, worker: WorkerId) {
+        self.pool.send_nothing_more(now, &mut self.connections, worker);
+    }
+
+    fn worker_gone(&mut self, now: Time, worker: WorkerId) {
+        self.pool.worker_gone(now, &mut self.connections, worker);
+    }
+
+    fn taken(&mut self, rpc: RpcId) {
+        let id = std::mem::replace(&mut self.next_rpc_id, "".into());
+        self.known_ids.insert(Arc::clone(&id));
+        self.open_ids.insert(rpc, id);
+    }
+
+    fn forgotten(&mut self, rpc: RpcId) {
+        let Some(id) = self.open_ids.remove(&rpc) else { return };
+        self.connections.used_reqs.remove(&id);
+        self.recent_ids.push_back((Instant::now(), id));
+        self.expire_recent_ids(MAX_RECENT_IDS);
+    }
+
+    fn log(&mut self, rpc: Option<RpcId>, line: &str) {
+        match rpc {
+            Some(rpc) => info!(rpc = rpc.0, "{line}"),
+            None => info!("{line}"),
+        }
+    }
+}
--- /dev/null
+++ b/crates/curlewpoint-node/src/events.rs
@@ -0,0 +1,35 @@
+//! Events that connection tasks send to the task that owns the engine.
+
+use bytes::Bytes;
+use curlewpoint_engine::{ClientId, ConnId};
+use curlewpoint_link::Outbox;
+use curlewpoint_platform::resp::RespError;
+use serde_json::{Map, Value};
+
+use crate::discovery::EndpointList;
+use crate::driver::Client;
+use crate::worker_line::WorkerLine;
+
+/// An event for the task that owns the engine. Events that end something go by a channel of their own, ahead of those that
+/// start something, so that a disconnect or a cancel never waits behind other clients' calls. Therefore a cancel may
+/// arrive before its call, and calls after their client has disconnected.
+pub(crate) enum Event {
+    /// Precedes every other event of this client.
+    ClientConnected(ClientId, Client),
+    ClientCommand(ClientId, Vec<Bytes>),
+    ClientCancel(ClientId, Vec<Bytes>),
+    /// The client has sent nothing for the silence interval.
+    ClientSilent(ClientId),
+    /// The client has disconnected, or sent something malformed.
+    ClientDisconnected(ClientId, Option<RespError>),
+    WorkerConnected(ConnId, Outbox<WorkerLine>),
+    WorkerMessage(ConnId, Map<String, Value>),
+    WorkerDisconnected(ConnId),
+    /// A connection to a worker could not be established; true if the cause is local, such as a lack of descriptors.
+    WorkerDialFailed(ConnId, bool),
+    /// Discovery returned a list.
+    EndpointList(EndpointList),
+    Stop,
+    /// The counters are to be logged.
+    LogCounters,
+}
--- a/crates/curlewpoint-node/src/lib.rs
+++ b/crates/curlewpoint-node/src/lib.rs
@@ -1,14 +1,15 @@
-//! One scheduler on the platform's sockets. It moves bytes and nothing else: one task owns the
-//! [`Engine`](curlewpoint_engine::Engine), all others read or write a connection and speak with it by channels.
+//! A scheduler on the platform's protocol. This crate moves bytes and makes no decisions: one task owns the
+//! [`Engine`](curlewpoint_engine::Engine); every other task reads or writes a connection and exchanges events with it
+//! over channels.
 
+mod admission;
 mod clients;
-mod directory;
-mod doors;
-mod line;
-mod notes;
-mod outside;
-mod run;
+mod discovery;
+mod driver;
+mod events;
+mod scheduler;
 mod stall;
+mod worker_line;
 mod workers;
 
-pub use run::{start, Control, SchedulerHandle, StartError};
+pub use scheduler::{start, Control, SchedulerHandle, StartError};
--- /dev/null
+++ b/crates/curlewpoint-node/src/scheduler.rs
@@ -0,0 +1,546 @@
+//! Starts a scheduler, and runs the event loop that owns its engine.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use curlewpoint::types::{Copy, Standing, Time};
+use curlewpoint_engine::{ClientId, ConnId, Engine, Figures, Pool, PoolLimits, Refusal};
+use curlewpoint_link::{listen_again, Bounds, Clock, Turns, METRICS};
+use curlewpoint_platform::startup::{self, StartupConfig, StartupError};
+use curlewpoint_platform::{commands, json_lines, EndpointListVisitor};
+use oorandom::Rand64;
+use serde_json::{Map, Value};
+use thiserror::Error;
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinHandle;
+use tokio::time::Instant;
+use tokio_util::sync::CancellationToken;
+use tokio_util::task::TaskTracker;
+use tracing::{debug, info, warn};
+
+use crate::driver::NodeDriver;
+use crate::events::Event;
+use crate::stall::StallDetector;
+use crate::workers::Dialer;
+use crate::{clients, discovery};
+
+#[derive(Debug, Error)]
+pub enum StartError {
+    #[error("cannot listen on {0}: {1}")]
+    Listen(SocketAddr, std::io::Error),
+    #[error("list of known workers: {0}")]
+    KnownWorkers(#[from] StartupError),
+}
+
+/// Capacity of the channel for events that end something; senders wait when it is full.
+const PRIORITY_CHANNEL_CAPACITY: usize = 1024;
+/// Capacity of the channel for client commands. It is small so that few commands are queued when their client
+/// disconnects.
+const COMMAND_CHANNEL_CAPACITY: usize = 128;
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// The longest body of a call, in bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024;
+/// The longest line from a worker, in bytes: a body in base64 with its fields.
+const MAX_LINE_BYTES: usize = 64 * 1024;
+/// Maximum number of open RPCs on a client connection.
+const MAX_OPEN_RPCS_PER_CLIENT: usize = 32;
+/// Maximum number of separate tag runs, and of tags cancelled before their call, on a client connection.
+const MAX_TAG_RUNS: usize = 256;
+/// A client is disconnected after this many malformed calls.
+const MAX_MALFORMED_CALLS: u32 = 8;
+/// An idle client is disconnected after this many silence intervals, of a second each, in a row.
+const MAX_SILENT_INTERVALS: u32 = 5;
+/// Minimum time that new RPCs are accepted after a stop.
+const STOP_GRACE: Duration = Duration::from_millis(1_000);
+/// The platform kills a stopping process after the longest client timeout, limited to the first value, plus the second.
+const KILL_DELAY: (Duration, Duration) = (Duration::from_millis(3_000), Duration::from_millis(700));
+/// Time reserved before the kill to answer, flush and close what is left.
+const FINAL_FLUSH: Duration = Duration::from_millis(200);
+/// A process that is not killed exits by itself this long after the expected kill.
+const KILL_OVERDUE: Duration = Duration::from_millis(500);
+/// A line is logged after this many checks in a message, a second apart, at which RPCs had ended and none with success.
+const FAILED_CHECKS_BEFORE_LOG: u32 = 3;
+/// File descriptors reserved for the listener, the discovery sockets, signals and the like.
+const RESERVED_DESCRIPTORS: usize = 16;
+
+/// Stops a scheduler, or has it log its counters.
+#[derive(Clone)]
+pub struct Control(mpsc::Sender<Event>);
+
+impl Control {
+    pub async fn stop(&self) {
+        let _ = self.0.send(Event::Stop).await;
+    }
+
+    /// Logs the counters of RPCs and of socket events.
+    pub async fn log_counters(&self) {
+        let _ = self.0.send(Event::LogCounters).await;
+    }
+}
+
+/// A running scheduler.
+pub struct SchedulerHandle {
+    pub address: SocketAddr,
+    pub control: Control,
+    /// Changes the address of discovery.
+    pub resolver: watch::Sender<SocketAddr>,
+    /// Completes when the scheduler has stopped, with the counters of its RPCs.
+    pub stopped: JoinHandle<Figures>,
+}
+
+/// Passes an endpoint list on to the engine.
+struct EngineListVisitor<'a> {
+    engine: &'a mut Engine<NodeDriver>,
+    clock: Clock,
+    now: Time,
+}
+
+impl EndpointListVisitor for EngineListVisitor<'_> {
+    fn begin_list(&mut self, version: u64, since: Option<u64>) {
+        self.engine.list_begins(0, version, since);
+    }
+
+    fn endpoint(
+        &mut self, name: &str, address: &str, lifecycle: Standing, started: u64, zone: &str, cell: &str,
+        size: f64,
+    ) {
+        let age = (started > 0).then(|| self.clock.age_of_unix_ms(started));
+        self.engine.list_row(self.now, name, address, lifecycle, started, age, zone, cell, size);
+    }
+
+    fn end_list(&mut self) {
+        self.engine.list_ends(self.now);
+    }
+}
+
+/// A limit from the settings, or the default if it is absent, zero or not a number.
+fn limit(settings: &Map<String, Value>, name: &str, default: u64) -> u64 {
+    let value = settings.get("limits").and_then(|l| l.get(name)).and_then(Value::as_f64);
+    value.map(|v| v as u64).filter(|v| *v > 0).unwrap_or(default)
+}
+
+/// The longest client timeout in the settings.
+fn longest_timeout(settings: &Map<String, Value>) -> Duration {
+    let methods = settings.get("requestClasses").and_then(Value::as_array).into_iter().flatten();
+    let times = methods.filter_map(|m| m.get("giveUp")?.as_f64()).filter(|ms| *ms > 0.0);
+    times.reduce(f64::max).map_or(KILL_DELAY.0, |ms| Duration::from_millis(ms as u64))
+}
+
+/// Starts a scheduler. It accepts calls once this returns.
+pub async fn start(config: StartupConfig) -> Result<SchedulerHandle, StartError> {
+    let StartupConfig { name, listen, seed, sockets, memory_mb, resolver, mut settings, known } = config;
+    let listener = listen_again(&listen.to_string()).await.map_err(|e| StartError::Listen(listen, e))?;
+    let address = listener.local_addr().map_err(|e| StartError::Listen(listen, e))?;
+    info!(name, %address, seed = %seed, sockets, memory_mb, "serving");
+
+    let (priority_tx, priority_rx) = mpsc::channel(PRIORITY_CHANNEL_CAPACITY);
+    let (command_tx, command_rx) = mpsc::channel(COMMAND_CHANNEL_CAPACITY);
+    let bounds = Bounds { frame: MAX_LINE_BYTES, outbox: (512, 1 << 20), ..Bounds::default() };
+    let dial_timeout = Duration::from_millis(limit(&settings, "dialTimeout", 250));
+    let dialer = Dialer { bounds, timeout: dial_timeout, event_tx: priority_tx.clone() };
+    let limits = PoolLimits {
+        streams: limit(&settings, "streamsPerConn", 32) as usize,
+        conns: (sockets / 64).clamp(2, 16),
+        all: sockets - sockets / 2 - RESERVED_DESCRIPTORS,
+        // Closes an idle connection before the worker does: an attempt that crosses the worker's close may have run.
+        idle: Time::from_ms(limit(&settings, "keepalive", 15_000) as f64 * 0.6),
+        back_off: (Time::from_ms(50.0), Time::from_ms(1_000.0)),
+    };
+    // Every open RPC may hold a body; half of the memory is reserved for them.
+    let max_open =
+        limit(&settings, "maxOpen", 100_000).min((memory_mb * 1024 * 1024 / 2 / MAX_BODY_BYTES) as u64);
+    let module_limits = settings.entry("limits").or_insert_with(|| Value::Object(Map::new()));
+    if let Value::Object(module_limits) = module_limits {
+        module_limits.insert("maxOpen".to_owned(), max_open.into());
+    }
+    let names = settings.get("loadInfo").and_then(|l| l.get("names")).and_then(Value::as_array);
+    let load_report_names: Vec<String> =
+        names.into_iter().flatten().filter_map(Value::as_str).map(str::to_owned).collect();
+    let kill_delay = longest_timeout(&settings).min(KILL_DELAY.0) + KILL_DELAY.1;
+    let clock = Clock::start();
+    let mut engine =
+        Engine::start(clock.now(), NodeDriver::new(Pool::new(limits, seed), dialer, clock), seed, settings);
+    startup::visit_known_workers(
+        &known,
+        &mut EngineListVisitor { engine: &mut engine, clock, now: clock.now() },
+    )?;
+
+    let (tasks, shutdown) = (TaskTracker::new(), CancellationToken::new());
+    let context = clients::ClientContext {
+        bounds: Bounds { frame: MAX_BODY_BYTES, ..bounds },
+        clock,
+        priority_tx: priority_tx.clone(),
+        command_tx,
+        shutdown: shutdown.clone(),
+        tasks: tasks.clone(),
+    };
+    let accepting = tasks.spawn(clients::accept(listener, sockets / 2, context));
+    let (resolver, resolver_rx) = watch::channel(resolver);
+    let polling =
+        tokio::spawn(discovery::follow(resolver_rx, priority_tx.clone(), Rand64::new(seed))).abort_handle();
+    let event_loop = EventLoop {
+        engine,
+        clock,
+        load_report_names,
+        kill_delay,
+        started: Instant::now(),
+        stop_requested: None,
+        rejecting_all: false,
+        mismatch_logged: false,
+        list_version: 0,
+        service_health: ServiceHealth::default(),
+        stalls: StallDetector::default(),
+        health_check_logged: false,
+    };
+    let stopped = tokio::spawn(async move {
+        let figures = event_loop
+            .run(Turns::new(priority_rx, command_rx, COMMAND_CHANNEL_CAPACITY), tasks, shutdown)
+            .await;
+        polling.abort();
+        accepting.abort();
+        figures
+    });
+    Ok(SchedulerHandle { address, control: Control(priority_tx), resolver, stopped })
+}
+
+/// Detects that no RPC succeeds.
+#[derive(Default)]
+struct ServiceHealth {
+    /// RPCs that had succeeded at the last check.
+    ok: u64,
+    /// RPCs that had ended otherwise at the last check.
+    not_ok: u64,
+    /// Checks in a row at which RPCs had ended and none with success.
+    failed_checks: u32,
+}
+
+impl ServiceHealth {
+    /// Logs one line if the scheduler runs but no RPC succeeds, for example with an empty endpoint list while discovery
+    /// is unavailable, and one when RPCs succeed again. It only logs: polling, dialing and rejecting go on. The line also
+    /// appears if the clients alone are at fault.
+    fn check(&mut self, f: Figures, list_version: u64, conns: usize) {
+        let not_ok = f.denied + f.aborted + f.refused;
+        if f.ok > self.ok {
+            if self.failed_checks >= FAILED_CHECKS_BEFORE_LOG {
+                info!("RPCs succeed again");
+            }
+            self.failed_checks = 0;
+        } else if not_ok > self.not_ok {
+            self.failed_checks = self.failed_checks.saturating_add(1);
+            if self.failed_checks == FAILED_CHECKS_BEFORE_LOG {
+                info!(
+                    listed = list_version,
+                    conns,
+                    not = not_ok,
+                    "no RPC succeeds: all are denied, aborted or refused"
+                );
+            }
+        }
+        (self.ok, self.not_ok) = (f.ok, not_ok);
+    }
+}
+
+/// The event loop that owns the engine.
+struct EventLoop {
+    engine: Engine<NodeDriver>,
+    clock: Clock,
+    /// Names of the figures in a load report, in their order.
+    load_report_names: Vec<String>,
+    /// Time from a stop to the platform's kill.
+    kill_delay: Duration,
+    started: Instant,
+    stop_requested: Option<Instant>,
+    /// The kill is so close that all calls are rejected.
+    rejecting_all: bool,
+    mismatch_logged: bool,
+    /// Version of the newest endpoint list received.
+    list_version: u64,
+    service_health: ServiceHealth,
+    stalls: StallDetector,
+    health_check_logged: bool,
+}
+
+impl EventLoop {
+    async fn run(
+        mut self, mut events: Turns<Event>, tasks: TaskTracker, shutdown: CancellationToken,
+    ) -> Figures {
+        let mut last_sweep = Instant::now();
+        while !self.is_finished() {
+            self.iterate(&mut events, SWEEP_INTERVAL).await;
+            if last_sweep.elapsed() >= SWEEP_INTERVAL {
+                last_sweep = Instant::now();
+                let now = self.clock.now();
+                self.engine.world().sweep(now);
+                self.check_consistency();
+                let conns = self.engine.world().conns();
+                self.service_health.check(self.engine.figures(), self.list_version, conns);
+            }
+        }
+        // From here on all calls are rejected. Commands already received are read, answered and flushed; then each
+        // connection is shut down, read to its end and closed, within the time reserved for the final flush.
+        self.engine.stop_taking();
+        self.engine.abort_all(self.clock.now());
+        shutdown.cancel();
+        tasks.close();
+        let (all_closed, deadline) = (tasks.wait(), tokio::time::sleep(FINAL_FLUSH));
+        tokio::pin!(all_closed, deadline);
+        loop {
+            tokio::select! {
+                () = &mut all_closed => break,
+                () = &mut deadline => break,
+                () = self.iterate(&mut events, SWEEP_INTERVAL) => {}
+            }
+        }
+        self.engine.abort_all(self.clock.now());
+        self.log_counters("stopped");
+        self.engine.figures()
+    }
+
+    fn log_counters(&mut self, title: &str) {
+        let conns = self.engine.world().conns();
+        let f = self.engine.figures();
+        let (loads, probes, list) = (f.loads, f.probes, self.list_version);
+        info!(f.taken, f.ok, f.denied, f.aborted, f.left, f.refused, f.attempts, conns, f.cut_off, "{title}");
+        info!(loads, probes, list, "sockets: {METRICS}");
+    }
+
+    /// Runs one iteration: waits for events, at most `max_wait` or until the engine's next timer, and handles them.
+    async fn iterate(&mut self, events: &mut Turns<Event>, max_wait: Duration) {
+        let wait = self.engine.next_wake().map_or(max_wait, |at| self.clock.until(at)).min(max_wait);
+        let batch = events.next(wait).await;
+        self.stalls.iteration_started(self.clock.now());
+        for event in batch {
+            self.handle(event);
+        }
+        let now = self.clock.now();
+        self.engine.advance(now);
+        for client in std::mem::take(&mut self.engine.world().cut_off_clients) {
+            self.engine.client_gone(now, client);
+        }
+    }
+
+    /// Compares the requests that the module considers open with those open on connections, and logs the table sizes.
+    fn check_consistency(&mut self) {
+        let open = self.engine.world().open();
+        if let Some(difference) = self.engine.mismatch(&open).filter(|_| !self.mismatch_logged) {
+            self.mismatch_logged = true;
+            warn!("open requests of the module and the connections differ, logged once: {difference}");
+        }
+        if tracing::enabled!(tracing::Level::DEBUG) {
+            let driver = self.engine.world().sizes();
+            debug!("table sizes: {:?} {driver:?}", self.engine.sizes());
+        }
+    }
+
+    /// After a stop the scheduler serves until no RPC is open and no client is connected. Shortly before the platform's kill
+    /// it aborts what is open and rejects new calls, so that nothing is open when it is killed. If the kill does not come,
+    /// it exits by itself.
+    fn is_finished(&mut self) -> bool {
+        let Some(since) = self.stop_requested.map(|at| at.elapsed()) else { return false };
+        if since + FINAL_FLUSH >= self.kill_delay && !self.rejecting_all {
+            self.rejecting_all = true;
+            self.engine.stop_taking();
+            self.engine.abort_all(self.clock.now());
+        }
+        let is_idle = self.engine.open() == 0 && self.engine.world().clients.is_empty();
+        since >= self.kill_delay + KILL_OVERDUE || (since >= STOP_GRACE && is_idle)
+    }
+
+    fn handle(&mut self, event: Event) {
+        let now = self.clock.now();
+        let engine = &mut self.engine;
+        match event {
+            Event::ClientConnected(id, client) => drop(engine.world().clients.insert(id, client)),
+            Event::ClientCommand(id, words) | Event::ClientCancel(id, words) => {
+                if let Err(reason) = self.client_command(now, id, words) {
+                    self.close_client(now, id, reason);
+                }
+                if let Some(client) = self.engine.world().clients.get(&id) {
+                    client.activity.command_handled(client.open.len());
+                }
+            }
+            Event::ClientSilent(id) => {
+                let Some(client) = engine.world().clients.get_mut(&id) else { return };
+                client.silent_intervals += 1;
+                if client.activity.is_idle() && client.silent_intervals >= MAX_SILENT_INTERVALS {
+                    engine.world().clients.remove(&id);
+                }
+            }
+            Event::ClientDisconnected(id, Some(error)) => self.close_client(now, id, &error.to_string()),
+            Event::ClientDisconnected(id, None) => {
+                engine.world().clients.remove(&id);
+                engine.client_gone(now, id);
+            }
+            Event::WorkerConnected(conn, outbox) => {
+                engine.world().conn_up(now, conn, outbox);
+                engine.settle(now);
+            }
+            Event::WorkerDialFailed(conn, ours) => {
+                engine.world().conn_failed(now, conn, ours);
+                engine.settle(now);
+            }
+            Event::WorkerMessage(conn, message) => {
+                if let Err(error) = self.worker_message(now, conn, &message) {
+                    info!(conn = conn.0, "connection to a worker closed: {error}");
+                    self.engine.world().conn_broken(now, conn);
+                    self.engine.settle(now);
+                }
+            }
+            Event::WorkerDisconnected(conn) => {
+                engine.world().conn_broken(now, conn);
+                engine.settle(now);
+            }
+            Event::EndpointList(list) => {
+                if self.list_version < list.version() {
+                    self.list_version = list.version();
+                    debug!("endpoint list {} received", self.list_version);
+                }
+                list.visit(&mut EngineListVisitor { engine, clock: self.clock, now });
+            }
+            Event::LogCounters => self.log_counters("figures"),
+            Event::Stop => {
+                info!(open = self.engine.open(), "stopping");
+                self.stop_requested.get_or_insert_with(Instant::now);
+            }
+        }
+    }
+
+    /// Handles a command. After an error the client is to be disconnected.
+    fn client_command(&mut self, now: Time, id: ClientId, words: Vec<Bytes>) -> Result<(), &'static str> {
+        let stopping = self.stop_requested.is_some();
+        let Some(client) = self.engine.world().clients.get_mut(&id) else { return Ok(()) };
+        client.silent_intervals = 0;
+        let word = |index: usize| words.get(index).map_or(&b""[..], |w| &w[..]);
+        let tag = commands::parse_tag(word(1)).ok_or("invalid tag")?;
+        match word(0) {
+            commands::CALL => {
+                if !client.tags.insert(tag, MAX_TAG_RUNS) {
+                    return Err("tag already used, or too many separate tags");
+                }
+                if client.cancelled.remove(&tag) {
+                    return Ok(());
+                }
+                if client.open.len() >= MAX_OPEN_RPCS_PER_CLIENT {
+                    self.engine.refused();
+                    self.engine.world().reply(id, tag, commands::ENOUGH, "", b"");
+                    return Ok(());
+                }
+                let body = words.get(4).cloned().unwrap_or_default();
+                if let Err(status) = self.call(now, id, tag, word(2), word(3), body) {
+                    self.reject_call(id, tag, status)?;
+                }
+            }
+            // Cancels overtake calls: the call of this one may still be queued.
+            commands::CANCEL if !client.tags.contains(tag) => {
+                client.cancelled.insert(tag);
+                if client.cancelled.len() > MAX_TAG_RUNS {
+                    return Err("too many cancelled tags without a call");
+                }
+            }
+            commands::CANCEL => {
+                self.engine.world().withdrawn = Some((id, tag));
+                self.engine.cancelled(now, id, tag);
+                self.engine.world().withdrawn = None;
+            }
+            commands::CHECK => {
+                let status = if stopping { commands::UNFIT } else { commands::FIT };
+                if !std::mem::replace(&mut self.health_check_logged, true) {
+                    let after = self.started.elapsed().as_millis() as u64;
+                    info!(after, "first health check answered '{status}', milliseconds from the start");
+                }
+                self.engine.world().reply(id, tag, status, "", b"");
+            }
+            _ => return Err("unknown command"),
+        }
+        Ok(())
+    }
+
+    /// Replies to a call that was not accepted. A client that repeatedly sends malformed calls is disconnected.
+    fn reject_call(&mut self, id: ClientId, tag: u64, status: &str) -> Result<(), &'static str> {
+        let driver = self.engine.world();
+        driver.reply(id, tag, status, "", b"");
+        if let Some(client) = driver.clients.get_mut(&id).filter(|_| status == commands::BROKEN) {
+            client.malformed_calls += 1;
+            if client.malformed_calls >= MAX_MALFORMED_CALLS {
+                return Err("too many malformed calls");
+            }
+        }
+        Ok(())
+    }
+
+    /// Hands a call to the engine. If the call is not accepted, returns the status to reply with.
+    fn call(
+        &mut self, now: Time, id: ClientId, tag: u64, method: &[u8], fields: &[u8], body: Bytes,
+    ) -> Result<(), &'static str> {
+        let malformed = |reason| {
+            debug!(client = id.0, tag, "call rejected: {reason}");
+            commands::BROKEN
+        };
+        let text = |bytes| std::str::from_utf8(bytes).map_err(|_| malformed("not UTF-8"));
+        let (method, fields) = (text(method)?, text(fields)?);
+        let field = |name| commands::field(fields, name);
+        let req = field("req").and_then(commands::parse_hex_id).ok_or_else(|| malformed("invalid ID"))?;
+        let time_left =
+            field("timeout").and_then(commands::parse_timeout).ok_or_else(|| malformed("invalid timeout"))?;
+        let model =
+            field("subject").and_then(commands::parse_hex_id).ok_or_else(|| malformed("invalid function"))?;
+        let info = commands::parse_info(field("info").unwrap_or(""))
+            .ok_or_else(|| malformed("invalid parameters"))?;
+        let lanes = info.iter().find(|(name, _)| *name == "lanes").map(|(_, lanes)| *lanes);
+        if lanes.is_some_and(|lanes| lanes < 1.0) {
+            return Err(malformed("invalid lanes"));
+        }
+        if self.engine.world().is_known_id(req) {
+            return Err(malformed("ID already in use"));
+        }
+        let (method, tenant) = (field("kind").unwrap_or(method), field("owner").unwrap_or(""));
+        let driver = self.engine.world();
+        driver.next_rpc_id = req.into();
+        driver.clients.get_mut(&id).into_iter().for_each(|c| c.open.extend([tag]));
+        let time_left = time_left - self.stalls.possible_delay(now);
+        let accepted =
+            self.engine.rpc(now, (id, tag), method, model, tenant, time_left, field("opkey"), lanes, body);
+        let Err(refusal) = accepted else { return Ok(()) };
+        debug!(client = id.0, tag, "call rejected: {refusal:?}");
+        let driver = self.engine.world();
+        driver.clients.get_mut(&id).into_iter().for_each(|c| c.open.retain(|t| *t != tag));
+        match refusal {
+            Refusal::Full | Refusal::NoTime | Refusal::Stopping => Err(commands::REFUSED),
+            _ => Err(malformed("unknown method, invalid token or invalid function")),
+        }
+    }
+
+    /// Ends a client's open RPCs with a reply each, and closes its connection.
+    fn close_client(&mut self, now: Time, id: ClientId, reason: &str) {
+        debug!(client = id.0, "closed: {reason}");
+        let open = self.engine.world().clients.get(&id).map(|c| c.open.clone()).unwrap_or_default();
+        for tag in open {
+            self.engine.cancelled(now, id, tag);
+        }
+        self.engine.world().clients.remove(&id);
+        self.engine.client_gone(now, id);
+    }
+
+    /// Handles a reply from a worker. A reply without an open request is ignored.
+    fn worker_message(
+        &mut self, now: Time, conn: ConnId, message: &Map<String, Value>,
+    ) -> Result<(), json_lines::LineError> {
+        let outcome = json_lines::outcome(message)?;
+        let Some(request) = self.engine.world().open_request(conn, json_lines::text_field(message, "req")?)
+        else {
+            return Ok(());
+        };
+        let body = json_lines::body(message)?;
+        let is_attempt = self.engine.asked_by(request).is_some();
+        let copy = if is_attempt { json_lines::copy(message) } else { Copy::Untold };
+        let (held, copies, report) = (
+            json_lines::held_rpcs(message),
+            json_lines::copies(message),
+            json_lines::load_report(message, &self.load_report_names),
+        );
+        self.engine.world().answered(now, request);
+        self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
+        Ok(())
+    }
+}
--- a/crates/curlewpoint-node/src/stall.rs
+++ b/crates/curlewpoint-node/src/stall.rs
@@ -1,34 +1,33 @@
-//! Notices that this process got no turn for a while, as when it was stopped or starved: what it reads right after may have
-//! lain in the kernel for as long, and so much less time is left for it.
+//! Detects that this process was not scheduled for a while, for example because it was stopped or starved. What it reads
+//! right after may have waited in kernel buffers for as long, which shortens the time left for it.
 
 use curlewpoint::types::Time;
 
-/// Turns are no further apart than the module's tick, a fifth of this; longer gaps are stalls.
-const GAP: Time = Time(1_000);
-/// What is read within this time after a stall may have come during it.
-const SETTLES: Time = Time(300);
+/// Event-loop iterations are at most the module's tick apart, a fifth of this; a longer gap is a stall.
+const MAX_ITERATION_GAP: Time = Time(1_000);
+/// Input that is read within this time after a stall may have arrived during it.
+const CATCH_UP: Time = Time(300);
 
-/// The turns of the task that owns the engine.
+/// Detects stalls from the iterations of the event loop that owns the engine.
 #[derive(Debug, Default)]
-pub(crate) struct Stalls {
-    last_turn: Option<Time>,
-    /// The end of the last stall, and its length.
+pub(crate) struct StallDetector {
+    last_iteration: Option<Time>,
+    /// End and length of the last stall.
     last_stall: Option<(Time, Time)>,
 }
 
-impl Stalls {
-    /// A turn begins.
-    pub fn turns(&mut self, now: Time) {
-        let gap = self.last_turn.map_or(Time(0), |last| now - last);
-        if gap > GAP {
+impl StallDetector {
+    pub fn iteration_started(&mut self, now: Time) {
+        let gap = self.last_iteration.map_or(Time(0), |last| now - last);
+        if gap > MAX_ITERATION_GAP {
             self.last_stall = Some((now, gap));
         }
-        self.last_turn = Some(now);
+        self.last_iteration = Some(now);
     }
 
-    /// How long what is read now may have waited for this process.
-    pub fn waited(&self, now: Time) -> Time {
-        self.last_stall.filter(|(end, _)| now - *end <= SETTLES).map_or(Time(0), |(_, length)| length)
+    /// Upper bound on the time that input read now has waited in kernel buffers.
+    pub fn possible_delay(&self, now: Time) -> Time {
+        self.last_stall.filter(|(end, _)| now - *end <= CATCH_UP).map_or(Time(0), |(_, length)| length)
     }
 }
 
--- a/crates/curlewpoint-node/src/line.rs
+++ b/crates/curlewpoint-node/src/worker_line.rs
@@ -1,31 +1,31 @@
-//! What is queued to be written to a worker.
+//! Lines queued for workers.
 
 use bytes::{Bytes, BytesMut};
 use curlewpoint::types::Time;
 use curlewpoint_link::{Clock, Parcel};
 use curlewpoint_platform::json_lines::Invoke;
 
-/// One line to a worker.
+/// A line for a worker.
 #[derive(Clone, Debug)]
 pub(crate) enum WorkerLine {
-    /// An attempt, whose budget is reckoned at the moment of its first byte.
+    /// An attempt, whose time budget is computed when its first byte is written.
     Attempt { invoke: Invoke, deadline: Time, clock: Clock },
-    /// Anything else, as it is to be written.
-    Ready(Bytes),
+    /// Any other message, already encoded.
+    Encoded(Bytes),
 }
 
 impl Parcel for WorkerLine {
     fn size(&self) -> usize {
         match self {
             WorkerLine::Attempt { invoke, .. } => invoke.size(),
-            WorkerLine::Ready(line) => line.len(),
+            WorkerLine::Encoded(line) => line.len(),
         }
     }
 
     fn front(&self, to: &mut BytesMut) {
         match self {
             WorkerLine::Attempt { invoke, deadline, clock } => invoke.write(*deadline - clock.now(), to),
-            WorkerLine::Ready(line) => to.extend_from_slice(line),
+            WorkerLine::Encoded(line) => to.extend_from_slice(line),
         }
     }
 
--- a/crates/curlewpoint-node/src/workers.rs
+++ b/crates/curlewpoint-node/src/workers.rs
@@ -1,3 +1,5 @@
+//! Connections to workers: dials them and passes on the messages received.
+
 use std::time::Duration;
 
 use curlewpoint_engine::ConnId;
@@ -11,85 +13,85 @@
 use tokio_util::codec::FramedRead;
 use tracing::{debug, info, info_span, Instrument};
 
-use crate::line::WorkerLine;
-use crate::notes::Note;
+use crate::events::Event;
+use crate::worker_line::WorkerLine;
 
 /// Opens connections to workers, each in a task of its own.
-pub(crate) struct Dialler {
+pub(crate) struct Dialer {
     pub bounds: Bounds,
-    pub limit: Duration,
-    pub notes: mpsc::Sender<Note>,
+    pub timeout: Duration,
+    pub event_tx: mpsc::Sender<Event>,
 }
 
-/// A line that has begun and has not ended for so long, looked at twice, does not end any more.
-const LINE: Duration = Duration::from_millis(300);
-/// What is still read, and for how long, from a worker whose connection was shut from here.
+/// Interval at which an incomplete line is checked; one that is incomplete at two checks in a row ends the connection.
+const LINE_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long, and how many bytes, a connection closed by this side is still read.
 const LINGER: (Duration, usize) = (Duration::from_millis(300), 256 * 1024);
 
-impl Dialler {
+impl Dialer {
     pub fn dial(&self, conn: ConnId, address: String) {
-        let (bounds, limit, notes) = (self.bounds, self.limit, self.notes.clone());
+        let (bounds, dial_timeout, event_tx) = (self.bounds, self.timeout, self.event_tx.clone());
         let span = info_span!("connection", conn = conn.0, address);
-        let conversation = async move {
-            let dialled = timeout(limit, dial(&address)).await;
-            let (why, ours) = match dialled {
-                Ok(Ok(stream)) => return converse(conn, stream, bounds, notes).await,
-                Ok(Err(why)) => (why.to_string(), is_ours(&why)),
-                Err(_) => ("no answer in time".to_owned(), false),
+        let connection = async move {
+            let dialed = timeout(dial_timeout, dial(&address)).await;
+            let (reason, ours) = match dialed {
+                Ok(Ok(stream)) => return run_connection(conn, stream, bounds, event_tx).await,
+                Ok(Err(error)) => (error.to_string(), is_ours(&error)),
+                Err(_) => ("dial timed out".to_owned(), false),
             };
-            debug!(ours, "not connected: {why}");
-            let _ = notes.send(Note::Down(conn, ours)).await;
+            debug!(ours, "not connected: {reason}");
+            let _ = event_tx.send(Event::WorkerDialFailed(conn, ours)).await;
         };
-        tokio::spawn(conversation.instrument(span));
+        tokio::spawn(connection.instrument(span));
     }
 }
 
-/// The next line; none: the connection has ended, or a line on it that has begun does not end.
-async fn next<R: tokio::io::AsyncRead + Unpin>(
+/// Returns the next message, or `None` if the connection has ended or a line on it stays incomplete.
+async fn next_message<R: tokio::io::AsyncRead + Unpin>(
     reader: &mut FramedRead<R, LineDecoder>,
 ) -> Option<Result<Map<String, Value>, LineError>> {
-    let mut begun = false;
+    let mut was_partial = false;
     loop {
-        match timeout(LINE, reader.next()).await {
-            Ok(line) => return line,
-            Err(_) if begun && !reader.read_buffer().is_empty() => return None,
-            Err(_) => begun = !reader.read_buffer().is_empty(),
+        match timeout(LINE_TIMEOUT, reader.next()).await {
+            Ok(message) => return message,
+            Err(_) if was_partial && !reader.read_buffer().is_empty() => return None,
+            Err(_) => was_partial = !reader.read_buffer().is_empty(),
         }
     }
 }
 
-/// Hands on what comes until the connection breaks. What cannot be read ends it: nothing that follows can be trusted
-/// to begin where a line begins.
-async fn converse(conn: ConnId, stream: TcpStream, bounds: Bounds, notes: mpsc::Sender<Note>) {
-    // A delay for the sake of fuller packets would add to every answer.
+/// Passes on messages until the connection ends. A malformed message ends it, because the start of the next line can no
+/// longer be trusted.
+async fn run_connection(conn: ConnId, stream: TcpStream, bounds: Bounds, event_tx: mpsc::Sender<Event>) {
+    // Nagle's algorithm would delay every answer.
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
     let (outbox, mut writer) = outbox::<WorkerLine>(write, bounds);
     let mut reader = FramedRead::new(read, LineDecoder { max_len: bounds.frame, scanned: 0 });
-    if notes.send(Note::Up(conn, outbox)).await.is_err() {
+    if event_tx.send(Event::WorkerConnected(conn, outbox)).await.is_err() {
         return;
     }
-    // Where nothing can be written any more, until when what the worker said before is still read.
-    let (mut writing, mut until) = (true, None);
+    // After a write error, messages that the worker sent before are still read until this deadline.
+    let (mut writing, mut read_deadline) = (true, None);
     loop {
-        let line = tokio::select! {
+        let message = tokio::select! {
             biased;
-            line = next(&mut reader) => line,
+            message = next_message(&mut reader) => message,
             ended = &mut writer, if writing => {
                 writing = false;
                 if matches!(ended, Ok(Ok(()))) {
-                    // The outbox was dropped: nobody waits for an answer here any more.
+                    // The outbox was dropped: no answer is expected on this connection any more.
                     linger(reader.get_mut(), LINGER.0, LINGER.1).await;
                     break;
                 }
-                until = Some(Instant::now() + LINE);
+                read_deadline = Some(Instant::now() + LINE_TIMEOUT);
                 continue;
             }
-            () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => break,
+            () = sleep_until(read_deadline.unwrap_or_else(Instant::now)), if read_deadline.is_some() => break,
         };
-        match line {
-            Some(Ok(row)) => {
-                if notes.send(Note::Worker(conn, row)).await.is_err() {
+        match message {
+            Some(Ok(message)) => {
+                if event_tx.send(Event::WorkerMessage(conn, message)).await.is_err() {
                     break;
                 }
             }
@@ -101,9 +103,9 @@
         }
     }
     if writing {
-        // The writer has to have stopped before tickets are judged.
+        // The writer must have stopped before the engine evaluates which requests were sent.
         writer.abort();
         let _ = writer.await;
     }
-    let _ = notes.send(Note::Broken(conn)).await;
+    let _ = event_tx.send(Event::WorkerDisconnected(conn)).await;
 }
