--- a/crates/curlewpoint-node/tests/deadlines.rs
+++ b/crates/curlewpoint-node/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! What a worker is told of the time that is left, where an attempt has waited on its way.
+//! The time budget that an attempt carries to its worker.
 
 mod test_servers;
 
@@ -8,39 +8,40 @@
 use test_servers::*;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 
-/// What a call of the stand has, and the slack that the deadline passed on may have.
+/// Timeout of the calls that [`Client::send_call`] sends.
 const TIMEOUT_MS: u128 = 5_000;
-const SLACK_MS: u128 = 150;
+/// Tolerance of the budget that is passed on.
+const TOLERANCE_MS: u128 = 150;
 
-/// Guards against a budget reckoned when the worker was chosen: here the connection comes up a second later, as the kernel
-/// knocks again only then.
+/// Guards against a budget computed when the worker is selected: here the connection is established a second later, when
+/// the kernel retransmits its SYN.
 #[tokio::test]
-async fn the_budget_is_what_is_left_once_a_dial_has_come_up() {
-    let (at, listener, held) = unreachable().await;
-    let of = scheduler_with(&[&at], NOWHERE, |told| {
-        told["settings"]["limits"]["dialTimeout"] = json!(8000);
+async fn the_budget_excludes_time_spent_dialing() {
+    let (address, listener, queued) = unreachable_worker().await;
+    let scheduler = start_scheduler_with(&[&address], NO_DISCOVERY, |config| {
+        config["settings"]["limits"]["dialTimeout"] = json!(8000);
     })
     .await;
-    let mut client = Client::new(&of).await;
-    let asked = Instant::now();
-    client.call("1", "read", IDS[0]).await;
-    client.looks(&mut 1, "fit").await;
-    drop(soon(listener.accept()).await.unwrap());
-    drop(held);
-    let (stream, _) = soon(listener.accept()).await.unwrap();
+    let mut client = Client::connect(&scheduler).await;
+    let sent = Instant::now();
+    client.send_call("1", "read", IDS[0]).await;
+    client.expect_check(&mut 1, "fit").await;
+    drop(with_timeout(listener.accept()).await.unwrap());
+    drop(queued);
+    let (stream, _) = with_timeout(listener.accept()).await.unwrap();
     let (read, mut write) = stream.into_split();
     let mut lines = BufReader::new(read).lines();
-    let line = soon(lines.next_line()).await.unwrap().expect("an attempt");
-    let waited = asked.elapsed().as_millis();
-    let row: Value = serde_json::from_str(&line).unwrap();
-    went_out(&row);
-    let budget = u128::from(row["meta"]["budget"].as_u64().expect("a budget"));
-    write.write_all(answer(&row, "OK", "").as_bytes()).await.unwrap();
-    client.hears(&["1", "good", "", ""]).await;
-    assert!(waited > 2 * SLACK_MS, "the dial waited for {waited} ms only");
+    let line = with_timeout(lines.next_line()).await.unwrap().expect("an attempt");
+    let waited = sent.elapsed().as_millis();
+    let message: Value = serde_json::from_str(&line).unwrap();
+    record_received(&message);
+    let budget = u128::from(message["meta"]["budget"].as_u64().expect("a budget"));
+    write.write_all(reply_line(&message, "OK", "").as_bytes()).await.unwrap();
+    client.expect_reply(&["1", "good", "", ""]).await;
+    assert!(waited > 2 * TOLERANCE_MS, "the dial took only {waited} ms");
     assert!(
-        budget <= TIMEOUT_MS - waited + SLACK_MS,
-        "{budget} ms are told, after {waited} ms of {TIMEOUT_MS}"
+        budget <= TIMEOUT_MS - waited + TOLERANCE_MS,
+        "budget of {budget} ms after {waited} ms of {TIMEOUT_MS} ms"
     );
-    of.settled().await;
+    scheduler.finish().await;
 }
--- a/crates/curlewpoint-node/tests/descriptors.rs
+++ b/crates/curlewpoint-node/tests/descriptors.rs
@@ -1,6 +1,6 @@
-//! A process whose table of descriptors is full, at each place that opens one. The table is this test's own, so one test
-//! runs at a time; what stands for peers is opened before the table is filled, as the scheduler, on the same thread, does
-//! not look meanwhile.
+//! Exhausted file descriptors at each place that opens one. The limit applies to the whole test process, so one test runs at
+//! a time. The sockets of scripted peers are opened before the descriptors are exhausted; the scheduler, on the same
+//! thread, does not run in between.
 
 mod test_servers;
 
@@ -13,214 +13,221 @@
 use test_servers::*;
 use tokio::io::AsyncWriteExt;
 
-/// Runs a test while no other of them has anything open.
-fn on_its_own(story: impl Future<Output = ()>) {
-    static ALONE: Mutex<()> = Mutex::new(());
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(story);
+/// Runs a test exclusively.
+fn run_exclusively(test: impl Future<Output = ()>) {
+    static EXCLUSIVE: Mutex<()> = Mutex::new(());
+    let _guard = EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner);
+    tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap().block_on(test);
 }
 
-/// The table, full while this is held but for what was let go.
-struct Full {
+/// Holds all descriptors of the process except for those released.
+struct ExhaustedDescriptors {
     files: Vec<File>,
-    before: Rlimit,
+    original_limit: Rlimit,
 }
 
-impl Full {
-    /// From here on there is room for so many.
-    fn but_for(free: usize) -> Full {
-        let before = getrlimit(Resource::Nofile);
-        setrlimit(Resource::Nofile, Rlimit { current: Some(400), ..before }).unwrap();
+impl ExhaustedDescriptors {
+    /// Takes all descriptors but this many.
+    fn except(free: usize) -> ExhaustedDescriptors {
+        let original_limit = getrlimit(Resource::Nofile);
+        setrlimit(Resource::Nofile, Rlimit { current: Some(400), ..original_limit }).unwrap();
         let mut files: Vec<File> = std::iter::from_fn(|| File::open("/dev/null").ok()).collect();
-        assert!(files.len() > free, "more is open than this test bounds");
+        assert!(files.len() > free, "too many descriptors are open");
         files.truncate(files.len() - free);
-        Full { files, before }
+        ExhaustedDescriptors { files, original_limit }
     }
 
-    fn frees(&mut self, many: usize) {
-        self.files.truncate(self.files.len() - many);
+    fn release(&mut self, n: usize) {
+        self.files.truncate(self.files.len() - n);
     }
 }
 
-impl Drop for Full {
+impl Drop for ExhaustedDescriptors {
     fn drop(&mut self) {
-        setrlimit(Resource::Nofile, self.before).unwrap();
+        setrlimit(Resource::Nofile, self.original_limit).unwrap();
     }
 }
 
-/// A client that is owed an answer until the worker gives it: nobody may close its connection.
-async fn owed(of: &Scheduler, heard: &mut tokio::sync::mpsc::UnboundedReceiver<Heard>) -> (Client, Heard) {
-    let mut client = Client::new(of).await;
-    client.call("1", "read", IDS[0]).await;
-    let asked = soon(heard.recv()).await.unwrap();
-    (client, asked)
+/// A client with an open RPC, which must not be evicted until the worker answers it.
+async fn client_with_open_rpc(
+    scheduler: &Scheduler, worker_rx: &mut tokio::sync::mpsc::UnboundedReceiver<ReceivedMessage>,
+) -> (Client, ReceivedMessage) {
+    let mut client = Client::connect(scheduler).await;
+    client.send_call("1", "read", IDS[0]).await;
+    let request = with_timeout(worker_rx.recv()).await.unwrap();
+    (client, request)
 }
 
-/// Accepting fails: the client that has been idle longest makes room, and one that is owed an answer keeps its place.
+/// A failed accept evicts the client that has been idle longest, and none with an open RPC.
 #[test]
-fn an_accept_without_a_descriptor_makes_room() {
-    on_its_own(async {
-        let (at, mut heard) = worker().await;
-        let of = scheduler(&[&at], NOWHERE).await;
-        let (mut owed, (asked, say)) = owed(&of, &mut heard).await;
-        let mut idle = Client::new(&of).await;
-        idle.looks(&mut 0, "fit").await;
-        let mut comes = Client::at_once(of.address, &call(1, IDS[1]));
-        let full = Full::but_for(0);
-        idle.is_closed().await;
-        let (second, say_second) = soon(heard.recv()).await.unwrap();
-        say_second.send(answer(&second, "OK", "")).unwrap();
-        comes.hears(&["1", "good", "", ""]).await;
-        say.send(answer(&asked, "OK", "")).unwrap();
-        owed.hears(&["1", "good", "", ""]).await;
-        drop(full);
-        of.settled().await;
+fn accept_without_a_descriptor_evicts_the_longest_idle_client() {
+    run_exclusively(async {
+        let (address, mut worker_rx) = scripted_worker().await;
+        let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+        let (mut waiting, (request, reply_tx)) = client_with_open_rpc(&scheduler, &mut worker_rx).await;
+        let mut idle = Client::connect(&scheduler).await;
+        idle.expect_check(&mut 0, "fit").await;
+        let mut new = Client::connect_and_send(scheduler.address, &encode_call(1, IDS[1]));
+        let exhausted = ExhaustedDescriptors::except(0);
+        idle.expect_closed().await;
+        let (second, second_reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+        second_reply_tx.send(reply_line(&second, "OK", "")).unwrap();
+        new.expect_reply(&["1", "good", "", ""]).await;
+        reply_tx.send(reply_line(&request, "OK", "")).unwrap();
+        waiting.expect_reply(&["1", "good", "", ""]).await;
+        drop(exhausted);
+        scheduler.finish().await;
     });
 }
 
-/// Accepting fails and nobody is idle: nobody is put out, who is connected is served on, and who comes is let in once there
-/// is a descriptor again.
+/// If accepting fails and no client is idle, none is evicted; connected clients are still served, and the new client is
+/// admitted once a descriptor is free.
 #[test]
-fn an_accept_without_a_descriptor_and_nobody_idle() {
-    on_its_own(async {
-        let (at, mut heard) = worker().await;
-        let of = scheduler(&[&at], NOWHERE).await;
-        let (mut owed, (asked, say)) = owed(&of, &mut heard).await;
-        let mut comes = Client::at_once(of.address, &call(1, IDS[1]));
-        let mut full = Full::but_for(0);
+fn accept_without_a_descriptor_waits_when_no_client_is_idle() {
+    run_exclusively(async {
+        let (address, mut worker_rx) = scripted_worker().await;
+        let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+        let (mut waiting, (request, reply_tx)) = client_with_open_rpc(&scheduler, &mut worker_rx).await;
+        let mut new = Client::connect_and_send(scheduler.address, &encode_call(1, IDS[1]));
+        let mut exhausted = ExhaustedDescriptors::except(0);
         let mut tag = 1;
         for _ in 0..3 {
-            owed.looks(&mut tag, "fit").await;
+            waiting.expect_check(&mut tag, "fit").await;
         }
-        assert!(heard.try_recv().is_err(), "there is no descriptor for it");
-        full.frees(1);
-        let (second, say_second) = soon(heard.recv()).await.unwrap();
-        say_second.send(answer(&second, "OK", "")).unwrap();
-        comes.hears(&["1", "good", "", ""]).await;
-        say.send(answer(&asked, "OK", "")).unwrap();
-        owed.hears(&["1", "good", "", ""]).await;
-        drop(full);
-        of.settled().await;
+        assert!(worker_rx.try_recv().is_err(), "it reached the worker without a descriptor");
+        exhausted.release(1);
+        let (second, second_reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+        second_reply_tx.send(reply_line(&second, "OK", "")).unwrap();
+        new.expect_reply(&["1", "good", "", ""]).await;
+        reply_tx.send(reply_line(&request, "OK", "")).unwrap();
+        waiting.expect_reply(&["1", "good", "", ""]).await;
+        drop(exhausted);
+        scheduler.finish().await;
     });
 }
 
-/// The table is full between two pieces of requests, cut at many places, and others come: who has sent a part stays, and is
-/// served once the rest is there; who came is let in as one of those that are then idle makes room.
+/// Descriptors run out between two parts of requests, split at many places, and another client connects: clients with an
+/// incomplete request stay and are served once it is complete; the new client is admitted when one of them is idle again.
 #[test]
-fn a_full_table_between_two_pieces() {
-    on_its_own(async {
-        let (at, mut heard) = worker().await;
-        let of = scheduler(&[&at], NOWHERE).await;
-        let (mut owed, (asked, say)) = owed(&of, &mut heard).await;
+fn descriptors_exhausted_between_two_parts_of_a_request() {
+    run_exclusively(async {
+        let (address, mut worker_rx) = scripted_worker().await;
+        let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+        let (mut waiting, (request, reply_tx)) = client_with_open_rpc(&scheduler, &mut worker_rx).await;
         let (mut clients, mut tag) = (Vec::new(), 1);
-        for cut in (1..call(1, IDS[1]).len()).step_by(3) {
-            let (mut client, bytes) = (Client::new(&of).await, call(1, &format!("{cut:016x}")));
-            client.0.write_all(&bytes[..cut]).await.unwrap();
-            clients.push((client, bytes[cut..].to_vec()));
+        for split in (1..encode_call(1, IDS[1]).len()).step_by(3) {
+            let (mut client, bytes) =
+                (Client::connect(&scheduler).await, encode_call(1, &format!("{split:016x}")));
+            client.0.write_all(&bytes[..split]).await.unwrap();
+            clients.push((client, bytes[split..].to_vec()));
         }
-        owed.looks(&mut tag, "fit").await;
-        let mut comes = Client::at_once(of.address, &call(1, IDS[1]));
-        let full = Full::but_for(0);
+        waiting.expect_check(&mut tag, "fit").await;
+        let mut new = Client::connect_and_send(scheduler.address, &encode_call(1, IDS[1]));
+        let exhausted = ExhaustedDescriptors::except(0);
         for _ in 0..3 {
-            owed.looks(&mut tag, "fit").await;
+            waiting.expect_check(&mut tag, "fit").await;
         }
-        assert!(heard.try_recv().is_err(), "neither a part of a request nor what found no descriptor");
+        assert!(
+            worker_rx.try_recv().is_err(),
+            "an incomplete request or a client without a descriptor reached the worker"
+        );
         for (client, rest) in &mut clients {
             client.0.write_all(rest).await.unwrap();
             loop {
-                let (asked, say) = soon(heard.recv()).await.unwrap();
-                say.send(answer(&asked, "OK", "")).unwrap();
-                if asked["req"] != IDS[1] {
+                let (request, reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+                reply_tx.send(reply_line(&request, "OK", "")).unwrap();
+                if request["req"] != IDS[1] {
                     break;
                 }
             }
-            client.hears(&["1", "good", "", ""]).await;
+            client.expect_reply(&["1", "good", "", ""]).await;
         }
-        say.send(answer(&asked, "OK", "")).unwrap();
-        owed.hears(&["1", "good", "", ""]).await;
-        // It may have been let in and answered above.
+        reply_tx.send(reply_line(&request, "OK", "")).unwrap();
+        waiting.expect_reply(&["1", "good", "", ""]).await;
+        // It may have been admitted and answered above.
         tokio::select! {
-            () = comes.hears(&["1", "good", "", ""]) => {}
+            () = new.expect_reply(&["1", "good", "", ""]) => {}
             () = async {
-                let (asked, say) = heard.recv().await.unwrap();
-                say.send(answer(&asked, "OK", "")).unwrap();
+                let (request, reply_tx) = worker_rx.recv().await.unwrap();
+                reply_tx.send(reply_line(&request, "OK", "")).unwrap();
                 std::future::pending().await
             } => {}
         }
-        drop(full);
-        of.settled().await;
+        drop(exhausted);
+        scheduler.finish().await;
     });
 }
 
-/// The directory moves and there is no descriptor for a socket to ask it at its new place: the one of the old makes room.
+/// If the discovery address changes and no descriptor is free, the sockets of the old addresses are closed.
 #[test]
-fn a_directory_that_moves_without_a_descriptor() {
-    on_its_own(async {
-        let (mut old, mut new) = (Directory::new().await, Directory::new().await);
-        let of = scheduler(&[], &old.at().to_string()).await;
-        old.is_asked().await;
-        let full = Full::but_for(0);
-        of.resolver.send(new.at()).unwrap();
-        new.is_asked().await;
-        new.is_asked().await;
-        drop(full);
-        of.settled().await;
+fn a_change_of_the_discovery_address_without_a_descriptor() {
+    run_exclusively(async {
+        let (mut old, mut new) = (ScriptedDiscovery::new().await, ScriptedDiscovery::new().await);
+        let scheduler = start_scheduler(&[], &old.address().to_string()).await;
+        old.expect_query().await;
+        let exhausted = ExhaustedDescriptors::except(0);
+        scheduler.resolver.send(new.address()).unwrap();
+        new.expect_query().await;
+        new.expect_query().await;
+        drop(exhausted);
+        scheduler.finish().await;
     });
 }
 
-/// At the start there is a descriptor for the listener alone: it serves, and asks the directory once there is another.
+/// If only one descriptor is free at the start it is used for the listener; discovery is queried once another is free.
 #[test]
-fn a_start_with_a_descriptor_for_the_listener_alone() {
-    on_its_own(async {
-        let ((at, _heard), mut directory) = (worker().await, Directory::new().await);
-        let mut full = Full::but_for(1);
-        let of = scheduler(&[&at], &directory.at().to_string()).await;
-        // The table is full: the first tries at a socket have failed by the time that a client, let in later, is answered.
+fn a_start_with_a_descriptor_for_the_listener_only() {
+    run_exclusively(async {
+        let ((address, _worker_rx), mut discovery) =
+            (scripted_worker().await, ScriptedDiscovery::new().await);
+        let mut exhausted = ExhaustedDescriptors::except(1);
+        let scheduler = start_scheduler(&[&address], &discovery.address().to_string()).await;
+        // The first attempts to open a discovery socket have failed by the time that the client below is answered.
         tokio::task::yield_now().await;
-        full.frees(2);
-        let mut client = Client::new(&of).await;
-        client.looks(&mut 0, "fit").await;
-        full.frees(1);
-        directory.is_asked().await;
-        drop(full);
-        of.settled().await;
+        exhausted.release(2);
+        let mut client = Client::connect(&scheduler).await;
+        client.expect_check(&mut 0, "fit").await;
+        exhausted.release(1);
+        discovery.expect_query().await;
+        drop(exhausted);
+        scheduler.finish().await;
     });
 }
 
-/// There is none for the listener: nothing starts, and it says why.
+/// Without a descriptor for the listener the start fails with an error that names the cause.
 #[test]
 fn a_start_without_a_descriptor() {
-    on_its_own(async {
-        let told = told(&[], NOWHERE, |_| ());
-        let full = Full::but_for(0);
-        let why = start(told).await.err().expect("nothing starts").to_string();
-        drop(full);
-        assert!(why.contains("cannot listen") && why.contains("Too many open files"), "{why}");
+    run_exclusively(async {
+        let config = startup_config(&[], NO_DISCOVERY, |_| ());
+        let exhausted = ExhaustedDescriptors::except(0);
+        let error = start(config).await.err().expect("the start fails").to_string();
+        drop(exhausted);
+        assert!(error.contains("cannot listen") && error.contains("Too many open files"), "{error}");
     });
 }
 
-/// There is none to dial a worker with: that says nothing against the worker, and the request is served once there is one.
+/// A dial that fails for lack of a descriptor is not counted against the worker; the request is served once one is free.
 #[test]
 fn a_dial_without_a_descriptor() {
-    on_its_own(async {
-        let (at, mut heard) = worker().await;
-        let of = scheduler(&[&at], NOWHERE).await;
-        let (mut client, mut other) = (Client::new(&of).await, Client::new(&of).await);
+    run_exclusively(async {
+        let (address, mut worker_rx) = scripted_worker().await;
+        let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+        let (mut client, mut other) = (Client::connect(&scheduler).await, Client::connect(&scheduler).await);
         let mut tag = 0;
-        other.looks(&mut tag, "fit").await;
-        client.looks(&mut 0, "fit").await;
-        let mut full = Full::but_for(0);
-        client.call("2", "issue", IDS[0]).await;
+        other.expect_check(&mut tag, "fit").await;
+        client.expect_check(&mut 0, "fit").await;
+        let mut exhausted = ExhaustedDescriptors::except(0);
+        client.send_call("2", "issue", IDS[0]).await;
         for _ in 0..3 {
-            other.looks(&mut tag, "fit").await;
+            other.expect_check(&mut tag, "fit").await;
         }
-        assert!(heard.try_recv().is_err());
-        // One for each end.
-        full.frees(2);
-        let (asked, say) = soon(heard.recv()).await.unwrap();
-        say.send(answer(&asked, "OK", "")).unwrap();
-        client.hears(&["2", "good", "", ""]).await;
-        drop(full);
-        of.settled().await;
+        assert!(worker_rx.try_recv().is_err());
+        // One for each end of the connection.
+        exhausted.release(2);
+        let (request, reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+        reply_tx.send(reply_line(&request, "OK", "")).unwrap();
+        client.expect_reply(&["2", "good", "", ""]).await;
+        drop(exhausted);
+        scheduler.finish().await;
     });
 }
--- a/crates/curlewpoint-node/tests/sockets.rs
+++ b/crates/curlewpoint-node/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! A scheduler on real sockets, with stand-ins for its clients, its workers and the directory. Each story causes what
-//! it is about, and waits for what must follow.
+//! Basic behavior of a scheduler on real sockets, with scripted clients, workers and discovery servers. Each test triggers
+//! an event and waits for its effects.
 
 mod test_servers;
 
@@ -13,134 +13,139 @@
 use tokio::time::timeout;
 
 #[tokio::test]
-async fn an_rpc_goes_out_as_it_came_and_its_answer_comes_back_unchanged() {
-    let (at, mut heard) = worker().await;
-    let of = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&of).await;
-    client.say(&["CHECK", "1", ""]).await;
-    client.hears(&["1", "fit", "", ""]).await;
-    client.call("2", "read", IDS[0]).await;
-    let (asked, say) = soon(heard.recv()).await.unwrap();
-    assert_eq!((&asked["req"], &asked["data"]), (&json!(IDS[0]), &json!("Ym9keQ==")));
+async fn an_rpc_and_its_answer_are_passed_on_unchanged() {
+    let (address, mut worker_rx) = scripted_worker().await;
+    let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&scheduler).await;
+    client.send(&["CHECK", "1", ""]).await;
+    client.expect_reply(&["1", "fit", "", ""]).await;
+    client.send_call("2", "read", IDS[0]).await;
+    let (request, reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+    assert_eq!((&request["req"], &request["data"]), (&json!(IDS[0]), &json!("Ym9keQ==")));
     assert_eq!(
-        (&asked["meta"]["queue"], &asked["meta"]["path"]),
+        (&request["meta"]["queue"], &request["meta"]["path"]),
         (&json!("read"), &json!("00000000000000aa"))
     );
-    // A copy of somebody else's answer comes ahead, and its own twice.
-    say.send(answer(&json!({"req": IDS[2]}), "OK", "eA==")).unwrap();
-    say.send(answer(&asked, "OK", "ZG9uZQ==")).unwrap();
-    say.send(answer(&asked, "OK", "ZG9uZQ==")).unwrap();
-    client.hears(&["2", "good", "", "done"]).await;
-    client.say(&["CHECK", "3", ""]).await;
-    client.hears(&["3", "fit", "", ""]).await;
-    of.settled().await;
+    // A reply to another request comes first, and the right one twice.
+    reply_tx.send(reply_line(&json!({"req": IDS[2]}), "OK", "eA==")).unwrap();
+    reply_tx.send(reply_line(&request, "OK", "ZG9uZQ==")).unwrap();
+    reply_tx.send(reply_line(&request, "OK", "ZG9uZQ==")).unwrap();
+    client.expect_reply(&["2", "good", "", "done"]).await;
+    client.send(&["CHECK", "3", ""]).await;
+    client.expect_reply(&["3", "fit", "", ""]).await;
+    scheduler.finish().await;
 }
 
-/// Guards against an answer that cannot be read: what may have run is repeated only where that is harmless.
-#[test_case("read", "a%b\n", Some("good") ; "idempotent, noise")]
-#[test_case("read", "", Some("good") ; "idempotent, the connection ends")]
-#[test_case("read", "{\"type\":\"OK\",", Some("good") ; "idempotent, an answer that does not end")]
-#[test_case("issue", "a%b\n", None ; "side effecting, noise")]
-#[test_case("issue", "", None ; "side effecting, the connection ends")]
+/// Guards against repeating an attempt that may have run after a malformed answer: only idempotent RPCs are repeated.
+#[test_case("read", "a%b\n", Some("good") ; "idempotent, malformed line")]
+#[test_case("read", "", Some("good") ; "idempotent, connection closed")]
+#[test_case("read", "{\"type\":\"OK\",", Some("good") ; "idempotent, incomplete line")]
+#[test_case("issue", "a%b\n", None ; "side effecting, malformed line")]
+#[test_case("issue", "", None ; "side effecting, connection closed")]
 #[tokio::test]
-async fn a_spoilt_answer(method: &str, spoilt: &str, good: Option<&str>) {
-    let (at, mut heard) = worker().await;
-    let of = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&of).await;
-    client.call("1", method, IDS[0]).await;
-    let (_, say) = soon(heard.recv()).await.unwrap();
-    say.send(spoilt.to_owned()).unwrap();
-    drop(say);
-    match good {
-        Some(word) => {
-            let (again, say) = soon(heard.recv()).await.unwrap();
-            say.send(answer(&again, "OK", "ZG9uZQ==")).unwrap();
-            client.hears(&["1", word, "", "done"]).await;
+async fn after_a_malformed_answer_only_idempotent_rpcs_are_repeated(
+    method: &str, malformed: &str, want: Option<&str>,
+) {
+    let (address, mut worker_rx) = scripted_worker().await;
+    let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&scheduler).await;
+    client.send_call("1", method, IDS[0]).await;
+    let (_, reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+    reply_tx.send(malformed.to_owned()).unwrap();
+    drop(reply_tx);
+    match want {
+        Some(status) => {
+            let (retry, reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+            reply_tx.send(reply_line(&retry, "OK", "ZG9uZQ==")).unwrap();
+            client.expect_reply(&["1", status, "", "done"]).await;
         }
         None => {
-            client.hears(&["1", "broken", "", ""]).await;
-            assert!(heard.try_recv().is_err(), "it went out again");
+            client.expect_reply(&["1", "broken", "", ""]).await;
+            assert!(worker_rx.try_recv().is_err(), "it was repeated");
         }
     }
-    of.settled().await;
+    scheduler.finish().await;
 }
 
 #[test_case(b"*2\r\n$4\r\nCALL\r\n$-1\r\n" ; "a negative length")]
 #[test_case(b"*5\r\n$4\r\nCALL\r\n$1\r\n1\r\n$4\r\nread\r\n$1\r\na\r\n$60000000\r\nxxxx" ; "sixty million bytes")]
-#[test_case(b"*2\r\n$4\r\nWHAT\r\n$1\r\n1\r\n" ; "no command")]
-#[test_case(b"*2\r\n$4\r\nCALL\r\n$1\r\n0\r\n" ; "no tag")]
-#[test_case(b"*2\r\n$4\r\nCA" ; "half a command, then nothing")]
-#[test_case(b"" ; "nothing at all")]
+#[test_case(b"*2\r\n$4\r\nWHAT\r\n$1\r\n1\r\n" ; "unknown command")]
+#[test_case(b"*2\r\n$4\r\nCALL\r\n$1\r\n0\r\n" ; "tag zero")]
+#[test_case(b"*2\r\n$4\r\nCA" ; "incomplete command")]
+#[test_case(b"" ; "no bytes")]
 #[tokio::test]
-async fn a_client_that_cannot_be_read_is_closed_and_harms_no_other(bytes: &[u8]) {
-    let (at, mut heard) = worker().await;
-    let of = scheduler(&[&at], NOWHERE).await;
-    let (mut good, mut bad) = (Client::new(&of).await, Client::new(&of).await);
-    good.call("1", "read", IDS[0]).await;
+async fn a_malformed_command_closes_its_connection_and_no_other(bytes: &[u8]) {
+    let (address, mut worker_rx) = scripted_worker().await;
+    let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let (mut good, mut bad) = (Client::connect(&scheduler).await, Client::connect(&scheduler).await);
+    good.send_call("1", "read", IDS[0]).await;
     bad.0.write_all(bytes).await.unwrap();
-    bad.is_closed().await;
-    let (asked, say) = soon(heard.recv()).await.unwrap();
-    say.send(answer(&asked, "OK", "ZG9uZQ==")).unwrap();
-    good.hears(&["1", "good", "", "done"]).await;
-    of.settled().await;
+    bad.expect_closed().await;
+    let (request, reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+    reply_tx.send(reply_line(&request, "OK", "ZG9uZQ==")).unwrap();
+    good.expect_reply(&["1", "good", "", "done"]).await;
+    scheduler.finish().await;
 }
 
-#[test_case("req=9b1f03aa5c7e2d42,timeout=soon,subject=00000000000000aa", "read" ; "a time that is none")]
+#[test_case("req=9b1f03aa5c7e2d42,timeout=soon,subject=00000000000000aa", "read" ; "invalid timeout")]
 #[test_case("timeout=500,subject=00000000000000aa", "read" ; "no id")]
-#[test_case("req=9b1f03aa5c7e2d41,timeout=500,subject=00000000000000aa", "read" ; "the id of an open one")]
-#[test_case("req=9b1f03aa5c7e2d42,timeout=500,subject=00000000000000aa,info=lanes:-2", "read" ; "lanes below nought")]
-#[test_case("req=9b1f03aa5c7e2d42,timeout=500,subject=00000000000000aa", "write" ; "no such method")]
+#[test_case("req=9b1f03aa5c7e2d41,timeout=500,subject=00000000000000aa", "read" ; "id of an open RPC")]
+#[test_case("req=9b1f03aa5c7e2d42,timeout=500,subject=00000000000000aa,info=lanes:-2", "read" ; "negative lanes")]
+#[test_case("req=9b1f03aa5c7e2d42,timeout=500,subject=00000000000000aa", "write" ; "unknown method")]
 #[tokio::test]
-async fn what_cannot_be_used_is_turned_down_and_never_reaches_a_worker(fields: &str, method: &str) {
-    let (at, mut heard) = worker().await;
-    let of = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&of).await;
-    client.call("1", "read", IDS[0]).await;
-    let (asked, say) = soon(heard.recv()).await.unwrap();
-    client.say(&["CALL", "2", method, fields, "x"]).await;
-    client.hears(&["2", "broken", "", ""]).await;
-    say.send(answer(&asked, "OK", "ZG9uZQ==")).unwrap();
-    client.hears(&["1", "good", "", "done"]).await;
-    assert!(heard.try_recv().is_err());
-    of.settled().await;
+async fn invalid_calls_are_rejected_and_never_reach_a_worker(fields: &str, method: &str) {
+    let (address, mut worker_rx) = scripted_worker().await;
+    let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&scheduler).await;
+    client.send_call("1", "read", IDS[0]).await;
+    let (request, reply_tx) = with_timeout(worker_rx.recv()).await.unwrap();
+    client.send(&["CALL", "2", method, fields, "x"]).await;
+    client.expect_reply(&["2", "broken", "", ""]).await;
+    reply_tx.send(reply_line(&request, "OK", "ZG9uZQ==")).unwrap();
+    client.expect_reply(&["1", "good", "", "done"]).await;
+    assert!(worker_rx.try_recv().is_err());
+    scheduler.finish().await;
 }
 
 #[tokio::test]
-async fn a_second_use_of_a_tag_ends_the_connection_and_what_is_open_on_it() {
-    let (at, mut heard) = worker().await;
-    let of = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&of).await;
-    client.call("1", "read", IDS[0]).await;
-    soon(heard.recv()).await.unwrap();
-    client.call("1", "read", IDS[1]).await;
-    client.hears(&["1", "broken", "", ""]).await;
-    client.is_closed().await;
-    of.settled().await;
+async fn reusing_a_tag_closes_the_connection_and_ends_its_open_rpcs() {
+    let (address, mut worker_rx) = scripted_worker().await;
+    let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&scheduler).await;
+    client.send_call("1", "read", IDS[0]).await;
+    with_timeout(worker_rx.recv()).await.unwrap();
+    client.send_call("1", "read", IDS[1]).await;
+    client.expect_reply(&["1", "broken", "", ""]).await;
+    client.expect_closed().await;
+    scheduler.finish().await;
 }
 
-/// Guards against a connection that ends because its client counts from another number than one, as one that counts on over
-/// all its connections; tags that are scattered are bounded.
+/// Guards against closing a connection because its client does not start its tags at 1, such as a client that numbers them
+/// across its connections. Only tags that are not consecutive are bounded.
 #[tokio::test]
-async fn tags_may_be_counted_from_anywhere() {
-    let (at, _) = gives_back().await;
-    let of = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&of).await;
-    for no in 1..=600 {
-        let tag = 70_000 + no;
-        client.0.write_all(&call(tag, &format!("{no:016x}"))).await.unwrap();
-        client.hears(&[&tag.to_string(), "good", "", "body"]).await;
+async fn tags_may_start_at_any_number() {
+    let (address, _) = echo_worker().await;
+    let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&scheduler).await;
+    for n in 1..=600 {
+        let tag = 70_000 + n;
+        client.0.write_all(&encode_call(tag, &format!("{n:016x}"))).await.unwrap();
+        client.expect_reply(&[&tag.to_string(), "good", "", "body"]).await;
     }
-    of.settled().await;
+    scheduler.finish().await;
 }
 
-/// Calls one after the other until one comes to a worker at which all that come are counted as heard.
-async fn calls_until_heard(client: &mut Client, heard: &mut mpsc::UnboundedReceiver<Heard>, tag: &mut u64) {
-    soon(async {
+/// Sends calls one after another until one reaches this worker.
+async fn send_calls_until_received(
+    client: &mut Client, worker_rx: &mut mpsc::UnboundedReceiver<ReceivedMessage>, tag: &mut u64,
+) {
+    with_timeout(async {
         loop {
             *tag += 1;
-            client.call(&tag.to_string(), "read", &format!("{:016x}", *tag)).await;
-            if let Ok(Some((asked, say))) = timeout(Duration::from_millis(100), heard.recv()).await {
-                say.send(answer(&asked, "OK", "")).unwrap();
+            client.send_call(&tag.to_string(), "read", &format!("{:016x}", *tag)).await;
+            if let Ok(Some((request, reply_tx))) = timeout(Duration::from_millis(100), worker_rx.recv()).await
+            {
+                reply_tx.send(reply_line(&request, "OK", "")).unwrap();
                 return;
             }
         }
@@ -148,40 +153,40 @@
     .await;
 }
 
-/// Guards against a list that is never heard of after the start, or after the directory has moved.
+/// Guards against endpoint lists that are ignored after the start, or after the discovery address has changed.
 #[tokio::test]
-async fn the_directory_moves_workers_and_is_itself_moved() {
-    let ((first, mut at_first), (second, mut at_second)) = (worker().await, worker().await);
-    let drained = directory(2, vec![("s-0", first.clone(), 1), ("s-1", second.clone(), 0)]).await;
-    let of = scheduler(&[&first], &drained).await;
-    let (mut client, mut tag) = (Client::new(&of).await, 0);
-    calls_until_heard(&mut client, &mut at_second, &mut tag).await;
-    while at_first.try_recv().is_ok() {}
-    let back = directory(3, vec![("s-0", first, 0)]).await;
-    of.resolver.send(back.parse().unwrap()).unwrap();
-    calls_until_heard(&mut client, &mut at_first, &mut tag).await;
-    of.settled().await;
+async fn endpoint_lists_take_effect_also_after_the_discovery_address_changes() {
+    let ((first, mut first_rx), (second, mut second_rx)) = (scripted_worker().await, scripted_worker().await);
+    let discovery = discovery_server(2, vec![("s-0", first.clone(), 1), ("s-1", second.clone(), 0)]).await;
+    let scheduler = start_scheduler(&[&first], &discovery).await;
+    let (mut client, mut tag) = (Client::connect(&scheduler).await, 0);
+    send_calls_until_received(&mut client, &mut second_rx, &mut tag).await;
+    while first_rx.try_recv().is_ok() {}
+    let restored = discovery_server(3, vec![("s-0", first, 0)]).await;
+    scheduler.resolver.send(restored.parse().unwrap()).unwrap();
+    send_calls_until_received(&mut client, &mut first_rx, &mut tag).await;
+    scheduler.finish().await;
 }
 
 #[tokio::test]
-async fn a_stop_answers_what_is_open_and_what_still_comes() {
-    let (at, mut heard) = worker().await;
-    let mut of = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&of).await;
-    client.call("1", "read", IDS[0]).await;
-    let first = soon(heard.recv()).await.unwrap();
-    of.control.stop().await;
-    client.say(&["CHECK", "2", ""]).await;
-    client.hears(&["2", "unfit", "", ""]).await;
-    let mut late = Client::new(&of).await;
-    late.call("1", "read", IDS[1]).await;
-    let second = soon(heard.recv()).await.unwrap();
-    for (asked, say) in [first, second] {
-        say.send(answer(&asked, "OK", "ZG9uZQ==")).unwrap();
+async fn after_a_stop_open_and_new_calls_are_answered() {
+    let (address, mut worker_rx) = scripted_worker().await;
+    let mut scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&scheduler).await;
+    client.send_call("1", "read", IDS[0]).await;
+    let first = with_timeout(worker_rx.recv()).await.unwrap();
+    scheduler.control.stop().await;
+    client.send(&["CHECK", "2", ""]).await;
+    client.expect_reply(&["2", "unfit", "", ""]).await;
+    let mut late = Client::connect(&scheduler).await;
+    late.send_call("1", "read", IDS[1]).await;
+    let second = with_timeout(worker_rx.recv()).await.unwrap();
+    for (request, reply_tx) in [first, second] {
+        reply_tx.send(reply_line(&request, "OK", "ZG9uZQ==")).unwrap();
     }
-    client.hears(&["1", "good", "", "done"]).await;
-    late.hears(&["1", "good", "", "done"]).await;
-    let figures = soon(&mut of.stopped).await.unwrap();
-    assert_eq!((figures.taken, figures.ok, figures.cut_off), (2, 2, 0));
-    of.settled().await;
+    client.expect_reply(&["1", "good", "", "done"]).await;
+    late.expect_reply(&["1", "good", "", "done"]).await;
+    let counters = with_timeout(&mut scheduler.stopped).await.unwrap();
+    assert_eq!((counters.taken, counters.ok, counters.cut_off), (2, 2, 0));
+    scheduler.finish().await;
 }
--- a/crates/curlewpoint-node/tests/stop.rs
+++ b/crates/curlewpoint-node/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Clients that go on using their connections after a stop, until the platform kills.
+//! Clients that keep using their connections after a stop, until the platform kills the process.
 
 mod test_servers;
 
@@ -11,58 +11,64 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::FramedRead;
 
-/// The platform's earliest kill after a stop, the longest deadline of the stand's methods being over three seconds.
-const KILL: Duration = Duration::from_millis(3_700);
-/// Between two calls.
-const PAUSE: Duration = Duration::from_millis(20);
-/// A call written so shortly before the kill has no time for an answer.
-const LAST: Duration = Duration::from_millis(50);
+/// The earliest kill after a stop, as the longest client timeout in the test settings exceeds three seconds.
+const KILL_DELAY: Duration = Duration::from_millis(3_700);
+/// Pause between two calls.
+const CALL_INTERVAL: Duration = Duration::from_millis(20);
+/// A call sent within this time before the kill may remain unanswered.
+const LAST_CALL_MARGIN: Duration = Duration::from_millis(50);
 
-/// Guards against requests that are read and then closed without an answer: a client that has had an answer goes on until the
-/// kill, and nothing of it is lost.
+/// Guards against closing connections of active clients after a stop: a client that sends one call after another gets every
+/// reply until the kill.
 #[tokio::test]
-async fn a_stop_answers_all_that_comes_until_the_kill() {
-    let (at, _) = gives_back().await;
-    let of = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&of).await;
-    let mut rows = FramedRead::new(&mut client.0, CommandDecoder { max_words: 8, max_word_len: 16 * 1024 });
-    of.control.stop().await;
+async fn after_a_stop_all_calls_are_answered_until_the_kill() {
+    let (address, _) = echo_worker().await;
+    let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&scheduler).await;
+    let mut replies =
+        FramedRead::new(&mut client.0, CommandDecoder { max_words: 8, max_word_len: 16 * 1024 });
+    scheduler.control.stop().await;
     let stopped = Instant::now();
-    let mut no = 0;
-    while stopped.elapsed() + LAST < KILL {
-        no += 1;
-        rows.get_mut().write_all(&call(no, &format!("{no:016x}"))).await.expect("the connection is open");
-        let row = soon(rows.next()).await;
+    let mut tag = 0;
+    while stopped.elapsed() + LAST_CALL_MARGIN < KILL_DELAY {
+        tag += 1;
+        replies
+            .get_mut()
+            .write_all(&encode_call(tag, &format!("{tag:016x}")))
+            .await
+            .expect("the connection is open");
+        let reply = with_timeout(replies.next()).await;
         let words =
-            row.unwrap_or_else(|| panic!("call {no}, {:?} after the stop, has no answer", stopped.elapsed()));
-        assert_eq!(words.unwrap()[0], no.to_string().as_bytes());
-        let ended = timeout(PAUSE, rows.next()).await;
+            reply.unwrap_or_else(|| panic!("no reply to call {tag}, {:?} after the stop", stopped.elapsed()));
+        assert_eq!(words.unwrap()[0], tag.to_string().as_bytes());
+        let ended = timeout(CALL_INTERVAL, replies.next()).await;
         assert!(ended.is_err(), "the connection ended {:?} after the stop", stopped.elapsed());
     }
-    drop(rows);
-    of.settled().await;
+    drop(replies);
+    scheduler.finish().await;
 }
 
-/// One that no client holds ends as soon as nothing can come any more, and one that is not killed ends by itself.
+/// After a stop a scheduler without clients exits early, and one with a connected client exits by itself if it is not
+/// killed.
 #[tokio::test]
-async fn a_stop_ends_without_clients_and_without_a_kill() {
-    let (at, _) = gives_back().await;
-    let mut of = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&of).await;
-    client.call("1", "read", IDS[0]).await;
-    client.hears(&["1", "good", "", "body"]).await;
+async fn a_stopped_scheduler_exits_without_a_kill() {
+    let (address, _) = echo_worker().await;
+    let mut scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&scheduler).await;
+    client.send_call("1", "read", IDS[0]).await;
+    client.expect_reply(&["1", "good", "", "body"]).await;
     drop(client);
-    of.control.stop().await;
+    scheduler.control.stop().await;
     let stopped = Instant::now();
-    soon(&mut of.stopped).await.unwrap();
-    assert!(stopped.elapsed() < KILL, "it waits for nobody: {:?}", stopped.elapsed());
-    of.settled().await;
-    let mut held = scheduler(&[&at], NOWHERE).await;
-    let mut client = Client::new(&held).await;
-    client.call("1", "read", IDS[1]).await;
-    client.hears(&["1", "good", "", "body"]).await;
-    held.control.stop().await;
-    soon(&mut held.stopped).await.unwrap();
-    client.is_closed().await;
-    held.settled().await;
+    with_timeout(&mut scheduler.stopped).await.unwrap();
+    assert!(stopped.elapsed() < KILL_DELAY, "it exited only after {:?}", stopped.elapsed());
+    scheduler.finish().await;
+    let mut with_client = start_scheduler(&[&address], NO_DISCOVERY).await;
+    let mut client = Client::connect(&with_client).await;
+    client.send_call("1", "read", IDS[1]).await;
+    client.expect_reply(&["1", "good", "", "body"]).await;
+    with_client.control.stop().await;
+    with_timeout(&mut with_client.stopped).await.unwrap();
+    client.expect_closed().await;
+    with_client.finish().await;
 }
--- a/crates/curlewpoint-node/tests/test_servers/mod.rs
+++ b/crates/curlewpoint-node/tests/test_servers/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for a scheduler's clients, its workers and the directory. All that clients write and read, and all that
-//! workers hear and say, goes into one record a test, which is judged when the test settles.
+//! Scripted clients, workers and discovery servers for a scheduler under test. All that clients send and receive, and all
+//! that workers receive and answer, goes into the transcript of the test, which is checked when the test finishes.
 #![allow(dead_code)]
 
 pub mod transcript;
@@ -30,77 +30,78 @@
 use tokio::time::timeout;
 use transcript::{ClientConn, ConnState};
 
-/// No step of a story takes longer; one that does has failed.
-pub const STEP: Duration = Duration::from_secs(10);
+/// A test step that takes longer than this fails.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
-pub async fn soon<T>(what: impl std::future::Future<Output = T>) -> T {
-    timeout(STEP, what).await.expect("it never came")
+pub async fn with_timeout<T>(step: impl std::future::Future<Output = T>) -> T {
+    timeout(STEP_TIMEOUT, step).await.expect("timed out")
 }
 
-/// What a test has on record, and the ends that its settling still needs: streams by connection, and workers that were
-/// asked something.
+/// State shared by the scripted peers of a test: the transcript, and what is needed to conclude the test.
 #[derive(Default)]
-struct Seen {
+struct TestState {
     transcript: transcript::Transcript,
+    /// Client streams, by their index in the transcript.
     streams: Vec<Weak<TcpStream>>,
-    asked: Vec<(Value, mpsc::WeakUnboundedSender<String>)>,
-    /// From here on workers answer all that they are asked.
-    settling: bool,
+    /// Attempts that scripted workers received, with the channel for the reply.
+    attempts: Vec<(Value, mpsc::WeakUnboundedSender<String>)>,
+    /// Scripted workers answer every attempt at once.
+    answering_all: bool,
     schedulers: usize,
 }
 
 thread_local! {
-    // A test, its scheduler and its stand-ins are on one thread.
-    static SEEN: RefCell<Seen> = RefCell::default();
+    // A test runs on one thread, with its scheduler and its scripted peers.
+    static STATE: RefCell<TestState> = RefCell::default();
 }
 
-fn seen<T>(look: impl FnOnce(&mut Seen) -> T) -> T {
-    SEEN.with_borrow_mut(look)
+fn state<T>(access: impl FnOnce(&mut TestState) -> T) -> T {
+    STATE.with_borrow_mut(access)
 }
 
-/// Puts on record what a worker of a test's own has heard.
-pub fn went_out(asked: &Value) {
-    seen(|s| s.transcript.worker_received(asked["req"].as_str().unwrap_or_default()));
+/// Records an attempt that a test's own worker has received.
+pub fn record_received(attempt: &Value) {
+    state(|s| s.transcript.worker_received(attempt["req"].as_str().unwrap_or_default()));
 }
 
-/// A client's connection, all of it on record.
-pub struct Wire {
+/// A client connection whose bytes are recorded in the transcript.
+pub struct RecordedStream {
     stream: Arc<TcpStream>,
-    no: usize,
+    index: usize,
 }
 
-impl Wire {
-    fn new(stream: TcpStream, sent: &[u8]) -> Wire {
-        // Else the machine holds a piece back until the one before it was acknowledged.
+impl RecordedStream {
+    fn new(stream: TcpStream, sent: &[u8]) -> RecordedStream {
+        // Otherwise the kernel delays a part until the one before it is acknowledged.
         stream.set_nodelay(true).unwrap();
         let stream = Arc::new(stream);
-        let no = seen(|s| {
+        let index = state(|s| {
             s.streams.push(Arc::downgrade(&stream));
             s.transcript.conns.push(ClientConn { sent: sent.to_vec(), ..ClientConn::default() });
             s.streams.len() - 1
         });
-        Wire { stream, no }
+        RecordedStream { stream, index }
     }
 
-    fn conn<T>(&self, look: impl FnOnce(&mut ClientConn) -> T) -> Option<T> {
-        seen(|s| s.transcript.conns.get_mut(self.no).map(look))
+    fn with_conn<T>(&self, access: impl FnOnce(&mut ClientConn) -> T) -> Option<T> {
+        state(|s| s.transcript.conns.get_mut(self.index).map(access))
     }
 
     pub fn try_write(&self, bytes: &[u8]) -> std::io::Result<usize> {
         let n = self.stream.try_write(bytes)?;
-        self.conn(|c| c.sent.extend_from_slice(&bytes[..n]));
+        self.with_conn(|c| c.sent.extend_from_slice(&bytes[..n]));
         Ok(n)
     }
 
-    /// Ends with a reset, unread or not.
+    /// Closes the connection with a reset, whether or not all was read.
     pub fn reset(self) {
         rustix::net::sockopt::set_socket_linger(&*self.stream, Some(Duration::ZERO)).unwrap();
     }
 }
 
-impl Drop for Wire {
+impl Drop for RecordedStream {
     fn drop(&mut self) {
-        self.conn(|c| {
+        self.with_conn(|c| {
             if c.state == ConnState::Open {
                 c.state = ConnState::ClosedByClient;
             }
@@ -108,16 +109,16 @@
     }
 }
 
-/// Puts on record what was read; nought bytes, or an error, is the end.
-fn reads(conn: &mut ClientConn, got: std::io::Result<&[u8]>) {
-    match got {
+/// Records the result of a read; zero bytes, or an error, is the end of the connection.
+fn record_read(conn: &mut ClientConn, result: std::io::Result<&[u8]>) {
+    match result {
         Ok(bytes) if !bytes.is_empty() => conn.received.extend_from_slice(bytes),
         _ if conn.state == ConnState::Open => conn.state = ConnState::ClosedByScheduler,
         _ => {}
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for RecordedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<std::io::Result<()>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
@@ -127,13 +128,13 @@
             match self.stream.try_read(buf.initialize_unfilled()) {
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
                 Err(e) => {
-                    self.conn(|c| reads(c, Ok(&[])));
+                    self.with_conn(|c| record_read(c, Ok(&[])));
                     return Poll::Ready(Err(e));
                 }
                 Ok(n) => {
                     let from = buf.filled().len();
                     buf.advance(n);
-                    self.conn(|c| reads(c, Ok(&buf.filled()[from..])));
+                    self.with_conn(|c| record_read(c, Ok(&buf.filled()[from..])));
                     return Poll::Ready(Ok(()));
                 }
             }
@@ -141,7 +142,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for RecordedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, buf: &[u8]) -> Poll<std::io::Result<usize>> {
         loop {
             ready!(self.stream.poll_write_ready(cx))?;
@@ -156,261 +157,282 @@
         Poll::Ready(Ok(()))
     }
 
-    /// A client that shuts its writing side counts as gone.
+    /// A client that shuts down its writing side counts as disconnected.
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context) -> Poll<std::io::Result<()>> {
-        self.conn(|c| c.state = ConnState::ClosedByClient);
+        self.with_conn(|c| c.state = ConnState::ClosedByClient);
         Poll::Ready(rustix::net::shutdown(&*self.stream, rustix::net::Shutdown::Write).map_err(Into::into))
     }
 }
 
 /// A scheduler on the thread of its test.
 pub struct Scheduler {
-    running: SchedulerHandle,
-    settled: bool,
+    handle: SchedulerHandle,
+    verified: bool,
 }
 
 impl Deref for Scheduler {
     type Target = SchedulerHandle;
 
     fn deref(&self) -> &SchedulerHandle {
-        &self.running
+        &self.handle
     }
 }
 
 impl DerefMut for Scheduler {
     fn deref_mut(&mut self) -> &mut SchedulerHandle {
-        &mut self.running
+        &mut self.handle
     }
 }
 
 impl Drop for Scheduler {
     fn drop(&mut self) {
-        seen(|s| {
+        state(|s| {
             s.schedulers -= 1;
             if s.schedulers == 0 {
-                *s = Seen::default();
+                *s = TestState::default();
             }
         });
-        assert!(self.settled || std::thread::panicking(), "a test on sockets that did not settle");
+        assert!(self.verified || std::thread::panicking(), "the test did not verify its transcript");
     }
 }
 
-/// Answers under these tags are to the last words of a test.
-const LAST: u64 = 1 << 40;
+/// First tag of the final checks of a test.
+const FINAL_CHECK_TAG: u64 = 1 << 40;
 
 impl Scheduler {
-    /// Ends a test: workers answer all that they were asked, what is owed to any client is read, and a last word on each
-    /// connection brings up what came behind an answer. Then the whole record has to keep the rule.
-    pub async fn settled(mut self) {
-        self.settles().await;
+    /// Concludes a test: workers answer every attempt, all expected replies are read, and a final check on each connection
+    /// brings up any reply sent after the expected ones. The transcript must then have no violations.
+    pub async fn finish(mut self) {
+        self.verify().await;
     }
 
-    pub async fn settles(&mut self) {
-        self.settled = true;
-        seen(|s| s.settling = true);
-        for (asked, say) in seen(|s| std::mem::take(&mut s.asked)) {
-            say.upgrade().into_iter().for_each(|say| drop(say.send(answer(&asked, "OK", ""))));
+    /// Like [`Scheduler::finish`], for tests that go on with the scheduler.
+    pub async fn verify(&mut self) {
+        self.verified = true;
+        state(|s| s.answering_all = true);
+        for (request, reply_tx) in state(|s| std::mem::take(&mut s.attempts)) {
+            reply_tx
+                .upgrade()
+                .into_iter()
+                .for_each(|reply_tx| drop(reply_tx.send(reply_line(&request, "OK", ""))));
         }
-        let streams: Vec<_> = seen(|s| s.streams.iter().map(Weak::upgrade).collect());
-        for (no, stream) in streams.into_iter().enumerate() {
+        let streams: Vec<_> = state(|s| s.streams.iter().map(Weak::upgrade).collect());
+        for (index, stream) in streams.into_iter().enumerate() {
             let Some(stream) = stream else { continue };
-            read_what_is_owed(no, &stream).await;
-            let last = encode_array(&[b"CHECK", (LAST + no as u64).to_string().as_bytes(), b""]);
-            let says = seen(|s| {
-                let conn = &mut s.transcript.conns[no];
-                let says =
+            read_expected_replies(index, &stream).await;
+            let check =
+                encode_array(&[b"CHECK", (FINAL_CHECK_TAG + index as u64).to_string().as_bytes(), b""]);
+            let is_sent = state(|s| {
+                let conn = &mut s.transcript.conns[index];
+                let may_send =
                     conn.state == ConnState::Open && conn.has_no_partial_request() && !conn.sent.is_empty();
-                if says && stream.try_write(&last).is_ok() {
-                    conn.sent.extend_from_slice(&last);
+                if may_send && stream.try_write(&check).is_ok() {
+                    conn.sent.extend_from_slice(&check);
                 }
-                says
+                may_send
             });
-            if says {
-                read_what_is_owed(no, &stream).await;
+            if is_sent {
+                read_expected_replies(index, &stream).await;
             }
         }
-        let faults = seen(|s| s.transcript.violations());
-        assert!(faults.is_empty(), "{faults:#?}");
+        let violations = state(|s| s.transcript.violations());
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
-/// Reads until the client is owed nothing, or its connection has ended; no longer than a step.
-async fn read_what_is_owed(no: usize, stream: &TcpStream) {
-    let mut some = [0; 4096];
-    let all = async {
-        while seen(|s| {
-            s.transcript.conns[no].state == ConnState::Open && s.transcript.conns[no].awaits_reply()
+/// Reads until all expected replies have come or the connection has ended; no longer than a step.
+async fn read_expected_replies(index: usize, stream: &TcpStream) {
+    let mut buffer = [0; 4096];
+    let read_all = async {
+        while state(|s| {
+            s.transcript.conns[index].state == ConnState::Open && s.transcript.conns[index].awaits_reply()
         }) {
             if stream.readable().await.is_err() {
                 return;
             }
-            match stream.try_read(&mut some) {
+            match stream.try_read(&mut buffer) {
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-                got => seen(|s| reads(&mut s.transcript.conns[no], got.map(|n| &some[..n]))),
+                result => {
+                    state(|s| record_read(&mut s.transcript.conns[index], result.map(|n| &buffer[..n])))
+                }
             }
         }
     };
-    // What is still owed after that is told by the record.
-    let _ = timeout(STEP, all).await;
+    // The transcript reports the replies that are still missing.
+    let _ = timeout(STEP_TIMEOUT, read_all).await;
 }
 
-/// What a worker was asked, and the connection to answer on.
-pub type Heard = (Value, mpsc::UnboundedSender<String>);
+/// A message that a scripted worker received, and the channel for lines to send on the same connection.
+pub type ReceivedMessage = (Value, mpsc::UnboundedSender<String>);
 
-/// A worker that does nothing by itself: what it hears is told, what it is given is written; an empty line ends the
-/// connection.
-pub async fn worker() -> (String, mpsc::UnboundedReceiver<Heard>) {
-    worker_that_tells(&[]).await
+/// A worker controlled by its test: it reports the attempts that it receives and sends the lines that it is given; an empty
+/// line closes the connection. It answers load probes by itself. Returns its address and the received messages.
+pub async fn scripted_worker() -> (String, mpsc::UnboundedReceiver<ReceivedMessage>) {
+    scripted_worker_with(&[]).await
 }
 
-/// The same, which tells lines of these types as well.
-pub async fn worker_that_tells(types: &'static [&'static str]) -> (String, mpsc::UnboundedReceiver<Heard>) {
+/// A scripted worker that also reports messages of these types.
+pub async fn scripted_worker_with(
+    types: &'static [&'static str],
+) -> (String, mpsc::UnboundedReceiver<ReceivedMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (address, (told, heard)) = (listener.local_addr().unwrap().to_string(), mpsc::unbounded_channel());
+    let (address, (received_tx, received_rx)) =
+        (listener.local_addr().unwrap().to_string(), mpsc::unbounded_channel());
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let told = told.clone();
+            let received_tx = received_tx.clone();
             stream.set_nodelay(true).unwrap();
             let (read, write) = stream.into_split();
-            let (say, said) = mpsc::unbounded_channel();
-            tokio::spawn(write_lines(write, said));
+            let (reply_tx, reply_rx) = mpsc::unbounded_channel();
+            tokio::spawn(write_lines(write, reply_rx));
             tokio::spawn(async move {
                 let mut lines = BufReader::new(read).lines();
                 while let Ok(Some(line)) = lines.next_line().await {
-                    let row: Value = serde_json::from_str(&line).unwrap();
-                    match row["type"].as_str() {
+                    let message: Value = serde_json::from_str(&line).unwrap();
+                    match message["type"].as_str() {
                         Some("invoke") => {
-                            went_out(&row);
-                            if seen(|s| s.settling) {
-                                drop(say.send(answer(&row, "OK", "")));
+                            record_received(&message);
+                            if state(|s| s.answering_all) {
+                                drop(reply_tx.send(reply_line(&message, "OK", "")));
                             }
-                            seen(|s| s.asked.push((row.clone(), say.downgrade())));
-                            drop(told.send((row, say.clone())));
+                            state(|s| s.attempts.push((message.clone(), reply_tx.downgrade())));
+                            drop(received_tx.send((message, reply_tx.clone())));
+                        }
+                        Some("gauges") => drop(reply_tx.send(reply_line(&message, "UP", ""))),
+                        Some(other) if types.contains(&other) => {
+                            drop(received_tx.send((message, reply_tx.clone())))
                         }
-                        Some("gauges") => drop(say.send(answer(&row, "UP", ""))),
-                        Some(other) if types.contains(&other) => drop(told.send((row, say.clone()))),
                         _ => {}
                     }
                 }
             });
         }
     });
-    (address, heard)
+    (address, received_rx)
 }
 
-/// A worker that gives back the body of all that it is asked, and the ids in the order in which they came.
-pub async fn gives_back() -> (String, Arc<Mutex<Vec<String>>>) {
-    let ((at, mut heard), ids) = (worker().await, Arc::<Mutex<Vec<String>>>::default());
-    let came = Arc::clone(&ids);
+/// A worker that answers every attempt with its body. Returns its address and the IDs in the order of arrival.
+pub async fn echo_worker() -> (String, Arc<Mutex<Vec<String>>>) {
+    let ((address, mut worker_rx), ids) = (scripted_worker().await, Arc::<Mutex<Vec<String>>>::default());
+    let received_ids = Arc::clone(&ids);
     tokio::spawn(async move {
-        while let Some((asked, say)) = heard.recv().await {
-            came.lock().unwrap().push(asked["req"].as_str().unwrap().to_owned());
-            let _ = say.send(answer(&asked, "OK", asked["data"].as_str().unwrap()));
+        while let Some((request, reply_tx)) = worker_rx.recv().await {
+            received_ids.lock().unwrap().push(request["req"].as_str().unwrap().to_owned());
+            let _ = reply_tx.send(reply_line(&request, "OK", request["data"].as_str().unwrap()));
         }
     });
-    (at, ids)
+    (address, ids)
 }
 
-/// The bytes of a call that has five seconds.
-pub fn call(tag: u64, id: &str) -> Vec<u8> {
+/// Encodes a call with a timeout of five seconds.
+pub fn encode_call(tag: u64, id: &str) -> Vec<u8> {
     let fields = format!("req={id},timeout=5000,subject=00000000000000aa,info=memory_mb:512;lanes:2");
-    say(&["CALL", &tag.to_string(), "read", &fields, "body"])
+    encode(&["CALL", &tag.to_string(), "read", &fields, "body"])
 }
 
-pub fn say(words: &[&str]) -> Vec<u8> {
+pub fn encode(words: &[&str]) -> Vec<u8> {
     encode_array(&words.iter().map(|w| w.as_bytes()).collect::<Vec<_>>()).to_vec()
 }
 
-async fn write_lines(mut write: OwnedWriteHalf, mut said: mpsc::UnboundedReceiver<String>) {
-    while let Some(line) = said.recv().await.filter(|l| !l.is_empty()) {
+async fn write_lines(mut write: OwnedWriteHalf, mut reply_rx: mpsc::UnboundedReceiver<String>) {
+    while let Some(line) = reply_rx.recv().await.filter(|l| !l.is_empty()) {
         let _ = write.write_all(line.as_bytes()).await;
     }
 }
 
-/// A worker's answer; what is 'ok' goes on record.
-pub fn answer(to: &Value, word: &str, data: &str) -> String {
-    if let (Some(id), "OK", Ok(body)) = (to["req"].as_str(), word, STANDARD.decode(data)) {
-        seen(|s| s.transcript.worker_answered(id, &body));
+/// A worker's reply line, with `data` as its base64 body. A successful reply is recorded.
+pub fn reply_line(request: &Value, reply_type: &str, data: &str) -> String {
+    if let (Some(id), "OK", Ok(body)) = (request["req"].as_str(), reply_type, STANDARD.decode(data)) {
+        state(|s| s.transcript.worker_answered(id, &body));
     }
-    format!("{}\n", json!({"type": word, "req": to["req"], "meta": {"detail": "resident"}, "data": data}))
+    format!(
+        "{}\n",
+        json!({"type": reply_type, "req": request["req"], "meta": {"detail": "resident"}, "data": data})
+    )
 }
 
-pub struct Client(pub Wire);
+/// A client whose connection is recorded.
+pub struct Client(pub RecordedStream);
 
 impl Client {
-    pub async fn new(of: &SchedulerHandle) -> Client {
-        Client::of(TcpStream::connect(of.address).await.unwrap())
+    pub async fn connect(scheduler: &SchedulerHandle) -> Client {
+        Client::from_stream(TcpStream::connect(scheduler.address).await.unwrap())
     }
 
-    pub fn of(stream: TcpStream) -> Client {
-        Client(Wire::new(stream, &[]))
+    pub fn from_stream(stream: TcpStream) -> Client {
+        Client(RecordedStream::new(stream, &[]))
     }
 
-    /// One that has connected and said this before a scheduler on the same thread looks again.
-    pub fn at_once(address: SocketAddr, bytes: &[u8]) -> Client {
+    /// Connects and sends bytes with a blocking socket, before a scheduler on the same thread runs again.
+    pub fn connect_and_send(address: SocketAddr, bytes: &[u8]) -> Client {
         let mut stream = std::net::TcpStream::connect(address).unwrap();
         stream.write_all(bytes).unwrap();
         stream.set_nonblocking(true).unwrap();
-        Client(Wire::new(TcpStream::from_std(stream).unwrap(), bytes))
+        Client(RecordedStream::new(TcpStream::from_std(stream).unwrap(), bytes))
     }
 
-    pub async fn say(&mut self, words: &[&str]) {
+    pub async fn send(&mut self, words: &[&str]) {
         let words: Vec<&[u8]> = words.iter().map(|w| w.as_bytes()).collect();
         self.0.write_all(&encode_array(&words)).await.unwrap();
     }
 
-    pub async fn call(&mut self, tag: &str, method: &str, id: &str) {
+    pub async fn send_call(&mut self, tag: &str, method: &str, id: &str) {
         let fields = format!("req={id},timeout=5000,subject=00000000000000aa,info=memory_mb:512;lanes:2");
-        self.say(&["CALL", tag, method, &fields, "body"]).await;
+        self.send(&["CALL", tag, method, &fields, "body"]).await;
     }
 
-    /// Waits for exactly this answer.
-    pub async fn hears(&mut self, words: &[&str]) {
+    /// Reads a reply and requires it to be exactly this.
+    pub async fn expect_reply(&mut self, words: &[&str]) {
         let words: Vec<&[u8]> = words.iter().map(|w| w.as_bytes()).collect();
         let want = encode_array(&words);
-        let mut got = vec![0; want.len()];
-        soon(self.0.read_exact(&mut got)).await.unwrap();
-        assert_eq!(String::from_utf8_lossy(&got), String::from_utf8_lossy(&want));
+        let mut reply = vec![0; want.len()];
+        with_timeout(self.0.read_exact(&mut reply)).await.unwrap();
+        assert_eq!(String::from_utf8_lossy(&reply), String::from_utf8_lossy(&want));
     }
 
-    /// Whatever lay on any connection before is read by the scheduler once this is answered.
-    pub async fn looks(&mut self, tag: &mut u64, word: &str) {
+    /// Sends a check with the next tag and requires this status. Once it is answered the scheduler has read everything that
+    /// was sent before on any connection.
+    pub async fn expect_check(&mut self, tag: &mut u64, status: &str) {
         *tag += 1;
-        self.say(&["CHECK", &tag.to_string(), ""]).await;
-        self.hears(&[&tag.to_string(), word, "", ""]).await;
+        self.send(&["CHECK", &tag.to_string(), ""]).await;
+        self.expect_reply(&[&tag.to_string(), status, "", ""]).await;
     }
 
-    pub async fn is_closed(&mut self) {
+    pub async fn expect_closed(&mut self) {
         let mut rest = Vec::new();
-        let _ = soon(self.0.read_to_end(&mut rest)).await;
+        let _ = with_timeout(self.0.read_to_end(&mut rest)).await;
         assert!(rest.is_empty(), "{}", String::from_utf8_lossy(&rest));
     }
 }
 
 pub const IDS: [&str; 3] = ["9b1f03aa5c7e2d41", "9b1f03aa5c7e2d42", "9b1f03aa5c7e2d43"];
 
-pub async fn scheduler(workers: &[&str], resolver: &str) -> Scheduler {
-    scheduler_with(workers, resolver, |_| ()).await
+pub async fn start_scheduler(workers: &[&str], resolver: &str) -> Scheduler {
+    start_scheduler_with(workers, resolver, |_| ()).await
 }
 
-/// One that is told something else than the others at its start.
-pub async fn scheduler_with(workers: &[&str], resolver: &str, change: impl Fn(&mut Value)) -> Scheduler {
-    let running = start(told(workers, resolver, change)).await.unwrap();
-    seen(|s| s.schedulers += 1);
-    Scheduler { running, settled: false }
+/// Starts a scheduler with a changed startup configuration.
+pub async fn start_scheduler_with(
+    workers: &[&str], resolver: &str, change: impl Fn(&mut Value),
+) -> Scheduler {
+    let handle = start(startup_config(workers, resolver, change)).await.unwrap();
+    state(|s| s.schedulers += 1);
+    Scheduler { handle, verified: false }
 }
 
-pub fn told(workers: &[&str], resolver: &str, change: impl Fn(&mut Value)) -> startup::StartupConfig {
+pub fn startup_config(
+    workers: &[&str], resolver: &str, change: impl Fn(&mut Value),
+) -> startup::StartupConfig {
     let nodes: Vec<Value> = workers
         .iter()
         .enumerate()
-        .map(|(no, at)| json!({"instanceId": format!("s-{no}"), "hostPort": at, "zone": "z", "lifecycle": "Ready"}))
+        .map(|(index, address)| json!({"instanceId": format!("s-{index}"), "hostPort": address, "zone": "z", "lifecycle": "Ready"}))
         .collect();
     let methods = json!([
         {"name": "read", "effect": "read_like", "group": "all", "aim": 500.0, "giveUp": 5000.0, "gain": 1.0},
         {"name": "issue", "effect": "non_idempotent", "group": "all", "aim": 500.0, "giveUp": 5000.0, "gain": 1.0},
     ]);
-    let mut told = json!({
+    let mut config = json!({
         "name": "n0", "listen": "127.0.0.1:0", "seed": "7", "resolver": resolver,
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "known": {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"reset": false, "instances": nodes}}]},
@@ -421,20 +443,20 @@
             "familyInfo": {"keepAlive": 8000.0, "whenAbsent": "load"},
         },
     });
-    change(&mut told);
-    startup::parse(&told.to_string()).unwrap()
+    change(&mut config);
+    startup::parse(&config.to_string()).unwrap()
 }
 
-/// No directory answers there.
-pub const NOWHERE: &str = "127.0.0.1:9";
+/// An address without a discovery server.
+pub const NO_DISCOVERY: &str = "127.0.0.1:9";
 
-/// The directory's answer to a question: these workers, as records of DNS: (id, address, priority).
-pub fn listed<S: AsRef<str>>(query: &[u8], serial: u32, workers: &[(S, String, u16)]) -> Message {
-    listed_since(query, serial, workers, 0)
+/// The response to a discovery query: DNS records of these workers, each given by ID, address and priority.
+pub fn discovery_response<S: AsRef<str>>(query: &[u8], serial: u32, workers: &[(S, String, u16)]) -> Message {
+    discovery_response_started(query, serial, workers, 0)
 }
 
-/// The same, of workers that started at this Unix millisecond.
-pub fn listed_since<S: AsRef<str>>(
+/// The same, for workers that started at this Unix time in milliseconds.
+pub fn discovery_response_started<S: AsRef<str>>(
     query: &[u8], serial: u32, workers: &[(S, String, u16)], started: u64,
 ) -> Message {
     let name = |n: &str| Name::from_ascii(n).unwrap();
@@ -455,64 +477,65 @@
     m
 }
 
-/// A worker that takes no connection until it is let: its queue of one is held by another.
-pub async fn unreachable() -> (String, TcpListener, Vec<TcpStream>) {
+/// A worker whose accept queue, of one connection, is full: dials hang until the test accepts. Returns its address, its
+/// listener and the connection that fills the queue.
+pub async fn unreachable_worker() -> (String, TcpListener, Vec<TcpStream>) {
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(0).unwrap();
-    let at = listener.local_addr().unwrap();
-    let held = vec![TcpStream::connect(at).await.unwrap()];
-    (at.to_string(), listener, held)
+    let address = listener.local_addr().unwrap();
+    let queued = vec![TcpStream::connect(address).await.unwrap()];
+    (address.to_string(), listener, queued)
 }
 
-/// A directory that answers when its test says so.
-pub struct Directory {
+/// A discovery server that responds when its test says so.
+pub struct ScriptedDiscovery {
     socket: UdpSocket,
-    /// The last question, and who has put it.
-    asked: Option<(Vec<u8>, SocketAddr)>,
+    /// The last query, and the address that it came from.
+    last_query: Option<(Vec<u8>, SocketAddr)>,
 }
 
-impl Directory {
-    pub async fn new() -> Directory {
-        Directory { socket: UdpSocket::bind("127.0.0.1:0").await.unwrap(), asked: None }
+impl ScriptedDiscovery {
+    pub async fn new() -> ScriptedDiscovery {
+        ScriptedDiscovery { socket: UdpSocket::bind("127.0.0.1:0").await.unwrap(), last_query: None }
     }
 
-    pub fn at(&self) -> SocketAddr {
+    pub fn address(&self) -> SocketAddr {
         self.socket.local_addr().unwrap()
     }
 
-    /// Waits for the next question; of several that lie there already the last one counts.
-    pub async fn is_asked(&mut self) {
+    /// Waits for the next query; of several that are queued the last one is kept.
+    pub async fn expect_query(&mut self) {
         let mut query = [0; 512];
-        let (n, from) = soon(self.socket.recv_from(&mut query)).await.unwrap();
-        self.asked = Some((query[..n].to_vec(), from));
+        let (n, from) = with_timeout(self.socket.recv_from(&mut query)).await.unwrap();
+        self.last_query = Some((query[..n].to_vec(), from));
         while let Ok((n, from)) = self.socket.try_recv_from(&mut query) {
-            self.asked = Some((query[..n].to_vec(), from));
+            self.last_query = Some((query[..n].to_vec(), from));
         }
     }
 
-    /// Answers the last question, before a scheduler on the same thread looks again.
-    pub fn answers<S: AsRef<str>>(&self, serial: u32, workers: &[(S, String, u16)], started: u64) -> usize {
-        let (query, from) = self.asked.as_ref().expect("it was asked");
-        let answer = listed_since(query, serial, workers, started).to_vec().unwrap();
-        self.socket.try_send_to(&answer, *from).unwrap_or(0)
+    /// Responds to the last query, before a scheduler on the same thread runs again. Returns the bytes sent.
+    pub fn respond<S: AsRef<str>>(&self, serial: u32, workers: &[(S, String, u16)], started: u64) -> usize {
+        let (query, from) = self.last_query.as_ref().expect("a query was received");
+        let response = discovery_response_started(query, serial, workers, started).to_vec().unwrap();
+        self.socket.try_send_to(&response, *from).unwrap_or(0)
     }
 }
 
-/// A directory that answers with these workers.
-pub async fn directory(serial: u32, workers: Vec<(&'static str, String, u16)>) -> String {
+/// A discovery server that responds to every query with these workers.
+pub async fn discovery_server(serial: u32, workers: Vec<(&'static str, String, u16)>) -> String {
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let at = socket.local_addr().unwrap().to_string();
+    let address = socket.local_addr().unwrap().to_string();
     tokio::spawn(async move {
         let mut query = [0; 512];
         while let Ok((n, from)) = socket.recv_from(&mut query).await {
-            let m = listed(&query[..n], serial, &workers);
-            // A stray one comes ahead: another id.
+            let m = discovery_response(&query[..n], serial, &workers);
+            // A response with another ID precedes the right one.
             let mut stray = m.clone();
             stray.set_id(m.id().wrapping_add(1));
             let _ = socket.send_to(&stray.to_vec().unwrap(), from).await;
             let _ = socket.send_to(&m.to_vec().unwrap(), from).await;
         }
     });
-    at
+    address
 }
--- a/crates/curlewpoint-node/tests/test_servers/transcript.rs
+++ b/crates/curlewpoint-node/tests/test_servers/transcript.rs
@@ -1,18 +1,18 @@
-//! The whole record of a test on sockets: what each client wrote and read, what workers heard and said. It is judged by
-//! the rule that every request written whole has exactly one answer, or its connection was closed before a byte of it was
-//! passed on. It reads bytes by itself, with none of the code that is tried.
+//! Transcript of a socket test: all bytes that clients sent and received, and the requests that workers received and
+//! answered. It is checked against one rule: every complete request has exactly one reply, or its connection was closed
+//! before any byte of it reached a worker. The parser here is independent of the code under test.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a client's connection has ended.
+/// State of a client connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum ConnState {
     #[default]
     Open,
-    /// By the scheduler: the client has read to the end.
+    /// The client has read to the end of the stream.
     ClosedByScheduler,
-    /// By the client itself: nothing is owed to it any more.
+    /// No reply is expected any more.
     ClosedByClient,
 }
 
@@ -24,19 +24,22 @@
     pub state: ConnState,
 }
 
-type Row<'a> = Vec<&'a [u8]>;
+/// The words of a command or of a reply.
+type Words<'a> = Vec<&'a [u8]>;
 
-fn number(bytes: &[u8], at: usize, mark: u8) -> Option<(usize, usize)> {
-    let rest = bytes.get(at..)?.strip_prefix(&[mark])?;
+/// Parses `<type><number>\r\n` at `at`: the number, and the offset after it.
+fn parse_header(bytes: &[u8], at: usize, type_byte: u8) -> Option<(usize, usize)> {
+    let rest = bytes.get(at..)?.strip_prefix(&[type_byte])?;
     let end = rest.windows(2).position(|w| w == b"\r\n")?;
     Some((std::str::from_utf8(&rest[..end]).ok()?.parse().ok()?, at + 1 + end + 2))
 }
 
-fn row(bytes: &[u8]) -> Option<(Row<'_>, usize)> {
-    let (count, mut at) = number(bytes, 0, b'*')?;
+/// Parses an array of words: the words, and its length in bytes.
+fn parse_array(bytes: &[u8]) -> Option<(Words<'_>, usize)> {
+    let (count, mut at) = parse_header(bytes, 0, b'*')?;
     let mut words = Vec::new();
     for _ in 0..count {
-        let (length, begin) = number(bytes, at, b'$')?;
+        let (length, begin) = parse_header(bytes, at, b'$')?;
         let end = begin.checked_add(length)?;
         bytes.get(end..end.checked_add(2)?).filter(|e| *e == b"\r\n")?;
         words.push(&bytes[begin..end]);
@@ -45,132 +48,148 @@
     Some((words, at))
 }
 
-/// The rows that are whole, up to what is not or cannot be read, and how many bytes they take.
-fn rows(bytes: &[u8]) -> (Vec<Row<'_>>, usize) {
-    let (mut rows, mut at) = (Vec::new(), 0);
-    while let Some((row, size)) = row(&bytes[at..]) {
-        rows.push(row);
+/// Parses arrays up to the first that is incomplete or malformed: the arrays, and their length in bytes.
+fn parse_arrays(bytes: &[u8]) -> (Vec<Words<'_>>, usize) {
+    let (mut arrays, mut at) = (Vec::new(), 0);
+    while let Some((words, size)) = parse_array(&bytes[at..]) {
+        arrays.push(words);
         at += size;
     }
-    (rows, at)
+    (arrays, at)
 }
 
-fn word<'a>(row: &Row<'a>, no: usize) -> &'a [u8] {
-    row.get(no).copied().unwrap_or_default()
+fn word<'a>(words: &Words<'a>, index: usize) -> &'a [u8] {
+    words.get(index).copied().unwrap_or_default()
 }
 
-fn shown(bytes: &[u8]) -> String {
+fn lossy(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The id that a call gives; empty where it gives none.
-fn id(call: &Row<'_>) -> String {
-    let fields = shown(word(call, 3));
+/// The ID in a call's fields, or an empty string.
+fn request_id(call: &Words<'_>) -> String {
+    let fields = lossy(word(call, 3));
     let id = fields.split(',').find_map(|f| f.strip_prefix("req="));
     id.unwrap_or_default().to_owned()
 }
 
 impl ClientConn {
-    /// Nothing of a request lies half written.
+    /// Whether all that was sent consists of complete requests.
     pub fn has_no_partial_request(&self) -> bool {
-        rows(&self.sent).1 == self.sent.len()
+        parse_arrays(&self.sent).1 == self.sent.len()
     }
 
-    /// Something that was asked whole and not withdrawn has no answer.
+    /// Whether a complete request that was not withdrawn has no reply.
     pub fn awaits_reply(&self) -> bool {
         !self.unanswered().is_empty()
     }
 
-    fn unanswered(&self) -> Vec<Row<'_>> {
-        let (asked, told) = (rows(&self.sent).0, rows(&self.received).0);
+    fn unanswered(&self) -> Vec<Words<'_>> {
+        let (requests, replies) = (parse_arrays(&self.sent).0, parse_arrays(&self.received).0);
         let withdrawn: BTreeSet<_> =
-            asked.iter().filter(|r| word(r, 0) == b"CANCEL").map(|r| word(r, 1)).collect();
-        let mut answers: BTreeMap<&[u8], usize> = BTreeMap::new();
-        told.iter().for_each(|r| *answers.entry(word(r, 0)).or_default() += 1);
-        let wants = |r: &Row<'_>| [&b"CALL"[..], b"CHECK"].contains(&word(r, 0));
+            requests.iter().filter(|r| word(r, 0) == b"CANCEL").map(|r| word(r, 1)).collect();
+        let mut reply_counts: BTreeMap<&[u8], usize> = BTreeMap::new();
+        replies.iter().for_each(|r| *reply_counts.entry(word(r, 0)).or_default() += 1);
+        let expects_reply = |r: &Words<'_>| [&b"CALL"[..], b"CHECK"].contains(&word(r, 0));
         let mut unanswered = Vec::new();
-        for row in asked.into_iter().filter(wants) {
-            match answers.get_mut(word(&row, 1)).filter(|n| **n > 0) {
+        for request in requests.into_iter().filter(expects_reply) {
+            match reply_counts.get_mut(word(&request, 1)).filter(|n| **n > 0) {
                 Some(n) => *n -= 1,
-                None if withdrawn.contains(word(&row, 1)) => {}
-                None => unanswered.push(row),
+                None if withdrawn.contains(word(&request, 1)) => {}
+                None => unanswered.push(request),
             }
         }
         unanswered
     }
 }
 
-/// All of a test's connections and attempts.
+/// All client connections and worker requests of a test.
 #[derive(Debug, Default)]
 pub struct Transcript {
     pub conns: Vec<ClientConn>,
-    /// The ids of which a worker has heard anything, and the bodies that were given for each as 'ok'.
-    heard: BTreeSet<String>,
-    said: BTreeMap<String, Vec<Vec<u8>>>,
+    /// IDs of the requests of which a worker received any part.
+    reached_worker: BTreeSet<String>,
+    /// The bodies with which workers answered each request successfully.
+    worker_bodies: BTreeMap<String, Vec<Vec<u8>>>,
 }
 
 impl Transcript {
-    /// A worker has read an attempt, or a part of one that holds its id.
+    /// Records that a worker received an attempt, or a part of one that contains its ID.
     pub fn worker_received(&mut self, id: &str) {
-        self.heard.insert(id.to_owned());
+        self.reached_worker.insert(id.to_owned());
     }
 
-    /// A worker gives this body for the request.
+    /// Records that a worker answered the request successfully with this body.
     pub fn worker_answered(&mut self, id: &str, body: &[u8]) {
-        self.said.entry(id.to_owned()).or_default().push(body.to_vec());
+        self.worker_bodies.entry(id.to_owned()).or_default().push(body.to_vec());
     }
 
-    /// What breaks the rule.
+    /// Describes each violation of the rule.
     pub fn violations(&self) -> Vec<String> {
-        let (mut violations, mut whole) = (Vec::new(), BTreeSet::new());
-        for (no, conn) in self.conns.iter().enumerate() {
-            let (asked, (told, read)) = (rows(&conn.sent).0, rows(&conn.received));
+        let (mut violations, mut complete) = (Vec::new(), BTreeSet::new());
+        for (client, conn) in self.conns.iter().enumerate() {
+            let (requests, (replies, read)) = (parse_arrays(&conn.sent).0, parse_arrays(&conn.received));
             if read < conn.received.len() && conn.state != ConnState::ClosedByClient {
                 violations.push(format!(
-                    "client {no} read what is no whole answer: {}",
-                    shown(&conn.received[read..])
+                    "client {client}: incomplete or malformed reply: {}",
+                    lossy(&conn.received[read..])
                 ));
             }
-            let calls = asked.iter().filter(|r| word(r, 0) == b"CALL");
-            whole.extend(calls.map(id));
-            // Each answer is to the first request of its tag that has none yet.
-            let mut open: Vec<&Row<'_>> = asked.iter().collect();
-            for answer in &told {
-                let (tag, said) = (word(answer, 0), word(answer, 1));
-                let fits = |r: &&Row<'_>| word(r, 1) == tag && [&b"CALL"[..], b"CHECK"].contains(&word(r, 0));
-                let Some(at) = open.iter().position(fits) else {
+            let calls = requests.iter().filter(|r| word(r, 0) == b"CALL");
+            complete.extend(calls.map(request_id));
+            // Each reply is matched to the first open request with its tag.
+            let mut open: Vec<&Words<'_>> = requests.iter().collect();
+            for reply in &replies {
+                let (tag, status) = (word(reply, 0), word(reply, 1));
+                let matches =
+                    |r: &&Words<'_>| word(r, 1) == tag && [&b"CALL"[..], b"CHECK"].contains(&word(r, 0));
+                let Some(at) = open.iter().position(matches) else {
                     violations.push(format!(
-                        "client {no}: an answer too many under tag {}: {}",
-                        shown(tag),
-                        shown(said)
+                        "client {client}: unexpected reply with tag {}: {}",
+                        lossy(tag),
+                        lossy(status)
                     ));
                     continue;
                 };
-                let to = open.remove(at);
-                let of_check = [&b"fit"[..], b"unfit"].contains(&said);
-                if of_check != (word(to, 0) == b"CHECK") {
-                    violations.push(format!("client {no}: '{}' to a {}", shown(said), shown(word(to, 0))));
+                let request = open.remove(at);
+                let is_check_status = [&b"fit"[..], b"unfit"].contains(&status);
+                if is_check_status != (word(request, 0) == b"CHECK") {
+                    violations.push(format!(
+                        "client {client}: '{}' in reply to {}",
+                        lossy(status),
+                        lossy(word(request, 0))
+                    ));
                 }
-                let body = word(answer, 3);
-                let made = || self.said.get(&id(to)).is_some_and(|all| all.iter().any(|b| b == body));
-                if said == b"good" && !made() {
-                    violations.push(format!("client {no}: no worker made the answer to {}", id(to)));
+                let body = word(reply, 3);
+                let is_from_worker = || {
+                    self.worker_bodies
+                        .get(&request_id(request))
+                        .is_some_and(|all| all.iter().any(|b| b == body))
+                };
+                if status == b"good" && !is_from_worker() {
+                    violations.push(format!(
+                        "client {client}: no worker gave the reply to {}",
+                        request_id(request)
+                    ));
                 }
             }
-            for row in conn.unanswered() {
-                let (what, id) = (shown(word(&row, 0)), id(&row));
+            for request in conn.unanswered() {
+                let (command, id) = (lossy(word(&request, 0)), request_id(&request));
                 match conn.state {
-                    ConnState::Open => violations.push(format!("client {no}: no answer to {what} {id}")),
-                    ConnState::ClosedByScheduler if self.heard.contains(&id) => {
+                    ConnState::Open => {
+                        violations.push(format!("client {client}: no reply to {command} {id}"))
+                    }
+                    ConnState::ClosedByScheduler if self.reached_worker.contains(&id) => {
                         violations
-                            .push(format!("client {no}: {id} was passed on, and closed without an answer"));
+                            .push(format!("client {client}: {id} reached a worker, then the connection closed without a reply"));
                     }
                     ConnState::ClosedByScheduler | ConnState::ClosedByClient => {}
                 }
             }
         }
-        let strange = self.heard.iter().filter(|id| !whole.contains(*id));
-        violations.extend(strange.map(|id| format!("{id} was passed on, and no client has asked it whole")));
+        let incomplete = self.reached_worker.iter().filter(|id| !complete.contains(*id));
+        violations
+            .extend(incomplete.map(|id| format!("{id} reached a worker, but no client sent it completely")));
         violations
     }
 }
