--- a/crates/curlewpoint-node/src/discovery.rs
+++ b/crates/curlewpoint-node/src/discovery.rs
@@ -7,7 +7,7 @@
 use std::task::{ready, Context, Poll};
 use std::time::Duration;
 
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 use curlewpoint_link::{is_ours, METRICS};
 use curlewpoint_platform::dns::{self, DiscoveryError, MAX_RESPONSE_BYTES};
 use curlewpoint_platform::EndpointListVisitor;
@@ -40,7 +40,7 @@
 #[derive(Default)]
 pub(crate) struct EndpointList {
     version: u64,
-    endpoints: Vec<(String, String, Standing, u64, String, String, f64)>,
+    endpoints: Vec<(String, String, Lifecycle, u64, String, String, f64)>,
 }
 
 impl EndpointListVisitor for EndpointList {
@@ -49,7 +49,7 @@
     }
 
     fn endpoint(
-        &mut self, name: &str, address: &str, lifecycle: Standing, started: u64, zone: &str, cell: &str,
+        &mut self, name: &str, address: &str, lifecycle: Lifecycle, started: u64, zone: &str, cell: &str,
         size: f64,
     ) {
         self.endpoints.push((
--- a/crates/curlewpoint-node/src/scheduler.rs
+++ b/crates/curlewpoint-node/src/scheduler.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use curlewpoint::types::{Copy, Standing, Time};
+use curlewpoint::types::{CopyReport, Lifecycle, Time};
 use curlewpoint_engine::{ClientId, ConnId, Engine, Figures, Pool, PoolLimits, Refusal};
 use curlewpoint_link::{listen_again, Bounds, Clock, Turns, METRICS};
 use curlewpoint_platform::startup::{self, StartupConfig, StartupError};
@@ -102,7 +102,7 @@
     }
 
     fn endpoint(
-        &mut self, name: &str, address: &str, lifecycle: Standing, started: u64, zone: &str, cell: &str,
+        &mut self, name: &str, address: &str, lifecycle: Lifecycle, started: u64, zone: &str, cell: &str,
         size: f64,
     ) {
         let age = (started > 0).then(|| self.clock.age_of_unix_ms(started));
@@ -533,7 +533,7 @@
         };
         let body = json_lines::body(message)?;
         let is_attempt = self.engine.asked_by(request).is_some();
-        let copy = if is_attempt { json_lines::copy(message) } else { Copy::Untold };
+        let copy = if is_attempt { json_lines::copy(message) } else { CopyReport::Unreported };
         let (held, copies, report) = (
             json_lines::held_rpcs(message),
             json_lines::copies(message),
--- a/crates/curlewpoint-platform/src/dns.rs
+++ b/crates/curlewpoint-platform/src/dns.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
 use hickory_proto::ProtoError;
@@ -84,7 +84,7 @@
             strings.filter_map(|s| s.split_once('=')).find(|(name, _)| *name == field).map(|(_, v)| v)
         };
         let started = text("started").and_then(|v| v.parse().ok()).ok_or_else(|| missing("start time"))?;
-        let lifecycle = if srv.priority() == 0 { Standing::Ready } else { Standing::Draining };
+        let lifecycle = if srv.priority() == 0 { Lifecycle::Ready } else { Lifecycle::Draining };
         let (address, size) = (format!("{ip}:{}", srv.port()), f64::from(srv.weight()) / 10.0);
         visitor.endpoint(name, &address, lifecycle, started, zone, text("cell").unwrap_or(""), size);
     }
--- a/crates/curlewpoint-platform/src/json_lines.rs
+++ b/crates/curlewpoint-platform/src/json_lines.rs
@@ -4,7 +4,7 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine as _;
 use bytes::{Bytes, BytesMut};
-use curlewpoint::types::{Copy, Outcome, Time};
+use curlewpoint::types::{CopyReport, Outcome, Time};
 use serde_json::{json, Map, Value};
 use thiserror::Error;
 use tokio_util::codec::Decoder;
@@ -146,13 +146,13 @@
 }
 
 /// Whether the function's copy was loaded when the attempt came, by the reply's `detail`.
-pub fn copy(message: &Map<String, Value>) -> Copy {
+pub fn copy(message: &Map<String, Value>) -> CopyReport {
     match meta(message, "detail").and_then(Value::as_str) {
-        Some("resident") => Copy::Warm,
-        Some("booted") => Copy::BeganLoad,
-        Some("rode") => Copy::WaitedForLoad,
-        Some("boot_error") => Copy::LoadFailed,
-        _ => Copy::Untold,
+        Some("resident") => CopyReport::Warm,
+        Some("booted") => CopyReport::BeganLoad,
+        Some("rode") => CopyReport::WaitedForLoad,
+        Some("boot_error") => CopyReport::LoadFailed,
+        _ => CopyReport::Unreported,
     }
 }
 
@@ -216,7 +216,7 @@
         let message = decode(line).unwrap().unwrap();
         assert_eq!(
             (outcome(&message).unwrap(), copy(&message), held_rpcs(&message)),
-            (Outcome::Ok, Copy::WaitedForLoad, 3)
+            (Outcome::Ok, CopyReport::WaitedForLoad, 3)
         );
         assert_eq!(body(&message).unwrap(), "hi");
         let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<Vec<_>>();
--- a/crates/curlewpoint-platform/src/lib.rs
+++ b/crates/curlewpoint-platform/src/lib.rs
@@ -8,7 +8,7 @@
 pub mod resp;
 pub mod startup;
 
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 
 /// Receives an endpoint list while it is parsed: `begin_list`, one `endpoint` per worker, `end_list`. A list that is not
 /// concluded by `end_list` must be discarded.
@@ -17,7 +17,7 @@
     fn begin_list(&mut self, version: u64, since: Option<u64>);
     /// Adds a worker. `started` is the Unix time of its start in milliseconds, or 0 if unknown.
     fn endpoint(
-        &mut self, name: &str, address: &str, lifecycle: Standing, started: u64, zone: &str, cell: &str,
+        &mut self, name: &str, address: &str, lifecycle: Lifecycle, started: u64, zone: &str, cell: &str,
         size: f64,
     );
     /// Concludes the list.
--- a/crates/curlewpoint-platform/src/startup.rs
+++ b/crates/curlewpoint-platform/src/startup.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 use serde_json::{Map, Value};
 use thiserror::Error;
 
@@ -78,12 +78,12 @@
             let text = |name| row.get(name).and_then(Value::as_str).ok_or(StartupError::InvalidKey(name));
             let number = |name| row.get(name).and_then(Value::as_u64);
             let lifecycle = match text("lifecycle")? {
-                "Ready" => Standing::Ready,
-                "Terminating" => Standing::Draining,
-                "Gone" => Standing::Gone,
+                "Ready" => Lifecycle::Ready,
+                "Terminating" => Lifecycle::Draining,
+                "Gone" => Lifecycle::Gone,
                 _ => return Err(StartupError::InvalidKey("lifecycle")),
             };
-            let is_gone = lifecycle == Standing::Gone;
+            let is_gone = lifecycle == Lifecycle::Gone;
             let address = text("hostPort").or(if is_gone {
                 Ok("")
             } else {
