--- a/crates/curlewpoint-cli/tests/nodes.rs
+++ b/crates/curlewpoint-cli/tests/nodes.rs
@@ -11,7 +11,7 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use node_stand::record::End;
+use node_stand::transcript::ConnState;
 use node_stand::*;
 use serde_json::{json, Value};
 
@@ -177,19 +177,19 @@
     }
     assert!(client.has_all(), "it goes on answering");
     assert!(!client.told().contains("good"));
-    let before = node.logs("serves nobody");
-    assert_eq!(before.iter().filter(|l| l.contains("gives no good answer")).count(), 1, "{before:#?}");
+    let before = node.logs("no RPC succeeds");
+    assert_eq!(before.iter().filter(|l| l.contains("gives no valid response")).count(), 1, "{before:#?}");
     since.store(1, Ordering::Release);
     silent.store(false, Ordering::Release);
-    let mut between = node.logs("the directory answers again");
+    let mut between = node.logs("discovery is available again");
     while !client.told().contains("good") {
         events.recv_timeout(STEP).expect("it asks on");
         tag += 1;
         client.says(&call(tag, tag));
         assert!(client.has_all());
     }
-    between.extend(node.logs("serves again"));
-    assert!(!between.iter().any(|l| l.contains("serves nobody")), "said twice: {between:#?}");
+    between.extend(node.logs("RPCs succeed again"));
+    assert!(!between.iter().any(|l| l.contains("no RPC succeeds")), "said twice: {between:#?}");
     assert!(!calls.lock().unwrap().is_empty());
     book.keeps_the_rule();
 }
@@ -261,8 +261,8 @@
             let mut some = [0; 4096];
             while let Ok(n) = answers.read(&mut some) {
                 book.look(|r| match n {
-                    0 => r.conns[at].end = End::Closed,
-                    n => r.conns[at].got.extend_from_slice(&some[..n]),
+                    0 => r.conns[at].state = ConnState::ClosedByScheduler,
+                    n => r.conns[at].received.extend_from_slice(&some[..n]),
                 });
                 // An answer's row begins with the one asterisk that it holds.
                 let rows = some[..n].iter().filter(|b| **b == b'*').count();
