--- a/crates/curlewpoint-catalogue/src/catalogue.rs
+++ b/crates/curlewpoint-catalogue/src/catalogue.rs
@@ -178,14 +178,14 @@
         let mut faults = Vec::new();
         let mut methods = Vec::new();
         for name in config.methods() {
-            let word = |directive| Some(config.of_method(name, directive)).filter(|w| !w.is_empty());
+            let word = |directive| Some(config.method_value(name, directive)).filter(|w| !w.is_empty());
             let ms = |directive| {
-                curlewpoint_config::milliseconds(config.of_method(name, directive)).unwrap_or(0.0)
+                curlewpoint_config::milliseconds(config.method_value(name, directive)).unwrap_or(0.0)
             };
             let mut payload = |directive| {
                 let Some(file) = word(directive) else { return Payload::Binary };
                 let place = |what| Fault { place: file.to_owned(), what };
-                let read = config.file(file).map_err(place).and_then(|text| Payload::json(file, &text));
+                let read = config.read_file(file).map_err(place).and_then(|text| Payload::json(file, &text));
                 read.unwrap_or_else(|fault| {
                     faults.push(fault);
                     Payload::Binary
@@ -194,7 +194,7 @@
             let (request, answer) = (payload("request-schema"), payload("answer-schema"));
             let examples = word("example").map_or(Ok(Vec::new()), |file| {
                 let place = |what| Fault { place: file.to_owned(), what };
-                let text = config.file(file).map_err(place)?;
+                let text = config.read_file(file).map_err(place)?;
                 serde_json::from_str(&text).map_err(|e| place(format!("not an array of requests: {e}")))
             });
             let effect = match word("effect") {
@@ -216,8 +216,8 @@
                 }),
                 since: word("since").unwrap_or("").to_owned(),
                 until: word("until").map(str::to_owned),
-                deprecated: config.day_of_method(name, "deprecated"),
-                sunset: config.day_of_method(name, "sunset"),
+                deprecated: config.method_date(name, "deprecated"),
+                sunset: config.method_date(name, "sunset"),
             });
         }
         let title = config.value("", "title").unwrap_or(config.text("name"));
--- a/crates/curlewpoint-cli/src/commands/check.rs
+++ b/crates/curlewpoint-cli/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use clap::Args;
 use curlewpoint_catalogue::Catalogue;
-use curlewpoint_config::{Config, Holds, BLOCKS};
+use curlewpoint_config::{Config, ValueKind, BLOCKS};
 
 use super::{fail, AT_FAULT, DONE};
 
@@ -33,21 +33,21 @@
     }
 }
 
-fn holds(of: Holds) -> String {
+fn holds(of: ValueKind) -> String {
     let words =
         |all: &[(&str, &str)]| all.iter().map(|w| format!("`{}`", w.0)).collect::<Vec<_>>().join(", ");
     match of {
-        Holds::Text => "a text".into(),
-        Holds::Addresses => "one or more addresses".into(),
-        Holds::Address => "an address, `127.0.0.1:7000`".into(),
-        Holds::Time => "a time: `us`, `ms`, `s`, `min`, `h`".into(),
-        Holds::Memory => "memory: `B`, `KiB`, `MiB`, `GiB`".into(),
-        Holds::Number => "a number".into(),
-        Holds::Share => "a share: `25%` or `0.25`".into(),
-        Holds::Date => "a day in UTC, `2027-03-01`".into(),
-        Holds::YesNo => "`yes` or `no`".into(),
-        Holds::OneOf(all) => format!("one of {}", words(all)),
-        Holds::AnyOf(all) => format!("any of {}", words(all)),
+        ValueKind::Text => "a text".into(),
+        ValueKind::Addresses => "one or more addresses".into(),
+        ValueKind::Address => "an address, `127.0.0.1:7000`".into(),
+        ValueKind::Time => "a time: `us`, `ms`, `s`, `min`, `h`".into(),
+        ValueKind::Memory => "memory: `B`, `KiB`, `MiB`, `GiB`".into(),
+        ValueKind::Number => "a number".into(),
+        ValueKind::Share => "a share: `25%` or `0.25`".into(),
+        ValueKind::Date => "a day in UTC, `2027-03-01`".into(),
+        ValueKind::YesNo => "`yes` or `no`".into(),
+        ValueKind::OneOf(all) => format!("one of {}", words(all)),
+        ValueKind::AnyOf(all) => format!("any of {}", words(all)),
     }
 }
 
@@ -61,7 +61,7 @@
         );
         for d in block.directives {
             let default = if d.default.is_empty() { "-".to_owned() } else { format!("`{}`", d.default) };
-            out += &format!("| `{}` | {} | {default} | {} |\n", d.name, holds(d.holds), d.about);
+            out += &format!("| `{}` | {} | {default} | {} |\n", d.name, holds(d.value_kind), d.about);
         }
         out += "\n";
     }
--- a/crates/curlewpoint-cli/src/commands/serve.rs
+++ b/crates/curlewpoint-cli/src/commands/serve.rs
@@ -1,7 +1,7 @@
 use std::path::PathBuf;
 
 use clap::Args;
-use curlewpoint_gateway::Reloader;
+use curlewpoint_gateway::ReloadHandle;
 use tokio::signal::unix::{signal, SignalKind};
 
 use tracing::warn;
@@ -19,7 +19,7 @@
     config: PathBuf,
 }
 
-async fn reload(path: PathBuf, reloader: Reloader) {
+async fn reload(path: PathBuf, reloader: ReloadHandle) {
     match curlewpoint_config::load(&path) {
         // Its log lines say what became of it.
         Ok(config) => drop(reloader.reload(config).await),
@@ -48,7 +48,7 @@
                 Err(why) => return fail(FAILED, &why.to_string()),
             };
             println!("serving on {}", running.address);
-            let (stop, reloader) = (running.stopper(), running.reloader());
+            let (stop, reloader) = (running.stop_handle(), running.reload_handle());
             let end = tokio::spawn(running.wait());
             tokio::pin!(end);
             loop {
--- a/crates/curlewpoint-config/src/check.rs
+++ b/crates/curlewpoint-config/src/check.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use crate::directives::{Block, Directive, Holds, BLOCKS};
+use crate::directives::{Block, Directive, ValueKind, BLOCKS};
 use crate::grammar::{Fault, Line, Word};
 use crate::units;
 
@@ -37,34 +37,34 @@
     }
 
     /// All words of a directive of an unnamed block; none where it is absent.
-    pub fn all(&self, block: &'static str, name: &'static str) -> &[String] {
+    pub fn values(&self, block: &'static str, name: &'static str) -> &[String] {
         self.words(block, "", name).unwrap_or(&[])
     }
 
     /// A span of time of the top or of a block.
-    pub fn time(&self, block: &'static str, name: &'static str) -> std::time::Duration {
+    pub fn duration(&self, block: &'static str, name: &'static str) -> std::time::Duration {
         std::time::Duration::from_secs_f64(self.number(block, name) / 1000.0)
     }
 
     /// Where a file that it names is.
-    pub fn path(&self, name: &str) -> PathBuf {
+    pub fn resolve_path(&self, name: &str) -> PathBuf {
         self.folder.as_deref().unwrap_or(Path::new(".")).join(name)
     }
 
     /// The text of a file that it names.
-    pub fn file(&self, name: &str) -> Result<String, String> {
-        std::fs::read_to_string(self.path(name)).map_err(|e| e.to_string())
+    pub fn read_file(&self, name: &str) -> Result<String, String> {
+        std::fs::read_to_string(self.resolve_path(name)).map_err(|e| e.to_string())
     }
 
     /// The same configuration with another value at the top: one of many instances, say.
-    pub fn with(mut self, name: &'static str, value: &str) -> Config {
+    pub fn with_value(mut self, name: &'static str, value: &str) -> Config {
         self.values.insert(("", String::new(), name), vec![value.to_owned()]);
         self
     }
 
     /// What differs in another configuration, but for methods, as block and directive: the methods and what describes
     /// them may change while a scheduler runs, and nothing else.
-    pub fn differs(&self, other: &Config) -> Vec<String> {
+    pub fn changes_requiring_restart(&self, other: &Config) -> Vec<String> {
         let fixed = |c: &Config| -> BTreeMap<_, Vec<String>> {
             let of_methods = |block: &str, name: &str| {
                 block == "method" || (block.is_empty() && ["title", "release"].contains(&name))
@@ -88,19 +88,19 @@
     }
 
     /// The same with another value in an unnamed block.
-    pub fn with_in(mut self, block: &'static str, name: &'static str, value: &str) -> Config {
+    pub fn with_block_value(mut self, block: &'static str, name: &'static str, value: &str) -> Config {
         self.values.insert((block, String::new(), name), vec![value.to_owned()]);
         self
     }
 
     /// A directive of a method.
-    pub fn of_method(&self, method: &str, name: &'static str) -> &str {
+    pub fn method_value(&self, method: &str, name: &'static str) -> &str {
         self.words("method", method, name).and_then(|w| w.first()).map_or("", String::as_str)
     }
 
     /// A day that a method names, in seconds since 1970.
-    pub fn day_of_method(&self, method: &str, name: &'static str) -> Option<u64> {
-        units::date(self.of_method(method, name)).ok()
+    pub fn method_date(&self, method: &str, name: &'static str) -> Option<u64> {
+        units::date(self.method_value(method, name)).ok()
     }
 
     pub fn methods(&self) -> &[String] {
@@ -217,28 +217,32 @@
             self.fault(line, &line.words[0], format!("{} needs a value", directive.name));
             return;
         }
-        if given.len() > 1 && !matches!(directive.holds, Holds::AnyOf(_) | Holds::Addresses) {
+        if given.len() > 1 && !matches!(directive.value_kind, ValueKind::AnyOf(_) | ValueKind::Addresses) {
             self.fault(line, &given[1], format!("{} takes one value; quote one with spaces", directive.name));
         }
         let words = |all: &[(&str, &str)]| all.iter().map(|(w, _)| *w).collect::<Vec<_>>().join(", ");
         for word in given {
             let text = word.text.as_str();
-            let read = match directive.holds {
-                Holds::Text if text.is_empty() => Err("this value is empty".to_owned()),
-                Holds::Text => Ok(()),
-                Holds::Address | Holds::Addresses => match text.parse::<std::net::SocketAddr>() {
+            let read = match directive.value_kind {
+                ValueKind::Text if text.is_empty() => Err("this value is empty".to_owned()),
+                ValueKind::Text => Ok(()),
+                ValueKind::Address | ValueKind::Addresses => match text.parse::<std::net::SocketAddr>() {
                     Ok(_) => Ok(()),
                     Err(_) => Err(format!("'{text}' is not an address: write 127.0.0.1:7000")),
                 },
-                Holds::Time => units::milliseconds(text).map(|_| ()),
-                Holds::Memory => units::bytes(text).map(|_| ()),
-                Holds::Number => units::number(text).map(|_| ()),
-                Holds::Share => units::share(text).map(|_| ()),
-                Holds::Date => units::date(text).map(|_| ()),
-                Holds::YesNo if ["yes", "no"].contains(&text) => Ok(()),
-                Holds::YesNo => Err(format!("'{text}' is neither yes nor no")),
-                Holds::OneOf(all) | Holds::AnyOf(all) if all.iter().any(|(w, _)| *w == text) => Ok(()),
-                Holds::OneOf(all) | Holds::AnyOf(all) => Err(format!("'{text}' is none of {}", words(all))),
+                ValueKind::Time => units::milliseconds(text).map(|_| ()),
+                ValueKind::Memory => units::bytes(text).map(|_| ()),
+                ValueKind::Number => units::number(text).map(|_| ()),
+                ValueKind::Share => units::share(text).map(|_| ()),
+                ValueKind::Date => units::date(text).map(|_| ()),
+                ValueKind::YesNo if ["yes", "no"].contains(&text) => Ok(()),
+                ValueKind::YesNo => Err(format!("'{text}' is neither yes nor no")),
+                ValueKind::OneOf(all) | ValueKind::AnyOf(all) if all.iter().any(|(w, _)| *w == text) => {
+                    Ok(())
+                }
+                ValueKind::OneOf(all) | ValueKind::AnyOf(all) => {
+                    Err(format!("'{text}' is none of {}", words(all)))
+                }
             };
             if let Err(what) = read {
                 self.fault(line, word, what);
--- a/crates/curlewpoint-config/src/check/tests.rs
+++ b/crates/curlewpoint-config/src/check/tests.rs
@@ -31,8 +31,8 @@
 #[test_case("fleet {\nname f\nlisten 127.0.0.1:3\ndirectory 3000\n}", "not an amount of memory" ; "a directory without a unit")]
 fn a_fault_is_told_with_its_line(more: &str, want: &str) {
     let told = parse("t.conf", &format!("{GOOD}{more}\n")).unwrap_err();
-    assert!(told.drawn.contains(want), "{}", told.drawn);
-    assert!(told.drawn.contains("t.conf:"), "{}", told.drawn);
+    assert!(told.rendered.contains(want), "{}", told.rendered);
+    assert!(told.rendered.contains("t.conf:"), "{}", told.rendered);
 }
 
 #[test]
@@ -53,5 +53,5 @@
 #[test]
 fn all_faults_are_told_at_once() {
     let told = parse("t", &format!("{GOOD}nmae b\nseed x\nstop-limit 5\n}}\n")).unwrap_err();
-    assert_eq!(told.count, 4, "{}", told.drawn);
+    assert_eq!(told.count, 4, "{}", told.rendered);
 }
--- a/crates/curlewpoint-config/src/directives.rs
+++ b/crates/curlewpoint-config/src/directives.rs
@@ -2,7 +2,7 @@
 
 /// What a directive's values are.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Holds {
+pub enum ValueKind {
     Text,
     Address,
     /// One or more of them.
@@ -22,7 +22,7 @@
 
 pub struct Directive {
     pub name: &'static str,
-    pub holds: Holds,
+    pub value_kind: ValueKind,
     /// An empty one: no default.
     pub default: &'static str,
     /// The module's setting, as part and name; empty: the module is not told.
@@ -40,31 +40,32 @@
 }
 
 const fn d(
-    name: &'static str, holds: Holds, default: &'static str, setting: &'static str, about: &'static str,
+    name: &'static str, value_kind: ValueKind, default: &'static str, setting: &'static str,
+    about: &'static str,
 ) -> Directive {
-    Directive { name, holds, default, setting, about }
+    Directive { name, value_kind, default, setting, about }
 }
 
-use Holds::*;
+use ValueKind::*;
 
-const EFFECTS: Holds = OneOf(&[
+const EFFECTS: ValueKind = OneOf(&[
     ("idempotent", "read_like"),
     ("tokened", "idempotency_key"),
     ("side-effecting", "non_idempotent"),
 ]);
-const GROUPS: Holds = OneOf(&[("all", "all"), ("zone", "zone"), ("cell", "cell")]);
-const REPORTS: Holds = OneOf(&[("probes", "pull"), ("answers", "piggyback"), ("none", "silent")]);
-const FIELDS: Holds = AnyOf(&[
+const GROUPS: ValueKind = OneOf(&[("all", "all"), ("zone", "zone"), ("cell", "cell")]);
+const REPORTS: ValueKind = OneOf(&[("probes", "pull"), ("answers", "piggyback"), ("none", "silent")]);
+const FIELDS: ValueKind = AnyOf(&[
     ("utilisation", "utilization"),
     ("held", "outstanding"),
     ("queue", "backlog"),
     ("held-memory", "x0"),
     ("loads", "x1"),
 ]);
-const SIZES: Holds = OneOf(&[("none", "silent"), ("nominal", "nominal"), ("rough", "rough")]);
-const ABSENT: Holds = OneOf(&[("load", "load"), ("miss", "miss")]);
-const LEVELS: Holds = OneOf(&[("error", ""), ("warn", ""), ("info", ""), ("debug", ""), ("trace", "")]);
-const FORMS: Holds = OneOf(&[("text", ""), ("json", "")]);
+const SIZES: ValueKind = OneOf(&[("none", "silent"), ("nominal", "nominal"), ("rough", "rough")]);
+const ABSENT: ValueKind = OneOf(&[("load", "load"), ("miss", "miss")]);
+const LEVELS: ValueKind = OneOf(&[("error", ""), ("warn", ""), ("info", ""), ("debug", ""), ("trace", "")]);
+const FORMS: ValueKind = OneOf(&[("text", ""), ("json", "")]);
 
 pub const BLOCKS: &[Block] = &[
     Block {
--- a/crates/curlewpoint-config/src/lib.rs
+++ b/crates/curlewpoint-config/src/lib.rs
@@ -18,7 +18,7 @@
 mod units;
 
 pub use check::Config;
-pub use directives::{Directive, Holds, BLOCKS};
+pub use directives::{Directive, ValueKind, BLOCKS};
 pub use grammar::{Line, Word};
-pub use source::{load, parse, read_lines, Faults};
+pub use source::{load, parse, read_lines, ConfigErrors};
 pub use units::{bytes, milliseconds, share};
--- a/crates/curlewpoint-config/src/settings.rs
+++ b/crates/curlewpoint-config/src/settings.rs
@@ -1,7 +1,7 @@
 use serde_json::{json, Map, Value};
 
 use crate::check::Config;
-use crate::directives::{Directive, Holds, BLOCKS};
+use crate::directives::{Directive, ValueKind, BLOCKS};
 use crate::units;
 
 /// A directive's words as the module knows them: times in milliseconds, memory in bytes, words in its own terms.
@@ -10,15 +10,15 @@
     let term = |all: &[(&str, &str)], word: &str| {
         all.iter().find(|(w, _)| *w == word).map_or(Value::Null, |(_, term)| json!(term))
     };
-    match directive.holds {
-        Holds::Text | Holds::Address | Holds::Addresses | Holds::Date => json!(first),
-        Holds::Time => json!(units::milliseconds(first).unwrap_or(0.0)),
-        Holds::Memory => json!(units::bytes(first).unwrap_or(0.0)),
-        Holds::Number => json!(units::number(first).unwrap_or(0.0)),
-        Holds::Share => json!(units::share(first).unwrap_or(0.0)),
-        Holds::YesNo => json!(first == "yes"),
-        Holds::OneOf(all) => term(all, first),
-        Holds::AnyOf(all) => words.iter().map(|w| term(all, w)).collect(),
+    match directive.value_kind {
+        ValueKind::Text | ValueKind::Address | ValueKind::Addresses | ValueKind::Date => json!(first),
+        ValueKind::Time => json!(units::milliseconds(first).unwrap_or(0.0)),
+        ValueKind::Memory => json!(units::bytes(first).unwrap_or(0.0)),
+        ValueKind::Number => json!(units::number(first).unwrap_or(0.0)),
+        ValueKind::Share => json!(units::share(first).unwrap_or(0.0)),
+        ValueKind::YesNo => json!(first == "yes"),
+        ValueKind::OneOf(all) => term(all, first),
+        ValueKind::AnyOf(all) => words.iter().map(|w| term(all, w)).collect(),
     }
 }
 
@@ -51,7 +51,7 @@
     }
 
     /// The module's terms of each method.
-    pub fn terms(&self) -> Vec<Value> {
+    pub fn method_settings(&self) -> Vec<Value> {
         self.each("method", self.methods())
     }
 
--- a/crates/curlewpoint-config/src/source.rs
+++ b/crates/curlewpoint-config/src/source.rs
@@ -13,18 +13,18 @@
 
 /// All that is wrong with a configuration, drawn with file, line and word.
 #[derive(Debug)]
-pub struct Faults {
+pub struct ConfigErrors {
     pub count: usize,
-    pub drawn: String,
+    pub rendered: String,
 }
 
-impl std::fmt::Display for Faults {
+impl std::fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        f.write_str(&self.drawn)
+        f.write_str(&self.rendered)
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for ConfigErrors {}
 
 #[derive(Default)]
 struct Sources {
@@ -67,7 +67,7 @@
         }
     }
 
-    fn faults(mut self) -> Faults {
+    fn faults(mut self) -> ConfigErrors {
         self.faults.sort_by_key(|f| (f.file, f.span.start));
         let mut files = SimpleFiles::new();
         for (name, text) in &self.names {
@@ -81,26 +81,26 @@
             // Writing to a Vec cannot fail, and the places come from these files.
             let _ = term::emit(&mut NoColor::new(&mut drawn), &term::Config::default(), &files, &told);
         }
-        Faults { count: self.faults.len(), drawn: String::from_utf8_lossy(&drawn).into_owned() }
+        ConfigErrors { count: self.faults.len(), rendered: String::from_utf8_lossy(&drawn).into_owned() }
     }
 }
 
 /// Reads and checks a configuration file and what it includes; all faults are told at once.
-pub fn load(path: impl Into<PathBuf>) -> Result<Config, Faults> {
+pub fn load(path: impl Into<PathBuf>) -> Result<Config, ConfigErrors> {
     let path = path.into();
-    let text = std::fs::read_to_string(&path).map_err(|e| Faults {
+    let text = std::fs::read_to_string(&path).map_err(|e| ConfigErrors {
         count: 1,
-        drawn: format!("error: {}: cannot be read: {e}\n", path.display()),
+        rendered: format!("error: {}: cannot be read: {e}\n", path.display()),
     })?;
     finish(path.display().to_string(), text, Some(path.parent().unwrap_or(Path::new("."))))
 }
 
 /// Checks a configuration held in memory; it cannot include files.
-pub fn parse(name: &str, text: &str) -> Result<Config, Faults> {
+pub fn parse(name: &str, text: &str) -> Result<Config, ConfigErrors> {
     finish(name.to_owned(), text.to_owned(), None)
 }
 
-fn finish(name: String, text: String, folder: Option<&Path>) -> Result<Config, Faults> {
+fn finish(name: String, text: String, folder: Option<&Path>) -> Result<Config, ConfigErrors> {
     let mut sources = Sources::default();
     let lines = sources.read(name, text, folder);
     let mut config = check(&lines, &mut sources.faults);
@@ -115,7 +115,7 @@
 /// Reads another kind of file in the same form (a day's script, say); `check` judges its lines.
 pub fn read_lines<T>(
     name: &str, text: &str, check: impl FnOnce(&[Line], &mut dyn FnMut(&Line, usize, String)) -> T,
-) -> Result<T, Faults> {
+) -> Result<T, ConfigErrors> {
     let mut sources = Sources::default();
     let lines = sources.read(name.to_owned(), text.to_owned(), None);
     let mut found = Vec::new();
--- a/crates/curlewpoint-fleet/src/directory/frames.rs
+++ b/crates/curlewpoint-fleet/src/directory/frames.rs
@@ -17,7 +17,9 @@
 /// Before the frame that tells who speaks: this instance takes part; `only`: the link is for nothing else; `starts`: it
 /// has just started, and knows nothing.
 pub fn part_frame(only: bool, starts: bool) -> Frame {
-    Frame::new(Kind::DIRECTORY_JOIN).int(Field::DIRECTORY_ONLY, u64::from(only)).int(Field::JUST_STARTED, u64::from(starts))
+    Frame::new(Kind::DIRECTORY_JOIN)
+        .int(Field::DIRECTORY_ONLY, u64::from(only))
+        .int(Field::JUST_STARTED, u64::from(starts))
 }
 
 /// A question for what is known of functions.
@@ -75,7 +77,8 @@
 ) -> Result<bool, WireError> {
     match f.kind {
         Kind::DIRECTORY_JOIN => {
-            let (only, starts) = (f.get_int(Field::DIRECTORY_ONLY)? == 1, f.get_int(Field::JUST_STARTED)? == 1);
+            let (only, starts) =
+                (f.get_int(Field::DIRECTORY_ONLY)? == 1, f.get_int(Field::JUST_STARTED)? == 1);
             fleet.takes_part(now, out, link, only);
             if starts {
                 fleet.just_started(link);
--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -64,8 +64,8 @@
 fn read_member(f: &Frame) -> Result<(MemberId, &str, &str, Standing), WireError> {
     let (name, state) = (f.get_text(Field::INSTANCE)?, f.get_int(Field::STATE)?);
     let doubts = f.get_int(Field::UNHEARD_RINGS)?;
-    let doubts =
-        u8::try_from(doubts).map_err(|_| WireError::WrongType(f.kind.0, Field::UNHEARD_RINGS.0, "a row of rings"))?;
+    let doubts = u8::try_from(doubts)
+        .map_err(|_| WireError::WrongType(f.kind.0, Field::UNHEARD_RINGS.0, "a row of rings"))?;
     let (left, dead, blind) = (state & 1 != 0, state & 2 != 0, state & 4 != 0);
     let standing = Standing { incarnation: f.get_int(Field::INCARNATION)?, left, dead, blind, doubts };
     let id = MemberId { instance: InstanceId::of(name), run: Run(f.get_int(Field::RUN_ID)?) };
@@ -88,7 +88,8 @@
     (tag, echo): (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>, sure: bool,
     answer: bool,
 ) -> Frame {
-    let mut f = with_held(Frame::new(Kind::HEARTBEAT).int(Field::TAG, tag).int(Field::ECHOED_TAG, echo), held);
+    let mut f =
+        with_held(Frame::new(Kind::HEARTBEAT).int(Field::TAG, tag).int(Field::ECHOED_TAG, echo), held);
     f = f.int(Field::DIGEST, digest).int(Field::COUNT_IS_SURE, u64::from(sure));
     if let Some(age) = age {
         f = f.int(Field::AGE, age.0);
@@ -225,7 +226,8 @@
             let (tags, digest) =
                 ((f.get_int(Field::TAG)?, f.get_int(Field::ECHOED_TAG)?), f.get_int(Field::DIGEST)?);
             let (held, age) = (held(f)?, f.maybe_int(Field::AGE)?.map(Time));
-            let (sure, answer) = (f.get_int(Field::COUNT_IS_SURE)? == 1, f.get_int(Field::REPLY_WANTED)? == 1);
+            let (sure, answer) =
+                (f.get_int(Field::COUNT_IS_SURE)? == 1, f.get_int(Field::REPLY_WANTED)? == 1);
             fleet.beaten(now, out, link, tags, digest, held, age, sure, answer);
         }
         Kind::WATCH => fleet.list_asked(now, out, link, held(f)?),
--- a/crates/curlewpoint-gateway/src/codes.rs
+++ b/crates/curlewpoint-gateway/src/codes.rs
@@ -47,7 +47,7 @@
 }
 
 /// The final answer that a frame tells a client.
-pub fn answer_of(frame: &Frame) -> Result<Answer, WireError> {
+pub fn read_answer(frame: &Frame) -> Result<Answer, WireError> {
     read(frame, Field::OUTCOME, &ANSWERS, "an answer")
 }
 
--- a/crates/curlewpoint-gateway/src/lib.rs
+++ b/crates/curlewpoint-gateway/src/lib.rs
@@ -14,6 +14,6 @@
 mod snapshot;
 mod workers;
 
-pub use codes::{answer_code, answer_of, copy_code, outcome_code, refusal_name, standing_code};
-pub use reload::{ReloadError, Reloader};
-pub use run::{start, Running, StartError, Stopper};
+pub use codes::{answer_code, copy_code, outcome_code, read_answer, refusal_name, standing_code};
+pub use reload::{ReloadError, ReloadHandle};
+pub use run::{start, RunningScheduler, StartError, StopHandle};
--- a/crates/curlewpoint-gateway/src/outside.rs
+++ b/crates/curlewpoint-gateway/src/outside.rs
@@ -256,7 +256,8 @@
             let _ = reply.send(Reply::Final { answer, rpc, why, retry_after, body });
             return;
         }
-        let mut f = Frame::new(Kind::FINAL_ANSWER).int(Field::TAG, tag).int(Field::OUTCOME, answer_code(answer));
+        let mut f =
+            Frame::new(Kind::FINAL_ANSWER).int(Field::TAG, tag).int(Field::OUTCOME, answer_code(answer));
         f = f.text(Field::RPC_NAME, &name);
         if answer != Answer::Ok {
             f = f.text(Field::REASON, why);
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -295,15 +295,21 @@
             hinted: config.value("fleet", "hints").is_some_and(|h| h == "yes"),
         };
         let (fleet, name) = (config.value("fleet", "name").unwrap_or(""), config.text("name"));
-        let (peers, told) = (config.all("fleet", "peers").to_vec(), config.number("", "instances") as u64);
+        let (peers, told) = (config.values("fleet", "peers").to_vec(), config.number("", "instances") as u64);
         let fleet_name = fleet.to_owned();
         let mut fleet = Fleet::start(now, fleet, (name, this_run()), address, peers, told, limits, seed);
         if config.value("fleet", "directory").is_some() {
             fleet.keep_directory(now, config.number("fleet", "directory") as u64);
         }
         let kept = config.value("fleet", "snapshot").map(|file| {
-            let path = config.path(file);
-            match snapshot::read(&path, &fleet_name, config.time("fleet", "snapshot-age"), now, &mut fleet) {
+            let path = config.resolve_path(file);
+            match snapshot::read(
+                &path,
+                &fleet_name,
+                config.duration("fleet", "snapshot-age"),
+                now,
+                &mut fleet,
+            ) {
                 Ok(age) => info!("fleet: a snapshot {age:?} old is at hand"),
                 Err(why) => info!("fleet: no snapshot is used: {}: {why}", path.display()),
             }
@@ -313,13 +319,13 @@
         let bounds = Bounds {
             frame: MOST_FRAME,
             outbox: (16 << 10, 4 << 20),
-            hello: config.time("connections", "hello-limit"),
-            write: config.time("connections", "write-limit"),
+            hello: config.duration("connections", "hello-limit"),
+            write: config.duration("connections", "write-limit"),
         };
         let door = Door {
             name: name.to_owned(),
             bounds,
-            limit: config.time("connections", "dial-limit"),
+            limit: config.duration("connections", "dial-limit"),
             notes: notes.clone(),
             tasks: tasks.clone(),
         };
--- a/crates/curlewpoint-gateway/src/reload.rs
+++ b/crates/curlewpoint-gateway/src/reload.rs
@@ -24,7 +24,7 @@
 
 impl Prepared {
     pub fn of(config: &Config) -> Result<Prepared, ReloadError> {
-        let at_fault = |what: Vec<String>| ReloadError::Catalogue(what.join("; "));
+        let at_fault = |what: Vec<String>| ReloadError::InvalidCatalogue(what.join("; "));
         let catalogue = Catalogue::of(config)
             .map_err(|faults| at_fault(faults.iter().map(ToString::to_string).collect()))?;
         let mut routes = Routes::new('/');
@@ -37,11 +37,11 @@
             document("/openapi.json", render(&openapi(&catalogue))),
             document("/asyncapi.json", render(&asyncapi(&catalogue))),
         ];
-        let effect = |name: &String| match config.of_method(name, "effect") {
+        let effect = |name: &String| match config.method_value(name, "effect") {
             "idempotent" => Effect::Idempotent,
             "tokened" => {
-                let span = milliseconds(config.of_method(name, "memory-span")).unwrap_or(0.0);
-                let everywhere = config.of_method(name, "group") == "all";
+                let span = milliseconds(config.method_value(name, "memory-span")).unwrap_or(0.0);
+                let everywhere = config.method_value(name, "group") == "all";
                 Effect::Tokened { everywhere, span: Time::from_ms(span) }
             }
             _ => Effect::SideEffecting,
@@ -62,15 +62,15 @@
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ReloadError {
     #[error("this changes only at a restart: {}", .0.join(", "))]
-    Fixed(Vec<String>),
+    RequiresRestart(Vec<String>),
     #[error("the methods' schemas are at fault: {0}")]
-    Catalogue(String),
+    InvalidCatalogue(String),
     #[error("{0} sets of methods still have RPCs open: try again later")]
-    TooMany(usize),
+    TooManyReleases(usize),
     #[error("too many sets of terms have been served: this needs a restart")]
-    TooManyTerms,
+    TooManyMethodSettings,
     #[error("the scheduler ends")]
-    Ended,
+    SchedulerStopped,
 }
 
 pub(crate) struct Reload {
@@ -81,13 +81,13 @@
 
 /// Puts other methods into force while a scheduler runs.
 #[derive(Clone)]
-pub struct Reloader {
+pub struct ReloadHandle {
     pub(crate) notes: mpsc::Sender<Note>,
     /// What was started with: all but the methods stays as it is there.
     pub(crate) started: Arc<Config>,
 }
 
-impl Reloader {
+impl ReloadHandle {
     /// Serves the methods of this configuration from here on; nothing else in it may differ from that of the start. On
     /// any fault those in force stay, and one log line says why.
     pub async fn reload(&self, config: Config) -> Result<Release, ReloadError> {
@@ -100,17 +100,18 @@
     }
 
     async fn put_into_force(&self, config: Config) -> Result<Release, ReloadError> {
-        let differs = self.started.differs(&config);
+        let differs = self.started.changes_requiring_restart(&config);
         if !differs.is_empty() {
-            return Err(ReloadError::Fixed(differs));
+            return Err(ReloadError::RequiresRestart(differs));
         }
         // Schemas are compiled and documents written on a thread of their own: a large catalogue takes its time.
-        let preparing =
-            tokio::task::spawn_blocking(move || Ok((Arc::new(Prepared::of(&config)?), config.terms())));
-        let (prepared, terms) = preparing.await.map_err(|_| ReloadError::Ended)??;
+        let preparing = tokio::task::spawn_blocking(move || {
+            Ok((Arc::new(Prepared::of(&config)?), config.method_settings()))
+        });
+        let (prepared, terms) = preparing.await.map_err(|_| ReloadError::SchedulerStopped)??;
         let (told, tell) = oneshot::channel();
         let reload = Reload { prepared, terms, told };
-        self.notes.send(Note::Reload(reload)).await.map_err(|_| ReloadError::Ended)?;
-        tell.await.map_err(|_| ReloadError::Ended)?
+        self.notes.send(Note::Reload(reload)).await.map_err(|_| ReloadError::SchedulerStopped)?;
+        tell.await.map_err(|_| ReloadError::SchedulerStopped)?
     }
 }
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -22,7 +22,7 @@
 use crate::notes::Note;
 use crate::outside::Outside;
 use crate::peers::Mesh;
-use crate::reload::{InForce, Prepared, ReloadError, Reloader};
+use crate::reload::{InForce, Prepared, ReloadError, ReloadHandle};
 use crate::workers::Dialler;
 use crate::{amqp, clients, codes, http, list};
 
@@ -31,11 +31,11 @@
     #[error("cannot listen on {0}: {1}")]
     Listen(String, std::io::Error),
     #[error("{0}")]
-    Methods(ReloadError),
+    InvalidMethods(ReloadError),
     #[error("tls-roots: {0}")]
     Tls(String),
     #[error("amqp needs a journal: a file")]
-    NoJournal,
+    MissingJournal,
     #[error(transparent)]
     Journal(#[from] JournalError),
 }
@@ -54,7 +54,7 @@
 /// An attempt's head is longer than the RPC's by less than this, in bytes.
 const HEADROOM: usize = 4096;
 /// A scheduler that serves.
-pub struct Running {
+pub struct RunningScheduler {
     pub address: SocketAddr,
     /// The HTTP door, where there is one.
     pub http: Option<SocketAddr>,
@@ -66,26 +66,26 @@
 
 /// Ends a scheduler from elsewhere.
 #[derive(Clone)]
-pub struct Stopper(mpsc::Sender<Note>);
+pub struct StopHandle(mpsc::Sender<Note>);
 
-impl Stopper {
+impl StopHandle {
     /// Asks for an orderly end; a second time, for one at once.
     pub async fn stop(&self) {
         let _ = self.0.send(Note::Stop).await;
     }
 }
 
-impl Running {
-    pub fn stopper(&self) -> Stopper {
-        Stopper(self.stop.clone())
+impl RunningScheduler {
+    pub fn stop_handle(&self) -> StopHandle {
+        StopHandle(self.stop.clone())
     }
 
-    pub fn reloader(&self) -> Reloader {
-        Reloader { notes: self.stop.clone(), started: Arc::clone(&self.started) }
+    pub fn reload_handle(&self) -> ReloadHandle {
+        ReloadHandle { notes: self.stop.clone(), started: Arc::clone(&self.started) }
     }
 
     pub async fn stop(&self) {
-        self.stopper().stop().await;
+        self.stop_handle().stop().await;
     }
 
     /// Waits for the end, and tells where every RPC went.
@@ -103,7 +103,7 @@
         None => None,
         Some(file) => {
             let name = config.value("amqp", "tls-name").unwrap_or("");
-            Some(amqp::Tls::new(&config.path(file), name).map_err(StartError::Tls)?)
+            Some(amqp::Tls::new(&config.resolve_path(file), name).map_err(StartError::Tls)?)
         }
     };
     let text = |name| config.value("amqp", name).unwrap_or("").to_owned();
@@ -125,18 +125,18 @@
         time_left: config.value("amqp", "time-left").map(|_| ms("time-left")),
         dead_letters: text("dead-letters"),
         keep: ms("keep"),
-        back_off: (config.time("amqp", "amqp-back-off"), config.time("amqp", "amqp-most-back-off")),
+        back_off: (config.duration("amqp", "amqp-back-off"), config.duration("amqp", "amqp-most-back-off")),
         seed,
     }))
 }
 
 /// Starts a scheduler. It serves from the moment this returns; the list may come later.
-pub async fn start(config: &Config) -> Result<Running, StartError> {
+pub async fn start(config: &Config) -> Result<RunningScheduler, StartError> {
     let listen = config.text("listen").to_owned();
     let listener = curlewpoint_link::listen(&listen).map_err(|e| StartError::Listen(listen.clone(), e))?;
     let address = listener.local_addr().map_err(|e| StartError::Listen(listen, e))?;
     let of = |name| config.number("connections", name);
-    let prepared = Arc::new(Prepared::of(config).map_err(StartError::Methods)?);
+    let prepared = Arc::new(Prepared::of(config).map_err(StartError::InvalidMethods)?);
     let door = match config.value("", "http") {
         None => None,
         Some(at) => Some(curlewpoint_link::listen(at).map_err(|e| StartError::Listen(at.to_owned(), e))?),
@@ -145,8 +145,8 @@
     let bounds = Bounds {
         frame: of("most-frame") as usize,
         outbox: (of("outbox-frames") as usize, of("outbox") as usize),
-        hello: config.time("connections", "hello-limit"),
-        write: config.time("connections", "write-limit"),
+        hello: config.duration("connections", "hello-limit"),
+        write: config.duration("connections", "write-limit"),
     };
     let seed = match config.value("", "seed") {
         Some(_) => u128::from(config.number("", "seed") as u64),
@@ -159,7 +159,7 @@
 
     let (answers_in, answers) = mpsc::channel(WAITING);
     let (asks_in, asks) = mpsc::channel(WAITING);
-    let dial = config.time("connections", "dial-limit");
+    let dial = config.duration("connections", "dial-limit");
     let dialler = Dialler { name: name.clone(), bounds, limit: dial, notes: answers_in.clone() };
     let ms = |name| Time::from_ms(of(name));
     let limits = PoolLimits {
@@ -200,7 +200,7 @@
         let limits = Limits {
             connections: of("http-clients") as usize,
             body: of_clients.frame,
-            slow: config.time("connections", "http-slow"),
+            slow: config.duration("connections", "http-slow"),
             head: of("http-head") as usize,
         };
         let (endings, asks) = (answers_in.clone(), asks_in.clone());
@@ -208,12 +208,12 @@
         helpers.push(tasks.spawn(http::serve(door, requests, stopped)).abort_handle());
     }
     if let Some(settings) = broker(config, seed)? {
-        let path = config.value("amqp", "journal").ok_or(StartError::NoJournal)?;
+        let path = config.value("amqp", "journal").ok_or(StartError::MissingJournal)?;
         let most = config.number("amqp", "journal-most") as u64;
         let limits =
-            JournalLimits { delay: config.time("amqp", "journal-delay"), most, ..Default::default() };
+            JournalLimits { delay: config.duration("amqp", "journal-delay"), most, ..Default::default() };
         let mut before = amqp::Before::default();
-        let journal = Journal::open(&config.path(path), limits, &mut before)?;
+        let journal = Journal::open(&config.resolve_path(path), limits, &mut before)?;
         let stopped = no_more.subscribe();
         tasks.spawn(amqp::serve(
             settings,
@@ -251,9 +251,9 @@
         over: false,
         closing,
     };
-    let end = tokio::spawn(turn.run(answers, asks, tasks, config.time("", "stop-limit")));
+    let end = tokio::spawn(turn.run(answers, asks, tasks, config.duration("", "stop-limit")));
     let started = Arc::new(config.clone());
-    Ok(Running { address, http, stop: asks_in, started, end, helpers })
+    Ok(RunningScheduler { address, http, stop: asks_in, started, end, helpers })
 }
 
 struct Ending {
@@ -586,11 +586,12 @@
     fn reload(
         &mut self, now: Time, prepared: Arc<Prepared>, terms: Vec<serde_json::Value>,
     ) -> Result<Release, ReloadError> {
-        self.engine.world().releases.has_room().map_err(|e| ReloadError::TooMany(e.0))?;
-        self.engine.serve(terms).map_err(|_| ReloadError::TooManyTerms)?;
+        self.engine.world().releases.has_room().map_err(|e| ReloadError::TooManyReleases(e.0))?;
+        self.engine.serve(terms).map_err(|_| ReloadError::TooManyMethodSettings)?;
         let releases = &mut self.engine.world().releases;
-        let release =
-            releases.reload(now, Arc::clone(&prepared.catalogue)).map_err(|e| ReloadError::TooMany(e.0))?;
+        let release = releases
+            .reload(now, Arc::clone(&prepared.catalogue))
+            .map_err(|e| ReloadError::TooManyReleases(e.0))?;
         let (held, withdrawn) = (releases.held(), releases.withdrawn().clone());
         let (methods, of) = (prepared.catalogue.methods().count(), &prepared.catalogue.release);
         info!(release = release.0, of, methods, held, "other methods are in force");
--- a/crates/curlewpoint-lab/benches/forward.rs
+++ b/crates/curlewpoint-lab/benches/forward.rs
@@ -81,7 +81,10 @@
             while let Some(Ok(f)) = reader.next().await {
                 let asked = waiting.lock().expect("held shortly").remove(&f.get_int(Field::TAG).unwrap_or(0));
                 if let Some((client, tag)) = asked {
-                    let f = Frame::new(Kind::FINAL_ANSWER).int(Field::TAG, tag).int(Field::OUTCOME, 0).body(f.body);
+                    let f = Frame::new(Kind::FINAL_ANSWER)
+                        .int(Field::TAG, tag)
+                        .int(Field::OUTCOME, 0)
+                        .body(f.body);
                     let _ = client.send(f, None);
                 }
             }
@@ -256,11 +259,11 @@
         );
     }
     let config = curlewpoint_config::parse("rehearsal.conf", CONFIG).expect("shipped");
-    let config = config.with("list", &list.address.to_string()).with("seed", "1");
+    let config = config.with_value("list", &list.address.to_string()).with_value("seed", "1");
     let (tell, told) = std::sync::mpsc::channel();
     let gateway = on_its_own(move || async move {
         let running =
-            curlewpoint_gateway::start(&config.with("http", "127.0.0.1:0")).await.expect("it starts");
+            curlewpoint_gateway::start(&config.with_value("http", "127.0.0.1:0")).await.expect("it starts");
         let address = running.address;
         let _ = tell.send(running.http.expect("it has the door"));
         tokio::spawn(running.wait());
--- a/crates/curlewpoint-lab/benches/triggers.rs
+++ b/crates/curlewpoint-lab/benches/triggers.rs
@@ -74,12 +74,13 @@
         .join(format!("curlewpoint-triggers-{}-{method}-{held}-{delay}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let config = curlewpoint_config::parse("rehearsal.conf", &CONFIG.replace("deadline 4s", "deadline 60s"));
-    let config = config.expect("shipped").with("list", &rig.list.address.to_string()).with("seed", "1");
+    let config =
+        config.expect("shipped").with_value("list", &rig.list.address.to_string()).with_value("seed", "1");
     let config = config
-        .with_in("amqp", "address", &rig.broker.address.to_string())
-        .with_in("amqp", "journal", &folder.join("journal").display().to_string())
-        .with_in("amqp", "journal-delay", delay)
-        .with_in("amqp", "most-held", held);
+        .with_block_value("amqp", "address", &rig.broker.address.to_string())
+        .with_block_value("amqp", "journal", &folder.join("journal").display().to_string())
+        .with_block_value("amqp", "journal-delay", delay)
+        .with_block_value("amqp", "most-held", held);
     let gateway = curlewpoint_gateway::start(&config).await.expect("it starts");
     // Some to open the window with, before what is counted.
     (0..2_000).for_each(|id| rig.put(&queue, id, Bytes::new()));
--- a/crates/curlewpoint-lab/src/check.rs
+++ b/crates/curlewpoint-lab/src/check.rs
@@ -44,12 +44,15 @@
     /// What a configuration says of the rules; the workers' part is the caller's.
     pub fn of(config: &Config) -> Terms {
         let ms = |name| Time::from_ms(config.number("workers", name));
-        let effect = |m: &String| match config.of_method(m, "effect") {
+        let effect = |m: &String| match config.method_value(m, "effect") {
             "idempotent" => Effect::Idempotent,
             "tokened" => {
                 let span =
-                    curlewpoint_config::milliseconds(config.of_method(m, "memory-span")).unwrap_or(0.0);
-                Effect::Tokened { group: config.of_method(m, "group").to_owned(), span: Time::from_ms(span) }
+                    curlewpoint_config::milliseconds(config.method_value(m, "memory-span")).unwrap_or(0.0);
+                Effect::Tokened {
+                    group: config.method_value(m, "group").to_owned(),
+                    span: Time::from_ms(span),
+                }
             }
             _ => Effect::SideEffecting,
         };
--- a/crates/curlewpoint-lab/src/client.rs
+++ b/crates/curlewpoint-lab/src/client.rs
@@ -4,7 +4,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use curlewpoint::types::Time;
 use curlewpoint_engine::Answer;
-use curlewpoint_gateway::answer_of;
+use curlewpoint_gateway::read_answer;
 use curlewpoint_link::{open, Bounds, Link, LinkError, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 use tokio::net::TcpStream;
@@ -51,11 +51,15 @@
                 Kind::FINAL_ANSWER => {
                     let text = |field| f.get_text(field).unwrap_or("").to_owned();
                     let retry_after = Time(f.maybe_int(Field::RETRY_AFTER)?.unwrap_or(0));
-                    let (answer, rpc, why) = (answer_of(&f)?, text(Field::RPC_NAME), text(Field::REASON));
+                    let (answer, rpc, why) = (read_answer(&f)?, text(Field::RPC_NAME), text(Field::REASON));
                     return Ok(Called::Final { answer, rpc, why, retry_after, body: f.body });
                 }
-                Kind::REFUSED => return Ok(Called::Refused(f.get_text(Field::REASON).unwrap_or("").to_owned())),
-                Kind::FAULT => return Err(LinkError::Fault(f.get_text(Field::REASON).unwrap_or("").to_owned())),
+                Kind::REFUSED => {
+                    return Ok(Called::Refused(f.get_text(Field::REASON).unwrap_or("").to_owned()))
+                }
+                Kind::FAULT => {
+                    return Err(LinkError::Fault(f.get_text(Field::REASON).unwrap_or("").to_owned()))
+                }
                 _ => {}
             }
         }
@@ -91,7 +95,7 @@
                 let Ok(key) = f.get_int(Field::TAG) else { continue };
                 match f.kind {
                     Kind::FINAL_ANSWER => {
-                        if let Ok(answer) = answer_of(&f) {
+                        if let Ok(answer) = read_answer(&f) {
                             seen.add(Seen::Final { key, answer });
                         }
                     }
--- a/crates/curlewpoint-lab/src/day.rs
+++ b/crates/curlewpoint-lab/src/day.rs
@@ -232,8 +232,8 @@
                     .await?,
             );
         }
-        let config = config.clone().with("list", &list.address.to_string());
-        let config = config.with("instances", &script.schedulers.to_string());
+        let config = config.clone().with_value("list", &list.address.to_string());
+        let config = config.with_value("instances", &script.schedulers.to_string());
         let traffic = Traffic {
             times: 1.0,
             shares: vec![1.0 / script.schedulers as f64; script.schedulers],
@@ -276,12 +276,12 @@
     }
 
     async fn instance(&self, no: usize, listen: &str) -> std::io::Result<Instance> {
-        let config = self.config.clone().with("name", &format!("front-{no}"));
+        let config = self.config.clone().with_value("name", &format!("front-{no}"));
         let config = match self.by {
-            Entrance::Native => config.with("listen", listen),
-            Entrance::Http => config.with("http", listen),
+            Entrance::Native => config.with_value("listen", listen),
+            Entrance::Http => config.with_value("http", listen),
         };
-        let config = config.with("seed", &format!("{}", self.script.seed * 100 + no as u64));
+        let config = config.with_value("seed", &format!("{}", self.script.seed * 100 + no as u64));
         Instance::start(config, self.record.clone()).await
     }
 
@@ -532,7 +532,8 @@
     let mut office: Option<Front> = None;
     let weights: Vec<f64> = (1..=script.models).map(|rank| (rank as f64).powf(-script.zipf)).collect();
     let sum: f64 = weights.iter().sum();
-    let deadline = |m: &str| Time::from_ms(milliseconds(config.of_method(m, "deadline")).unwrap_or(1000.0));
+    let deadline =
+        |m: &str| Time::from_ms(milliseconds(config.method_value(m, "deadline")).unwrap_or(1000.0));
     let tenants = config.tenants().to_vec();
     let mut at = record.now();
     loop {
--- a/crates/curlewpoint-lab/src/report.rs
+++ b/crates/curlewpoint-lab/src/report.rs
@@ -41,7 +41,7 @@
             }
             Seen::Final { key, answer } => {
                 let Some((asked, method)) = open.remove(key) else { continue };
-                let soft = milliseconds(config.of_method(&method, "soft-deadline")).unwrap_or(f64::MAX);
+                let soft = milliseconds(config.method_value(&method, "soft-deadline")).unwrap_or(f64::MAX);
                 let row = rows.entry(method).or_default();
                 match answer {
                     Answer::Ok => {
--- a/crates/curlewpoint-lab/src/script.rs
+++ b/crates/curlewpoint-lab/src/script.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use curlewpoint::types::Time;
-use curlewpoint_config::{bytes, milliseconds, read_lines, share, Config, Faults, Line};
+use curlewpoint_config::{bytes, milliseconds, read_lines, share, Config, ConfigErrors, Line};
 use curlewpoint_emulator::WorkerSpec;
 
 use crate::stand::Trade;
@@ -263,7 +263,7 @@
     }
 
     /// Reads a script; all faults are told at once.
-    pub fn parse(name: &str, text: &str) -> Result<Script, Faults> {
+    pub fn parse(name: &str, text: &str) -> Result<Script, ConfigErrors> {
         read_lines(name, text, |lines, fault| {
             let mut events = Vec::new();
             let mut s = Script::of_lines(Script::default(), lines, fault, &mut |line, fault| {
@@ -341,6 +341,6 @@
     #[test_case("workers 0", "workers must be at least 1" ; "no worker")]
     fn faults_are_told_with_their_place(line: &str, want: &str) {
         let told = Script::parse("x.day", &format!("method a {{\n  work 5ms\n}}\n{line}\n")).unwrap_err();
-        assert!(told.drawn.contains(want) && told.drawn.contains("x.day:"), "{told}");
+        assert!(told.rendered.contains(want) && told.rendered.contains("x.day:"), "{told}");
     }
 }
--- a/crates/curlewpoint-lab/tests/caught.rs
+++ b/crates/curlewpoint-lab/tests/caught.rs
@@ -47,9 +47,9 @@
     fn attempt(&mut self, worker: usize, asked: &Frame) {
         self.next += 1;
         let text = |field| asked.get_text(field).unwrap_or("");
+        let f = Frame::new(Kind::ATTEMPT).int(Field::TAG, self.next).text(Field::METHOD, text(Field::METHOD));
         let f =
-            Frame::new(Kind::ATTEMPT).int(Field::TAG, self.next).text(Field::METHOD, text(Field::METHOD));
-        let f = f.text(Field::MODEL, text(Field::MODEL)).int(Field::TIME_LEFT, 30_000).body(asked.body.clone());
+            f.text(Field::MODEL, text(Field::MODEL)).int(Field::TIME_LEFT, 30_000).body(asked.body.clone());
         self.workers[worker].outbox.send(f, None).unwrap();
     }
 
--- a/crates/curlewpoint-lab/tests/sockets/amqp.rs
+++ b/crates/curlewpoint-lab/tests/sockets/amqp.rs
@@ -11,7 +11,7 @@
 use curlewpoint::types::{Outcome, Standing, Time};
 use curlewpoint_config::Config;
 use curlewpoint_emulator::{BrokerFaults, Message};
-use curlewpoint_gateway::Running;
+use curlewpoint_gateway::RunningScheduler;
 use curlewpoint_lab::stand::wire::Say;
 use curlewpoint_lab::stand::{BrokerStand, ListStand};
 use curlewpoint_lab::Record;
@@ -47,14 +47,16 @@
 
     fn config(&self, instance: &str) -> Config {
         let journal = self.folder.join(instance).display().to_string();
-        let c =
-            config().with("name", instance).with("list", &self.list.address.to_string()).with("seed", "7");
-        c.with_in("amqp", "address", &self.broker.address.to_string())
-            .with_in("amqp", "journal", &journal)
-            .with_in("amqp", "amqp-back-off", "20ms")
+        let c = config()
+            .with_value("name", instance)
+            .with_value("list", &self.list.address.to_string())
+            .with_value("seed", "7");
+        c.with_block_value("amqp", "address", &self.broker.address.to_string())
+            .with_block_value("amqp", "journal", &journal)
+            .with_block_value("amqp", "amqp-back-off", "20ms")
     }
 
-    async fn gateway(&self, instance: &str) -> Running {
+    async fn gateway(&self, instance: &str) -> RunningScheduler {
         curlewpoint_gateway::start(&self.config(instance)).await.unwrap()
     }
 
@@ -139,7 +141,7 @@
     }
 }
 
-async fn end(gateway: Running) -> curlewpoint_engine::Figures {
+async fn end(gateway: RunningScheduler) -> curlewpoint_engine::Figures {
     gateway.stop().await;
     gateway.wait().await
 }
@@ -332,8 +334,9 @@
     std::fs::write(o.folder.join("gateway.conf"), text).unwrap();
     std::fs::write(o.folder.join("asked.json"), r#"{"required": ["page"]}"#).unwrap();
     let config = curlewpoint_config::load(o.folder.join("gateway.conf")).unwrap_or_else(|f| panic!("{f}"));
-    let config = config.with("list", &o.list.address.to_string()).with_in("amqp", "journal", "journal");
-    let config = config.with_in("amqp", "address", &o.broker.address.to_string());
+    let config =
+        config.with_value("list", &o.list.address.to_string()).with_block_value("amqp", "journal", "journal");
+    let config = config.with_block_value("amqp", "address", &o.broker.address.to_string());
     let gateway = curlewpoint_gateway::start(&config).await.unwrap();
     o.ask(EXTRACTS, "m1", |p| p);
     let told = o.waiting("office", 1).await;
@@ -375,7 +378,9 @@
     let mut a = Puppet::start("a").await;
     let o = Office::open("still", &[&a]).await;
     let gateway =
-        curlewpoint_gateway::start(&o.config("front-1").with_in("amqp", "heartbeat", "1s")).await.unwrap();
+        curlewpoint_gateway::start(&o.config("front-1").with_block_value("amqp", "heartbeat", "1s"))
+            .await
+            .unwrap();
     o.ask(EXTRACTS, "m1", |p| p.with_expiration("20000".into()));
     let asked = a.attempt().await;
     o.broker.mute(true);
@@ -421,18 +426,24 @@
         }
     });
     let roots = o.folder.join("roots.pem").display().to_string();
-    let tls = o.config("front-1").with_in("amqp", "address", &address).with_in("amqp", "tls-roots", &roots);
-    let wrong =
-        curlewpoint_gateway::start(&tls.clone().with_in("amqp", "tls-name", "other.test")).await.unwrap();
+    let tls = o.config("front-1").with_block_value("amqp", "address", &address).with_block_value(
+        "amqp",
+        "tls-roots",
+        &roots,
+    );
+    let wrong = curlewpoint_gateway::start(&tls.clone().with_block_value("amqp", "tls-name", "other.test"))
+        .await
+        .unwrap();
     refused.recv().await.unwrap();
     end(wrong).await;
-    let right = curlewpoint_gateway::start(&tls.with_in("amqp", "tls-name", "broker.test")).await.unwrap();
+    let right =
+        curlewpoint_gateway::start(&tls.with_block_value("amqp", "tls-name", "broker.test")).await.unwrap();
     o.ask(EXTRACTS, "m1", |p| p);
     let asked = a.attempt().await;
     a.answer(&asked, Outcome::Ok);
     assert_eq!(answer(&o.waiting("office", 1).await[0]), said("m1", "ok"));
     end(right).await;
-    let none = o.config("front-2").with_in("amqp", "tls-roots", "/nowhere.pem");
+    let none = o.config("front-2").with_block_value("amqp", "tls-roots", "/nowhere.pem");
     assert!(curlewpoint_gateway::start(&none).await.is_err());
 }
 
--- a/crates/curlewpoint-lab/tests/sockets/common.rs
+++ b/crates/curlewpoint-lab/tests/sockets/common.rs
@@ -3,7 +3,7 @@
 use curlewpoint::types::{Standing, Time};
 use curlewpoint_config::Config;
 use curlewpoint_emulator::Row;
-use curlewpoint_gateway::Running;
+use curlewpoint_gateway::RunningScheduler;
 use curlewpoint_lab::stand::ListStand;
 pub use curlewpoint_lab::stand::{answer, Puppet};
 use curlewpoint_lab::{Office, Record, Seen, CONFIG};
@@ -15,14 +15,14 @@
 /// A dial that hangs counts as a dead worker only after so long that no busy machine comes near it: no test on sockets is
 /// about dials that hang.
 pub fn patient(config: Config) -> Config {
-    config.with_in("connections", "dial-limit", "20s")
+    config.with_block_value("connections", "dial-limit", "20s")
 }
 
 /// A gateway with its list service, and a client.
 pub struct Stage {
     pub record: Record,
     pub list: ListStand,
-    pub gateway: Running,
+    pub gateway: RunningScheduler,
     pub office: Office,
 }
 
@@ -31,14 +31,14 @@
         let record = Record::default();
         let list = ListStand::start("127.0.0.1:0", &record, Time(0)).await.expect("loopback");
         workers.iter().for_each(|w| name(&list, w, Standing::Ready));
-        let config = patient(config).with("list", &list.address.to_string());
+        let config = patient(config).with_value("list", &list.address.to_string());
         let gateway = curlewpoint_gateway::start(&config).await.expect("loopback");
         let office = Office::open(&gateway.address.to_string(), "front", &record).await.expect("it serves");
         Stage { record, list, gateway, office }
     }
 
     pub async fn new(workers: &[&Puppet]) -> Stage {
-        Stage::with(config().with("seed", "7"), workers).await
+        Stage::with(config().with_value("seed", "7"), workers).await
     }
 
     pub fn ask(&self, key: u64, method: &str, left_ms: u64) {
--- a/crates/curlewpoint-lab/tests/sockets/doors.rs
+++ b/crates/curlewpoint-lab/tests/sockets/doors.rs
@@ -69,8 +69,11 @@
     stage.gateway.wait().await;
     let (frames, closed) = reading.join().unwrap();
     assert!(closed, "closed, not reset");
-    let tags: Vec<_> =
-        frames.iter().filter(|f| f.kind == Kind::FINAL_ANSWER).map(|f| f.get_int(Field::TAG).unwrap()).collect();
+    let tags: Vec<_> = frames
+        .iter()
+        .filter(|f| f.kind == Kind::FINAL_ANSWER)
+        .map(|f| f.get_int(Field::TAG).unwrap())
+        .collect();
     assert_eq!(tags, (1..=8).collect::<Vec<_>>());
     assert!(frames.iter().filter(|f| f.kind == Kind::FINAL_ANSWER).all(|f| f.body.len() == 12_000));
     assert_eq!(frames.last().map(|f| f.kind), Some(Kind::FAULT));
@@ -114,7 +117,7 @@
 
 /// A gateway with the HTTP door.
 async fn with_http(a: &Puppet) -> (Stage, std::net::SocketAddr) {
-    let stage = Stage::with(config().with("seed", "7").with("http", "127.0.0.1:0"), &[a]).await;
+    let stage = Stage::with(config().with_value("seed", "7").with_value("http", "127.0.0.1:0"), &[a]).await;
     let http = stage.gateway.http.expect("it has the door");
     (stage, http)
 }
--- a/crates/curlewpoint-lab/tests/sockets/hard.rs
+++ b/crates/curlewpoint-lab/tests/sockets/hard.rs
@@ -166,7 +166,7 @@
     let record = Record::default();
     let list = curlewpoint_lab::stand::ListStand::start("127.0.0.1:0", &record, Time(0)).await.unwrap();
     list.down_until(record.now() + Time(4_000));
-    let config = config().with("list", &list.address.to_string());
+    let config = config().with_value("list", &list.address.to_string());
     let gateway = curlewpoint_gateway::start(&config).await.unwrap();
     let office = Office::open(&gateway.address.to_string(), "front", &record).await.unwrap();
     let stage = Stage { record, list, gateway, office };
--- a/crates/curlewpoint-lab/tests/sockets/http.rs
+++ b/crates/curlewpoint-lab/tests/sockets/http.rs
@@ -75,8 +75,9 @@
         });
         std::fs::write(&path, text).unwrap();
         let config = curlewpoint_config::load(&path).unwrap_or_else(|f| panic!("{f}"));
-        let config = patient(config).with("seed", "7").with("list", &self.stage.list.address.to_string());
-        self.stage.gateway.reloader().reload(config).await.map(drop)
+        let config =
+            patient(config).with_value("seed", "7").with_value("list", &self.stage.list.address.to_string());
+        self.stage.gateway.reload_handle().reload(config).await.map(drop)
     }
 }
 
@@ -104,7 +105,7 @@
     write("told.json", r#"{"type": "object", "required": ["page"]}"#);
     write("pages.json", r#"[{"page": 3}]"#);
     let config = curlewpoint_config::load(folder.join("gateway.conf")).unwrap_or_else(|f| panic!("{f}"));
-    let stage = Stage::with(config.with("seed", "7"), workers).await;
+    let stage = Stage::with(config.with_value("seed", "7"), workers).await;
     let http = stage.gateway.http.expect("it has the door").to_string();
     Door { stage, http, folder: Folder(folder) }
 }
--- a/crates/curlewpoint-lab/tests/sockets/reload.rs
+++ b/crates/curlewpoint-lab/tests/sockets/reload.rs
@@ -18,7 +18,7 @@
         text = text.replace(from, to);
     }
     let config = curlewpoint_config::parse("rehearsal.conf", &text).unwrap_or_else(|f| panic!("{f}"));
-    patient(config).with("list", &s.list.address.to_string()).with("seed", "7")
+    patient(config).with_value("list", &s.list.address.to_string()).with_value("seed", "7")
 }
 
 const NO_ISSUE: (&str, &str) = ("method issue-extract {", "method issue-extracts {");
@@ -36,7 +36,7 @@
     let s = Stage::new(&[&a]).await;
     s.ask(1, "issue-extract", 4_000);
     let asked = a.attempt().await;
-    let reloader = s.gateway.reloader();
+    let reloader = s.gateway.reload_handle();
     reloader.reload(changed(&s, &[NO_ISSUE])).await.unwrap();
     s.ask(2, "issue-extract", 4_000);
     assert_eq!(refusal(&s, 2).await, "withdrawn");
@@ -68,7 +68,7 @@
         x = a.attempt() => (x, true),
         x = b.attempt() => (x, false),
     };
-    s.gateway.reloader().reload(changed(&s, &[only_issue])).await.unwrap();
+    s.gateway.reload_handle().reload(changed(&s, &[only_issue])).await.unwrap();
     let (this, other) = if to_a { (&mut a, &mut b) } else { (&mut b, &mut a) };
     this.answer(&first, Outcome::Error);
     // Taken as idempotent: it may have run, and goes out again.
@@ -91,17 +91,17 @@
 async fn as_many_sets_are_held_as_are_stated_and_a_further_reload_waits_for_one_to_end() {
     let mut a = Puppet::start("a").await;
     let s = Stage::new(&[&a]).await;
-    let reloader = s.gateway.reloader();
+    let reloader = s.gateway.reload_handle();
     let mut asked = Vec::new();
     for (key, release) in [(1, "2"), (2, "3")] {
         s.ask(key, "issue-extract", 4_000);
         asked.push(a.attempt().await);
-        reloader.reload(changed(&s, &[]).with("release", release)).await.unwrap();
+        reloader.reload(changed(&s, &[]).with_value("release", release)).await.unwrap();
     }
     s.ask(3, "issue-extract", 4_000);
     asked.push(a.attempt().await);
     let third = changed(&s, &[NO_ISSUE]);
-    assert_eq!(reloader.reload(third.clone()).await, Err(ReloadError::TooMany(3)));
+    assert_eq!(reloader.reload(third.clone()).await, Err(ReloadError::TooManyReleases(3)));
     // Nothing of it came into force.
     s.ask(4, "issue-extract", 4_000);
     let more = a.attempt().await;
@@ -121,8 +121,8 @@
     let a = Puppet::start("a").await;
     let s = Stage::new(&[&a]).await;
     let new = changed(&s, &[("drain-grace 500ms", "drain-grace 900ms"), ("deadline 4s", "deadline 3s")]);
-    let told = s.gateway.reloader().reload(new.with("listen", "127.0.0.1:9")).await.unwrap_err();
-    assert_eq!(told, ReloadError::Fixed(vec!["listen".into(), "workers drain-grace".into()]));
+    let told = s.gateway.reload_handle().reload(new.with_value("listen", "127.0.0.1:9")).await.unwrap_err();
+    assert_eq!(told, ReloadError::RequiresRestart(vec!["listen".into(), "workers drain-grace".into()]));
 }
 
 /// Two instances, one of which knows the method already: clients meet both.
@@ -131,8 +131,8 @@
     let mut a = Puppet::start("a").await;
     let s = Stage::new(&[&a]).await;
     let behind =
-        curlewpoint_gateway::start(&config().with("list", &s.list.address.to_string())).await.unwrap();
-    s.gateway.reloader().reload(changed(&s, &[NO_ISSUE])).await.unwrap();
+        curlewpoint_gateway::start(&config().with_value("list", &s.list.address.to_string())).await.unwrap();
+    s.gateway.reload_handle().reload(changed(&s, &[NO_ISSUE])).await.unwrap();
     let call = |address: String, method: &'static str| async move {
         curlewpoint_lab::call(&address, method, "m", "", Time(40_000), None, bytes::Bytes::new())
             .await
@@ -171,16 +171,16 @@
             CONFIG.replace("soft-deadline 800ms", "soft-deadline 60s").replace("deadline 4s", "deadline 60s");
         text.replace("gain 2", &gain)
     };
-    let of = |no| curlewpoint_config::parse("rehearsal.conf", &terms(no)).unwrap().with("seed", "7");
+    let of = |no| curlewpoint_config::parse("rehearsal.conf", &terms(no)).unwrap().with_value("seed", "7");
     let s = Stage::with(of(0), &[&a]).await;
-    let reloader = s.gateway.reloader();
+    let reloader = s.gateway.reload_handle();
     let mut kept = None;
     for no in 0..RELOADS {
         for key in no * EACH..(no + 1) * EACH {
             s.ask(key, "read-fields", 60_000);
         }
         let first = next(&mut a, &s).await;
-        let new = patient(of(no + 1)).with("list", &s.list.address.to_string());
+        let new = patient(of(no + 1)).with_value("list", &s.list.address.to_string());
         reloader.reload(new).await.unwrap();
         for _ in 1..EACH {
             let asked = next(&mut a, &s).await;
--- a/crates/curlewpoint-rig/src/figures/directory.rs
+++ b/crates/curlewpoint-rig/src/figures/directory.rs
@@ -11,7 +11,8 @@
 use crate::relay::{Passed, Taped};
 
 const SECOND: Time = Time(10_000);
-const KINDS: [Kind; 4] = [Kind::DIRECTORY_JOIN, Kind::DIRECTORY_QUERY, Kind::DIRECTORY_UPDATE, Kind::OBSERVATIONS];
+const KINDS: [Kind; 4] =
+    [Kind::DIRECTORY_JOIN, Kind::DIRECTORY_QUERY, Kind::DIRECTORY_UPDATE, Kind::OBSERVATIONS];
 
 /// What the directory reckons that a row takes (two names of nine bytes, five numbers), rows in an answer, and frames that
 /// leave for one member together.
--- a/crates/curlewpoint-rig/src/play.rs
+++ b/crates/curlewpoint-rig/src/play.rs
@@ -1,5 +1,5 @@
 use curlewpoint::types::Time;
-use curlewpoint_config::{milliseconds, read_lines, share, Faults, Line};
+use curlewpoint_config::{milliseconds, read_lines, share, ConfigErrors, Line};
 use curlewpoint_lab::{Complain, Script};
 
 macro_rules! plays {
@@ -181,7 +181,7 @@
 
 impl Play {
     /// Reads a play; what it does not say of the fleet and the load is that of all plays. All faults are told at once.
-    pub fn parse(name: &str, text: &str) -> Result<Play, Faults> {
+    pub fn parse(name: &str, text: &str) -> Result<Play, ConfigErrors> {
         let base = read_lines("base.part", BASE, |lines, fault| {
             Script::of_lines(Script::default(), lines, fault, &mut |_, _| false)
         })?;
--- a/crates/curlewpoint-rig/src/play/tests.rs
+++ b/crates/curlewpoint-rig/src/play/tests.rs
@@ -27,5 +27,5 @@
 #[test_case("lenth 5s", "no directive 'lenth'" ; "an unknown directive")]
 fn faults_are_told(line: &str, want: &str) {
     let told = Play::parse("x.play", line).unwrap_err();
-    assert!(told.drawn.contains(want), "{told}");
+    assert!(told.rendered.contains(want), "{told}");
 }
--- a/crates/curlewpoint-rig/src/relay.rs
+++ b/crates/curlewpoint-rig/src/relay.rs
@@ -374,7 +374,8 @@
         }
     };
     let writing = async move {
-        let (mut codec, mut copy, mut passing) = (Codec { max_frame_bytes: MOST }, BytesMut::new(), Passing::default());
+        let (mut codec, mut copy, mut passing) =
+            (Codec { max_frame_bytes: MOST }, BytesMut::new(), Passing::default());
         while let Some((came, mut part)) = waiting.recv().await {
             let (cut, delay, slow) = shared.rules.on(from, to);
             if cut {
@@ -398,7 +399,8 @@
                 let digest = frame.get_int(Field::DIGEST).ok().filter(|_| frame.kind == Kind::HEARTBEAT);
                 let (rows, new) = shared.sights.pass(&frame);
                 let came = shared.record.now() - Time((came.elapsed().as_micros() / 100) as u64);
-                let asks = [Kind::DIRECTORY_QUERY, Kind::DIRECTORY_UPDATE].contains(&frame.kind) && frame.has(Field::FUNCTIONS);
+                let asks = [Kind::DIRECTORY_QUERY, Kind::DIRECTORY_UPDATE].contains(&frame.kind)
+                    && frame.has(Field::FUNCTIONS);
                 let functions =
                     if asks { frame.get_ints(Field::FUNCTIONS).unwrap_or_default() } else { Vec::new() };
                 let younger = shared.sights.younger(came, &frame);
