--- a/crates/curlewpoint-wire/src/lib.rs
+++ b/crates/curlewpoint-wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The native protocol: what clients, schedulers, workers, the store and the list service say to each other.
+//! The native protocol between clients, schedulers, workers, the model store and the list service.
 //!
-//! A [`Frame`] is a [`Kind`], a row of [`Field`]s and a body. There is no struct for each message: what reads a
-//! frame asks for the fields that it needs, and passes over kinds and fields that it does not know.
+//! A [`Frame`] has a [`Kind`], a sequence of [`Field`]s and a body. There is no struct per message: a reader looks up
+//! the fields that it needs and ignores kinds and fields that it does not know.
 //!
 //! ```
 //! use curlewpoint_wire::{Field, Frame, Kind};
@@ -16,5 +16,5 @@
 pub use codec::{Codec, PREFIX_BYTES};
 pub use frame::{Field, Frame, Kind, WireError};
 
-/// What this package speaks; a hello with another major version is refused.
+/// The protocol version of this package. A peer whose hello names another version is rejected.
 pub const VERSION: u64 = 1;
