--- a/crates/curlewpoint-config/src/check.rs
+++ b/crates/curlewpoint-config/src/check.rs
@@ -2,103 +2,111 @@
 use std::path::{Path, PathBuf};
 
 use crate::directives::{Block, Directive, ValueKind, BLOCKS};
-use crate::grammar::{Fault, Line, Word};
+use crate::grammar::{ConfigError, Line, Word};
 use crate::units;
 
-/// A checked configuration: the words of each directive, defaults filled in.
+/// A checked configuration: the values of each directive, with defaults filled in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// By block, the block's own name (empty where it has none) and directive.
+    /// Keyed by block, name of the block (empty for unnamed blocks) and directive.
     pub(crate) values: BTreeMap<(&'static str, String, &'static str), Vec<String>>,
-    /// The names of named blocks, in the order of the file.
+    /// The names of named blocks by block, in the order of the file.
     pub(crate) names: BTreeMap<&'static str, Vec<String>>,
-    /// The folder of its file, from which the files that it names are found.
+    /// The folder of the configuration file. Relative paths in the configuration start there.
     pub(crate) folder: Option<PathBuf>,
 }
 
 impl Config {
-    pub(crate) fn words(&self, block: &'static str, of: &str, name: &'static str) -> Option<&[String]> {
-        self.values.get(&(block, of.to_owned(), name)).map(Vec::as_slice)
+    pub(crate) fn words(
+        &self, block: &'static str, block_name: &str, name: &'static str,
+    ) -> Option<&[String]> {
+        self.values.get(&(block, block_name.to_owned(), name)).map(Vec::as_slice)
     }
 
-    /// A directive of an unnamed block; the checks have made sure of what has no default.
+    /// The first value of a directive of an unnamed block. None: it is not given and has no default.
     pub fn value(&self, block: &'static str, name: &'static str) -> Option<&str> {
         self.words(block, "", name).and_then(|w| w.first()).map(String::as_str)
     }
 
+    /// A directive at the top level, or an empty string if it is not given.
     pub fn text(&self, name: &'static str) -> &str {
         self.value("", name).unwrap_or("")
     }
 
+    /// A numeric directive of an unnamed block: a plain number, milliseconds, bytes or a fraction. 0 if it is not given.
     pub fn number(&self, block: &'static str, name: &'static str) -> f64 {
         let text = self.value(block, name).unwrap_or("0");
-        let units = [units::number, units::milliseconds, units::bytes, units::share];
-        units.iter().find_map(|read| read(text).ok()).unwrap_or(0.0)
+        let parsers = [units::number, units::milliseconds, units::bytes, units::share];
+        parsers.iter().find_map(|parse| parse(text).ok()).unwrap_or(0.0)
     }
 
-    /// All words of a directive of an unnamed block; none where it is absent.
+    /// All values of a directive of an unnamed block, empty if it is not given.
     pub fn values(&self, block: &'static str, name: &'static str) -> &[String] {
         self.words(block, "", name).unwrap_or(&[])
     }
 
-    /// A span of time of the top or of a block.
+    /// A time directive of an unnamed block.
     pub fn duration(&self, block: &'static str, name: &'static str) -> std::time::Duration {
         std::time::Duration::from_secs_f64(self.number(block, name) / 1000.0)
     }
 
-    /// Where a file that it names is.
+    /// Resolves a path of the configuration against its folder.
     pub fn resolve_path(&self, name: &str) -> PathBuf {
         self.folder.as_deref().unwrap_or(Path::new(".")).join(name)
     }
 
-    /// The text of a file that it names.
+    /// Reads a file that the configuration names.
     pub fn read_file(&self, name: &str) -> Result<String, String> {
         std::fs::read_to_string(self.resolve_path(name)).map_err(|e| e.to_string())
     }
 
-    /// The same configuration with another value at the top: one of many instances, say.
+    /// Replaces a directive at the top level, for example to derive the configurations of several instances.
     pub fn with_value(mut self, name: &'static str, value: &str) -> Config {
         self.values.insert(("", String::new(), name), vec![value.to_owned()]);
         self
     }
 
-    /// What differs in another configuration, but for methods, as block and directive: the methods and what describes
-    /// them may change while a scheduler runs, and nothing else.
+    /// The directives, with their block, that differ in another configuration and cannot change while a scheduler runs.
+    /// Only methods and the directives that describe them can.
     pub fn changes_requiring_restart(&self, other: &Config) -> Vec<String> {
-        let fixed = |c: &Config| -> BTreeMap<_, Vec<String>> {
-            let of_methods = |block: &str, name: &str| {
+        let fixed_values = |c: &Config| -> BTreeMap<_, Vec<String>> {
+            let is_reloadable = |block: &str, name: &str| {
                 block == "method" || (block.is_empty() && ["title", "release"].contains(&name))
             };
-            let values = c.values.iter().filter(|((block, _, name), _)| !of_methods(block, name));
+            let values = c.values.iter().filter(|((block, _, name), _)| !is_reloadable(block, name));
             values.map(|(key, words)| (key.clone(), words.clone())).collect()
         };
-        let (a, b) = (fixed(self), fixed(other));
-        let keys: std::collections::BTreeSet<_> = a.keys().chain(b.keys()).collect();
-        let changed = keys.into_iter().filter(|k| a.get(*k) != b.get(*k));
-        let mut told: Vec<String> = changed
-            .map(|(block, of, name)| {
-                [*block, of, *name].into_iter().filter(|w| !w.is_empty()).collect::<Vec<_>>().join(" ")
+        let (ours, theirs) = (fixed_values(self), fixed_values(other));
+        let keys: std::collections::BTreeSet<_> = ours.keys().chain(theirs.keys()).collect();
+        let changed = keys.into_iter().filter(|k| ours.get(*k) != theirs.get(*k));
+        let mut changes: Vec<String> = changed
+            .map(|(block, block_name, name)| {
+                [*block, block_name, *name]
+                    .into_iter()
+                    .filter(|w| !w.is_empty())
+                    .collect::<Vec<_>>()
+                    .join(" ")
             })
             .collect();
-        // The module knows tenants by their order.
-        if told.is_empty() && self.tenants() != other.tenants() {
-            told.push("the order of tenants".to_owned());
+        // The decision module identifies tenants by their position.
+        if changes.is_empty() && self.tenants() != other.tenants() {
+            changes.push("the order of tenants".to_owned());
         }
-        told
+        changes
     }
 
-    /// The same with another value in an unnamed block.
+    /// Replaces a directive of an unnamed block.
     pub fn with_block_value(mut self, block: &'static str, name: &'static str, value: &str) -> Config {
         self.values.insert((block, String::new(), name), vec![value.to_owned()]);
         self
     }
 
-    /// A directive of a method.
+    /// A directive of a method, or an empty string if it is not given.
     pub fn method_value(&self, method: &str, name: &'static str) -> &str {
         self.words("method", method, name).and_then(|w| w.first()).map_or("", String::as_str)
     }
 
-    /// A day that a method names, in seconds since 1970.
+    /// A date directive of a method, in seconds since 1970.
     pub fn method_date(&self, method: &str, name: &'static str) -> Option<u64> {
         units::date(self.method_value(method, name)).ok()
     }
@@ -112,119 +120,119 @@
     }
 }
 
-struct Check<'a> {
-    faults: &'a mut Vec<Fault>,
+struct Checker<'a> {
+    errors: &'a mut Vec<ConfigError>,
     config: Config,
-    /// Where each directive stood, for a duplicate's sake and for checks across directives.
-    places: BTreeMap<(&'static str, String, &'static str), (usize, std::ops::Range<usize>)>,
+    /// File and byte range of each directive, to find duplicates and to locate errors that span directives.
+    positions: BTreeMap<(&'static str, String, &'static str), (usize, std::ops::Range<usize>)>,
 }
 
-pub(crate) fn check(lines: &[Line], faults: &mut Vec<Fault>) -> Config {
+pub(crate) fn check(lines: &[Line], errors: &mut Vec<ConfigError>) -> Config {
     let config = Config { values: BTreeMap::new(), names: BTreeMap::new(), folder: None };
-    let mut check = Check { faults, config, places: BTreeMap::new() };
-    check.block(&BLOCKS[0], "", lines);
+    let mut checker = Checker { errors, config, positions: BTreeMap::new() };
+    checker.check_block(&BLOCKS[0], "", lines);
     for block in BLOCKS.iter().filter(|b| !b.named) {
-        check.defaults(block, "");
+        checker.fill_defaults(block, "");
     }
     for block in BLOCKS.iter().filter(|b| b.named) {
-        for name in check.config.names.get(block.name).cloned().unwrap_or_default() {
-            check.defaults(block, &name);
+        for name in checker.config.names.get(block.name).cloned().unwrap_or_default() {
+            checker.fill_defaults(block, &name);
         }
     }
-    check.across(lines);
-    check.config
+    checker.check_across_directives(lines);
+    checker.config
 }
 
-impl Check<'_> {
-    fn fault(&mut self, line: &Line, word: &Word, what: impl Into<String>) -> &mut Fault {
-        self.faults.push(Fault::new(line.file, word.span.clone(), what));
-        self.faults.last_mut().expect("just pushed")
+impl Checker<'_> {
+    fn error(&mut self, line: &Line, word: &Word, message: impl Into<String>) -> &mut ConfigError {
+        self.errors.push(ConfigError::new(line.file, word.span.clone(), message));
+        self.errors.last_mut().expect("just pushed")
     }
 
-    fn block(&mut self, block: &'static Block, of: &str, lines: &[Line]) {
+    fn check_block(&mut self, block: &'static Block, block_name: &str, lines: &[Line]) {
         for line in lines {
             if let Some(inner) = BLOCKS.iter().find(|b| !b.name.is_empty() && b.name == line.name()) {
                 if block.name.is_empty() {
-                    self.open(inner, line);
+                    self.open_block(inner, line);
                 } else {
-                    let what = format!("a block of {} stands at the top of the file", inner.name);
-                    self.fault(line, &line.words[0], what);
+                    let message = format!("a block of {} belongs at the top of the file", inner.name);
+                    self.error(line, &line.words[0], message);
                 }
                 continue;
             }
             let Some(directive) = block.directives.iter().find(|d| d.name == line.name()) else {
-                self.unknown(block, line);
+                self.unknown_directive(block, line);
                 continue;
             };
             if line.block.is_some() {
-                self.fault(line, &line.words[0], format!("{} opens no block", directive.name));
+                self.error(line, &line.words[0], format!("{} does not open a block", directive.name));
             }
-            let key = (block.name, of.to_owned(), directive.name);
-            if self.places.contains_key(&key) {
-                self.fault(line, &line.words[0], format!("{} stands twice", directive.name));
+            let key = (block.name, block_name.to_owned(), directive.name);
+            if self.positions.contains_key(&key) {
+                self.error(line, &line.words[0], format!("{} is given twice", directive.name));
                 continue;
             }
-            self.places.insert(key.clone(), (line.file, line.span()));
-            self.values(directive, line);
+            self.positions.insert(key.clone(), (line.file, line.span()));
+            self.check_values(directive, line);
             let words = line.words[1..].iter().map(|w| w.text.clone()).collect();
             self.config.values.insert(key, words);
         }
     }
 
-    fn open(&mut self, block: &'static Block, line: &Line) {
+    fn open_block(&mut self, block: &'static Block, line: &Line) {
         let name = line.words.get(1).map_or("", |w| w.text.as_str());
-        let want = if block.named { 2 } else { 1 };
-        if line.words.len() != want {
-            let what = if block.named { "takes one name" } else { "takes no name" };
-            self.fault(line, &line.words[0], format!("{} {what}", block.name));
+        let expected_words = if block.named { 2 } else { 1 };
+        if line.words.len() != expected_words {
+            let rule = if block.named { "takes one name" } else { "takes no name" };
+            self.error(line, &line.words[0], format!("{} {rule}", block.name));
         }
         let Some(lines) = &line.block else {
-            self.fault(line, &line.words[0], format!("{} opens a block: end the line with {{", block.name));
+            self.error(line, &line.words[0], format!("{} opens a block: end the line with {{", block.name));
             return;
         };
         let names = self.config.names.entry(block.name).or_default();
         if names.iter().any(|n| n == name) {
             let word = line.words.last().expect("a line has words");
-            self.fault(line, word, format!("{} {name} stands twice", block.name));
+            self.error(line, word, format!("{} {name} is given twice", block.name));
             return;
         }
         names.push(name.to_owned());
-        self.block(block, name, lines);
+        self.check_block(block, name, lines);
     }
 
-    fn unknown(&mut self, block: &Block, line: &Line) {
+    fn unknown_directive(&mut self, block: &Block, line: &Line) {
         let known = block
             .directives
             .iter()
             .map(|d| d.name)
             .chain(BLOCKS.iter().map(|b| b.name).filter(|n| block.name.is_empty() && !n.is_empty()));
-        let near = known.map(|n| (strsim::damerau_levenshtein(n, line.name()), n)).min();
+        let closest = known.map(|n| (strsim::damerau_levenshtein(n, line.name()), n)).min();
         let place =
             if block.name.is_empty() { String::new() } else { format!(" in a block of {}", block.name) };
         let elsewhere = BLOCKS.iter().find(|b| b.directives.iter().any(|d| d.name == line.name()));
-        let help = match (elsewhere, near) {
+        let help = match (elsewhere, closest) {
             (Some(b), _) if b.name.is_empty() => Some("it belongs at the top of the file".to_owned()),
             (Some(b), _) => Some(format!("it belongs in a block of {}", b.name)),
-            (None, Some((d, n))) if d <= 3 => Some(format!("did you mean {n}?")),
+            (None, Some((distance, name))) if distance <= 3 => Some(format!("did you mean {name}?")),
             _ => None,
         };
-        self.fault(line, &line.words[0], format!("no directive '{}'{place}", line.name())).help = help;
+        self.error(line, &line.words[0], format!("no directive '{}'{place}", line.name())).help = help;
     }
 
-    fn values(&mut self, directive: &Directive, line: &Line) {
+    fn check_values(&mut self, directive: &Directive, line: &Line) {
         let given = &line.words[1..];
         if given.is_empty() {
-            self.fault(line, &line.words[0], format!("{} needs a value", directive.name));
+            self.error(line, &line.words[0], format!("{} needs a value", directive.name));
             return;
         }
         if given.len() > 1 && !matches!(directive.value_kind, ValueKind::AnyOf(_) | ValueKind::Addresses) {
-            self.fault(line, &given[1], format!("{} takes one value; quote one with spaces", directive.name));
+            self.error(line, &given[1], format!("{} takes one value; quote one with spaces", directive.name));
         }
-        let words = |all: &[(&str, &str)]| all.iter().map(|(w, _)| *w).collect::<Vec<_>>().join(", ");
+        let join = |allowed: &[(&str, &str)]| allowed.iter().map(|(w, _)| *w).collect::<Vec<_>>().join(", ");
         for word in given {
             let text = word.text.as_str();
-            let read = match directive.value_kind {
-                ValueKind::Text if text.is_empty() => Err("this value is empty".to_owned()),
+            let valid = match directive.value_kind {
+                ValueKind::Text if text.is_empty() => Err("the value is empty".to_owned()),
                 ValueKind::Text => Ok(()),
                 ValueKind::Address | ValueKind::Addresses => match text.parse::<std::net::SocketAddr>() {
                     Ok(_) => Ok(()),
@@ -237,65 +245,67 @@
                 ValueKind::Date => units::date(text).map(|_| ()),
                 ValueKind::YesNo if ["yes", "no"].contains(&text) => Ok(()),
                 ValueKind::YesNo => Err(format!("'{text}' is neither yes nor no")),
-                ValueKind::OneOf(all) | ValueKind::AnyOf(all) if all.iter().any(|(w, _)| *w == text) => {
+                ValueKind::OneOf(allowed) | ValueKind::AnyOf(allowed)
+                    if allowed.iter().any(|(w, _)| *w == text) =>
+                {
                     Ok(())
                 }
-                ValueKind::OneOf(all) | ValueKind::AnyOf(all) => {
-                    Err(format!("'{text}' is none of {}", words(all)))
+                ValueKind::OneOf(allowed) | ValueKind::AnyOf(allowed) => {
+                    Err(format!("'{text}' is none of {}", join(allowed)))
                 }
             };
-            if let Err(what) = read {
-                self.fault(line, word, what);
+            if let Err(message) = valid {
+                self.error(line, word, message);
             }
         }
     }
 
-    fn defaults(&mut self, block: &'static Block, of: &str) {
+    fn fill_defaults(&mut self, block: &'static Block, block_name: &str) {
         for directive in block.directives.iter().filter(|d| !d.default.is_empty()) {
             let words = directive.default.split(' ').map(str::to_owned).collect();
-            self.config.values.entry((block.name, of.to_owned(), directive.name)).or_insert(words);
+            self.config.values.entry((block.name, block_name.to_owned(), directive.name)).or_insert(words);
         }
     }
 
-    /// A fleet needs a name and a place to be met, and its numbers something to count.
-    fn fleet(&mut self, end: &(usize, std::ops::Range<usize>)) {
-        let has = |name| self.config.value("fleet", name).is_some();
-        let (named, listens) = (has("name"), has("listen"));
-        let mut faults = Vec::new();
-        let mut fault = |name: &'static str, what: &str| {
-            let place = self.places.get(&("fleet", String::new(), name)).unwrap_or(end);
-            faults.push(Fault::new(place.0, place.1.clone(), what));
+    /// Checks the fleet block: name and listen are given together, and its numbers are in range.
+    fn check_fleet(&mut self, end: &(usize, std::ops::Range<usize>)) {
+        let is_set = |name| self.config.value("fleet", name).is_some();
+        let (has_name, has_listen) = (is_set("name"), is_set("listen"));
+        let mut errors = Vec::new();
+        let mut error = |name: &'static str, message: &str| {
+            let position = self.positions.get(&("fleet", String::new(), name)).unwrap_or(end);
+            errors.push(ConfigError::new(position.0, position.1.clone(), message));
         };
-        match (named, listens) {
-            (true, false) => fault("name", "fleet: listen is missing"),
-            (false, true) => fault("listen", "fleet: name is missing"),
-            (false, false) if has("peers") => fault("peers", "fleet: name and listen are missing"),
+        match (has_name, has_listen) {
+            (true, false) => error("name", "fleet: listen is missing"),
+            (false, true) => error("listen", "fleet: name is missing"),
+            (false, false) if is_set("peers") => error("peers", "fleet: name and listen are missing"),
             _ => {}
         }
         for name in ["watchers", "most-instances", "most-links"] {
             if !(1.0..=1e6).contains(&self.config.number("fleet", name)) {
-                fault(name, &format!("fleet: {name} must be from 1 to 1000000"));
+                error(name, &format!("fleet: {name} must be from 1 to 1000000"));
             }
         }
-        let bytes = 1024.0..=1024.0 * 1024.0;
-        if has("directory") && !bytes.contains(&self.config.number("fleet", "directory")) {
-            fault("directory", "fleet: directory must be from 1KiB to 1MiB");
+        let directory_range = 1024.0..=1024.0 * 1024.0;
+        if is_set("directory") && !directory_range.contains(&self.config.number("fleet", "directory")) {
+            error("directory", "fleet: directory must be from 1KiB to 1MiB");
         }
-        self.faults.append(&mut faults);
+        self.errors.append(&mut errors);
     }
 
-    /// What no single line shows.
-    fn across(&mut self, lines: &[Line]) {
+    /// Checks what involves several directives or a missing one.
+    fn check_across_directives(&mut self, lines: &[Line]) {
         let end = lines.last().map_or((0, 0..0), |l| (l.file, l.span()));
         for name in ["name", "listen", "list"] {
             if self.config.value("", name).is_none() {
-                let what = format!("{name} is missing");
-                self.faults.push(Fault::new(end.0, end.1.clone(), what));
+                let message = format!("{name} is missing");
+                self.errors.push(ConfigError::new(end.0, end.1.clone(), message));
             }
         }
-        self.fleet(&end);
+        self.check_fleet(&end);
         if self.config.methods().is_empty() {
-            self.faults.push(Fault::new(end.0, end.1, "no method is given"));
+            self.errors.push(ConfigError::new(end.0, end.1, "no method is given"));
         }
         for method in self.config.methods().to_vec() {
             let opener = lines
@@ -304,7 +314,7 @@
             let (file, span) = opener.map_or((0, 0..0), |l| (l.file, l.span()));
             for name in ["effect", "soft-deadline", "deadline"] {
                 if self.config.words("method", &method, name).is_none() {
-                    self.faults.push(Fault::new(
+                    self.errors.push(ConfigError::new(
                         file,
                         span.clone(),
                         format!("method {method}: {name} is missing"),
@@ -315,21 +325,22 @@
                 let words = self.config.words("method", &method, name)?;
                 units::milliseconds(words.first()?).ok()
             };
-            let (soft, last, span_kept) = (ms("soft-deadline"), ms("deadline"), ms("memory-span"));
+            let (soft_deadline, deadline, memory_span) =
+                (ms("soft-deadline"), ms("deadline"), ms("memory-span"));
             let slack = self.config.number("rpcs", "answer-slack");
-            let mut wrong = Vec::new();
-            if soft > last && last.is_some() {
-                wrong.push("its soft deadline lies after its deadline".to_owned());
+            let mut messages = Vec::new();
+            if soft_deadline > deadline && deadline.is_some() {
+                messages.push("its soft deadline lies after its deadline".to_owned());
             }
-            if last.is_some_and(|l| l <= slack) {
-                wrong.push(format!("its deadline leaves nothing after the answer-slack of {slack}ms"));
+            if deadline.is_some_and(|d| d <= slack) {
+                messages.push(format!("its deadline leaves no time after the answer-slack of {slack}ms"));
             }
             let effect = self.config.words("method", &method, "effect").and_then(|w| w.first());
-            if effect.is_some_and(|e| e == "tokened") && span_kept == Some(0.0) {
-                wrong.push("a tokened method needs a memory-span".to_owned());
+            if effect.is_some_and(|e| e == "tokened") && memory_span == Some(0.0) {
+                messages.push("a tokened method needs a memory-span".to_owned());
             }
-            for what in wrong {
-                self.faults.push(Fault::new(file, span.clone(), format!("method {method}: {what}")));
+            for message in messages {
+                self.errors.push(ConfigError::new(file, span.clone(), format!("method {method}: {message}")));
             }
         }
         let shares =
@@ -338,7 +349,7 @@
         if sum > 1.0 + 1e-9 {
             let opener = lines.iter().rfind(|l| l.name() == "tenant");
             let (file, span) = opener.map_or((0, 0..0), |l| (l.file, l.span()));
-            self.faults.push(Fault::new(
+            self.errors.push(ConfigError::new(
                 file,
                 span,
                 format!("the tenants' shares add up to {:.0}%", sum * 100.0),
--- a/crates/curlewpoint-config/src/directives.rs
+++ b/crates/curlewpoint-config/src/directives.rs
@@ -1,45 +1,47 @@
-//! Every directive: where it stands, what it holds, its default, and the setting of the module that it fills.
+//! Table of all blocks and directives: value kind, default, and the decision module's setting that a directive fills.
 
-/// What a directive's values are.
+/// The kind of values that a directive takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ValueKind {
     Text,
     Address,
-    /// One or more of them.
+    /// One or more addresses.
     Addresses,
     Time,
     Memory,
     Number,
     Share,
     YesNo,
-    /// A day in UTC, `2027-03-01`.
+    /// A date in UTC, `2027-03-01`.
     Date,
-    /// One of these words; what the module calls each stands behind it.
+    /// One of these words. Each is paired with the decision module's word for it.
     OneOf(&'static [(&'static str, &'static str)]),
-    /// Any of these words, in any order.
+    /// Any of these words, in any order. Each is paired with the decision module's word for it.
     AnyOf(&'static [(&'static str, &'static str)]),
 }
 
 pub struct Directive {
     pub name: &'static str,
     pub value_kind: ValueKind,
-    /// An empty one: no default.
+    /// Empty: no default.
     pub default: &'static str,
-    /// The module's setting, as part and name; empty: the module is not told.
+    /// The decision module's setting, as `name` or `group.name`. Empty: the module does not get this directive.
     pub setting: &'static str,
+    /// Help text.
     pub about: &'static str,
 }
 
 pub struct Block {
-    /// Empty: the top of the file.
+    /// Empty: the top level of the file.
     pub name: &'static str,
-    /// Blocks with a name of their own may stand many times.
+    /// Whether the block has a name of its own. Named blocks may be given many times.
     pub named: bool,
     pub directives: &'static [Directive],
+    /// Help text.
     pub about: &'static str,
 }
 
-const fn d(
+const fn directive(
     name: &'static str, value_kind: ValueKind, default: &'static str, setting: &'static str,
     about: &'static str,
 ) -> Directive {
@@ -48,295 +50,296 @@
 
 use ValueKind::*;
 
-const EFFECTS: ValueKind = OneOf(&[
+const EFFECT: ValueKind = OneOf(&[
     ("idempotent", "read_like"),
     ("tokened", "idempotency_key"),
     ("side-effecting", "non_idempotent"),
 ]);
-const GROUPS: ValueKind = OneOf(&[("all", "all"), ("zone", "zone"), ("cell", "cell")]);
-const REPORTS: ValueKind = OneOf(&[("probes", "pull"), ("answers", "piggyback"), ("none", "silent")]);
-const FIELDS: ValueKind = AnyOf(&[
+const TOKEN_GROUP: ValueKind = OneOf(&[("all", "all"), ("zone", "zone"), ("cell", "cell")]);
+const REPORT_SOURCE: ValueKind = OneOf(&[("probes", "pull"), ("answers", "piggyback"), ("none", "silent")]);
+const REPORT_FIELDS: ValueKind = AnyOf(&[
     ("utilisation", "utilization"),
     ("held", "outstanding"),
     ("queue", "backlog"),
     ("held-memory", "x0"),
     ("loads", "x1"),
 ]);
-const SIZES: ValueKind = OneOf(&[("none", "silent"), ("nominal", "nominal"), ("rough", "rough")]);
-const ABSENT: ValueKind = OneOf(&[("load", "load"), ("miss", "miss")]);
-const LEVELS: ValueKind = OneOf(&[("error", ""), ("warn", ""), ("info", ""), ("debug", ""), ("trace", "")]);
-const FORMS: ValueKind = OneOf(&[("text", ""), ("json", "")]);
+const WORKER_SIZES: ValueKind = OneOf(&[("none", "silent"), ("nominal", "nominal"), ("rough", "rough")]);
+const ABSENT_FUNCTION: ValueKind = OneOf(&[("load", "load"), ("miss", "miss")]);
+const LOG_LEVEL: ValueKind =
+    OneOf(&[("error", ""), ("warn", ""), ("info", ""), ("debug", ""), ("trace", "")]);
+const LOG_FORMAT: ValueKind = OneOf(&[("text", ""), ("json", "")]);
 
 pub const BLOCKS: &[Block] = &[
     Block {
         name: "",
         named: false,
-        about: "The top of the file.",
+        about: "Directives at the top level of the file.",
         directives: &[
-            d("name", Text, "", "", "What this instance is called, in hellos, RPC names and logs."),
-            d("listen", Address, "", "", "Where clients connect."),
-            d("http", Address, "", "", "Where the HTTP door listens; absent: there is none."),
-            d("list", Address, "", "", "Where the list service answers."),
-            d(
+            directive("name", Text, "", "", "Name of this instance in hellos, RPC names and logs."),
+            directive("listen", Address, "", "", "Address on which clients connect."),
+            directive("http", Address, "", "", "Address on which the HTTP endpoint listens. Absent: no HTTP endpoint."),
+            directive("list", Address, "", "", "Address of the list service."),
+            directive(
                 "instances",
                 Number,
                 "1",
                 "instances",
-                "How many schedulers feed these workers, this one included.",
+                "Number of schedulers that send work to these workers, including this one.",
             ),
-            d("seed", Number, "", "", "Seed of all chance; absent: drawn at start. The log names it."),
-            d("stop-limit", Time, "30s", "", "How long a stop waits for open RPCs before it aborts them."),
-            d("title", Text, "", "", "What the descriptions are called; absent: the name."),
-            d("release", Text, "1", "", "The release of the methods, for the descriptions."),
-            d("withdrawn-for", Time, "24h", "", "How long a method that a reload withdrew is answered as withdrawn (410), not as unknown."),
-            d("most-releases", Number, "3", "", "Sets of methods held at a time, the one in force included: each is held while RPCs taken under it are open."),
-            d("log-level", LEVELS, "info", "", "The least level that is logged."),
-            d("log-format", FORMS, "text", "", "The form of log lines."),
+            directive("seed", Number, "", "", "Seed of all random choices. Absent: taken from the clock at start. It is logged at start."),
+            directive("stop-limit", Time, "30s", "", "Time that a stop waits for open RPCs before it aborts them."),
+            directive("title", Text, "", "", "Title of the API documents. Absent: the instance name."),
+            directive("release", Text, "1", "", "Release of the methods, for the API documents."),
+            directive("withdrawn-for", Time, "24h", "", "Time for which a method that a reload removed is answered as withdrawn (410) instead of unknown."),
+            directive("most-releases", Number, "3", "", "Maximum number of method sets held at a time, including the current one. A set is held while RPCs accepted under it are open."),
+            directive("log-level", LOG_LEVEL, "info", "", "Minimum level of log lines."),
+            directive("log-format", LOG_FORMAT, "text", "", "Format of log lines."),
         ],
     },
     Block {
         name: "method",
         named: true,
-        about: "A method that clients may call. At least one is needed.",
+        about: "A method that clients may call. At least one is required.",
         directives: &[
-            d(
+            directive(
                 "effect",
-                EFFECTS,
+                EFFECT,
                 "",
                 "effect",
-                "Whether a repeat is harmless: always, by its token, or never.",
+                "Whether a repeated call is harmless: always, by its idempotency token, or never.",
             ),
-            d("group", GROUPS, "cell", "group", "Tokened: the workers that know each other's tokens."),
-            d("memory-span", Time, "0s", "memorySpan", "Tokened: how long a token is remembered."),
-            d("soft-deadline", Time, "", "aim", "Answers within this time earn the full gain."),
-            d(
+            directive("group", TOKEN_GROUP, "cell", "group", "Tokened methods: the group of workers that share their record of tokens."),
+            directive("memory-span", Time, "0s", "memorySpan", "Tokened methods: time for which a worker remembers a token."),
+            directive("soft-deadline", Time, "", "aim", "An answer within this time earns the full gain."),
+            directive(
                 "deadline",
                 Time,
                 "",
                 "giveUp",
-                "The longest that a client waits; a client's own time left may be less.",
+                "Maximum time that a client waits. A client may state a shorter time left.",
             ),
-            d("gain", Number, "1", "gain", "What an answer in time is worth, against other methods."),
-            d(
+            directive("gain", Number, "1", "gain", "Value of an answer in time, relative to other methods."),
+            directive(
                 "late-gain",
                 Share,
                 "0%",
                 "lateWorth",
-                "The share of the gain that a later answer still earns.",
+                "Share of the gain that an answer after the soft deadline still earns.",
             ),
-            d("lanes", Number, "1", "lanes", "How many RPCs a loaded copy runs at a time."),
-            d("about", Text, "", "", "What it does, in a sentence, for the descriptions."),
-            d("request-schema", Text, "", "", "A file with the JSON Schema (2020-12) of its request; absent: any bytes. Found from the configuration's folder."),
-            d("answer-schema", Text, "", "", "The same of its answer."),
-            d("example", Text, "", "", "A file with a JSON array of requests that fit."),
-            d("since", Text, "", "", "The release in which it came."),
-            d("until", Text, "", "", "The release in which it goes, where that is known."),
-            d("deprecated", Date, "", "", "The day from which clients should use something else; told in a `Deprecation` header."),
-            d("sunset", Date, "", "", "The day on which it goes, at the earliest; told in a `Sunset` header."),
+            directive("lanes", Number, "1", "lanes", "Number of RPCs that a loaded copy runs at a time."),
+            directive("about", Text, "", "", "Description of the method in one sentence, for the API documents."),
+            directive("request-schema", Text, "", "", "File with the JSON Schema (2020-12) of the request, relative to the configuration's folder. Absent: any bytes."),
+            directive("answer-schema", Text, "", "", "File with the JSON Schema (2020-12) of the answer. Absent: any bytes."),
+            directive("example", Text, "", "", "File with a JSON array of valid example requests."),
+            directive("since", Text, "", "", "Release that introduced the method."),
+            directive("until", Text, "", "", "Release that removes the method, if known."),
+            directive("deprecated", Date, "", "", "Date from which clients should use another method. Sent in a `Deprecation` header."),
+            directive("sunset", Date, "", "", "Earliest date on which the method is removed. Sent in a `Sunset` header."),
         ],
     },
     Block {
         name: "tenant",
         named: true,
-        about: "A tenant. Where none is named, RPCs need name none; else each must name one of these.",
-        directives: &[d("share", Share, "", "share", "Its part of what the fleet can do.")],
+        about: "A tenant. If no tenant is configured, RPCs need not name one. Otherwise each RPC must name one of these.",
+        directives: &[directive("share", Share, "", "share", "Share of the capacity of the workers that the tenant is entitled to.")],
     },
     Block {
         name: "workers",
         named: false,
-        about: "What holds of the workers, and the figures of the rules.",
+        about: "Properties of the workers and the limits that schedulers keep towards them.",
         directives: &[
-            d(
+            directive(
                 "drain-grace",
                 Time,
                 "500ms",
                 "contract.drainGrace",
-                "How long after the word of a drain new work may still arrive there.",
+                "Time after the notice of a drain during which new work may still arrive at the worker.",
             ),
-            d(
+            directive(
                 "warm-within",
                 Time,
                 "20s",
                 "contract.warmWithin",
-                "A worker that starts is warm no later than this.",
+                "Maximum time that a worker takes to warm up after its start.",
             ),
-            d(
+            directive(
                 "start-capacity",
                 Share,
                 "20%",
                 "contract.startCapacity",
-                "It starts with at least this part of its capacity.",
+                "Minimum share of its capacity that a worker has at its start.",
             ),
-            d(
+            directive(
                 "fall-multiple",
                 Number,
                 "2",
                 "contract.fallMultiple",
-                "A cold worker sent more than this multiple of what it can do ...",
+                "A cold worker that gets more than this multiple of the work that it can do ...",
             ),
-            d("fall-window", Time, "2s", "contract.fall", "... over this time falls over."),
-            d(
+            directive("fall-window", Time, "2s", "contract.fall", "... during this time collapses under the load."),
+            directive(
                 "absent",
-                ABSENT,
+                ABSENT_FUNCTION,
                 "load",
                 "familyInfo.whenAbsent",
-                "A worker that lacks the function loads it, or answers a miss.",
+                "What a worker does without a copy of the function: it loads one, or answers with a miss.",
             ),
-            d(
+            directive(
                 "keep-alive",
                 Time,
                 "8s",
                 "familyInfo.keepAlive",
-                "How long an idle copy stands at least, unless its room is needed.",
+                "Minimum time for which an idle copy stays loaded, unless its memory is needed.",
             ),
-            d("orders", YesNo, "yes", "familyInfo.mayOrder", "Whether copies may be ordered."),
-            d(
+            directive("orders", YesNo, "yes", "familyInfo.mayOrder", "Whether schedulers may order workers to load copies."),
+            directive(
                 "order-limit",
                 Time,
                 "10s",
                 "familyInfo.orderLimit",
-                "A load order without an answer by then has failed.",
+                "A load order without an answer within this time has failed.",
             ),
-            d(
+            directive(
                 "load-window",
                 Time,
                 "0s",
                 "familyInfo.loadsWithin",
-                "The window of the ration of load orders; 0s: no ration.",
+                "Time window of the limit on load orders. 0s: no limit.",
             ),
-            d("load-floor", Number, "0", "familyInfo.loadFloor", "Load orders that each window allows ..."),
-            d("load-share", Share, "0%", "familyInfo.loadShare", "... and for each RPC taken in it."),
-            d("reports", REPORTS, "probes", "loadInfo.how", "Where load reports come."),
-            d(
+            directive("load-floor", Number, "0", "familyInfo.loadFloor", "Number of load orders allowed in each window ..."),
+            directive("load-share", Share, "0%", "familyInfo.loadShare", "... plus this number for each RPC accepted in the window."),
+            directive("reports", REPORT_SOURCE, "probes", "loadInfo.how", "How load reports arrive: in answers to probes, in answers to attempts, or not at all."),
+            directive(
                 "report-fields",
-                FIELDS,
+                REPORT_FIELDS,
                 "utilisation held held-memory",
                 "loadInfo.names",
-                "What they hold, in this order.",
+                "Fields of a load report, in this order.",
             ),
-            d("sizes", SIZES, "none", "weightKind", "What the list's sizes are."),
+            directive("sizes", WORKER_SIZES, "none", "weightKind", "Meaning of the worker sizes in the list: none, nominal or rough."),
         ],
     },
     Block {
         name: "rpcs",
         named: false,
-        about: "Bounds and permissions of RPCs.",
+        about: "Limits and permissions for RPCs.",
         directives: &[
-            d(
+            directive(
                 "most-open",
                 Number,
                 "20000",
                 "limits.maxOpen",
-                "RPCs held at a time; more are refused before they are taken.",
+                "Maximum number of open RPCs. Further RPCs are refused before they are accepted.",
             ),
-            d("most-call-outs", Number, "5", "limits.maxAttempts", "Attempts for one RPC."),
-            d("cancel", YesNo, "yes", "limits.mayCancel", "Whether attempts may be cancelled."),
-            d(
+            directive("most-call-outs", Number, "5", "limits.maxAttempts", "Maximum number of attempts for one RPC."),
+            directive("cancel", YesNo, "yes", "limits.mayCancel", "Whether attempts may be cancelled."),
+            directive(
                 "second-copies",
                 YesNo,
                 "yes",
                 "limits.secondCopies",
-                "Whether two attempts of an RPC may be out at once.",
+                "Whether two attempts of an RPC may be open at the same time.",
             ),
-            d("probes", YesNo, "yes", "limits.probes", "Whether workers may be probed."),
-            d(
+            directive("probes", YesNo, "yes", "limits.probes", "Whether workers may be probed."),
+            directive(
                 "probe-limit",
                 Time,
                 "1s",
                 "limits.probeLimit",
-                "A probe without an answer by then has failed.",
+                "A probe without an answer within this time has failed.",
             ),
-            d(
+            directive(
                 "answer-slack",
                 Time,
                 "20ms",
                 "contract.answerSlack",
-                "Kept back of a client's time left, so that the answer arrives in time.",
+                "Time subtracted from a client's time left, so that the answer arrives in time.",
             ),
-            d("advise", YesNo, "no", "limits.retryAfter", "Whether denials say when to come back."),
-            d(
+            directive("advise", YesNo, "no", "limits.retryAfter", "Whether a denial tells the client when to try again."),
+            directive(
                 "most-advice",
                 Time,
                 "0s",
                 "limits.maxRetryAfter",
-                "The longest time to come back that is told.",
+                "Maximum retry delay that a denial states.",
             ),
         ],
     },
     Block {
         name: "fleet",
         named: false,
-        about: "Other instances that serve the same workers. Without `listen` this instance knows nothing of others.",
+        about: "Other instances that serve the same workers. Without `listen` this instance does not communicate with others.",
         directives: &[
-            d("name", Text, "", "", "What the fleet is called; instances of another are refused."),
-            d("listen", Address, "", "", "Where peers connect."),
-            d("reached-at", Address, "", "", "Where peers reach that from elsewhere; absent: where it listens."),
-            d("peers", Addresses, "", "", "Some instances to begin with, this one among them or not; all others are heard of from them."),
-            d("snapshot", Text, "", "", "A file that keeps list and addresses of instances for the next start; absent: there is none. Found from the configuration's folder."),
-            d("snapshot-age", Time, "10min", "", "An older snapshot is not used."),
-            d("hints", YesNo, "yes", "", "Whether this instance tells peers what it sees of functions at workers (copies, loads under way, refusals) and takes what they tell."),
-            d("directory", Memory, "", "", "Bytes a second that this instance sends at most for a directory of copies, from 1KiB to 1MiB: what is seen is told to few and asked for. Absent: it is told to all."),
-            d("watchers", Number, "3", "", "Instances that watch the list for all."),
-            d("most-instances", Number, "1000", "", "Instances that are known at a time; four times as many are remembered with those that ended."),
-            d("most-links", Number, "512", "", "Links that peers may open to this instance."),
+            directive("name", Text, "", "", "Name of the fleet. Instances of another fleet are refused."),
+            directive("listen", Address, "", "", "Address on which peers connect."),
+            directive("reached-at", Address, "", "", "Address at which peers reach this instance. Absent: the address of `listen`."),
+            directive("peers", Addresses, "", "", "Addresses of some instances of the fleet, possibly including this one. The others become known through them."),
+            directive("snapshot", Text, "", "", "File that keeps the list and the addresses of instances for the next start, relative to the configuration's folder. Absent: no snapshot."),
+            directive("snapshot-age", Time, "10min", "", "Maximum age of a snapshot that is used."),
+            directive("hints", YesNo, "yes", "", "Whether this instance exchanges hints with its peers: observations of functions at workers, such as copies, loads in progress and refusals."),
+            directive("directory", Memory, "", "", "Maximum bytes per second that this instance sends for the copy directory, from 1KiB to 1MiB. With a directory, observations go to a few instances and are queried from them. Absent: they are sent to all peers."),
+            directive("watchers", Number, "3", "", "Number of instances that watch the list service on behalf of the fleet."),
+            directive("most-instances", Number, "1000", "", "Maximum number of instances known at a time. Including instances that have ended, four times as many are remembered."),
+            directive("most-links", Number, "512", "", "Maximum number of links that peers may open to this instance."),
         ],
     },
     Block {
         name: "amqp",
         named: false,
-        about: "A broker (AMQP 0-9-1) whose queues `curlewpoint.METHOD` are consumed. Without an address there is none.",
+        about: "A broker (AMQP 0-9-1) whose queues `curlewpoint.METHOD` are consumed. Without an address no broker is used.",
         directives: &[
-            d("address", Address, "", "", "Where the broker listens."),
-            d("user", Text, "guest", "", "Who logs in."),
-            d("password", Text, "guest", "", "With what."),
-            d("vhost", Text, "/", "", "The virtual host."),
-            d("tls-roots", Text, "", "", "A file of certificates (PEM), one of which the broker's has to be signed by; absent: no TLS."),
-            d("tls-name", Text, "localhost", "", "The name that the broker's certificate has to have."),
-            d("connections", Number, "1", "", "Connections to it; the queues are spread over them."),
-            d("heartbeat", Time, "10s", "", "A broker that is silent for twice as long is given up; whole seconds."),
-            d("most-held", Number, "256", "", "Messages of one queue that are held here at most; fewer where fewer can be answered in time."),
-            d("time-left", Time, "", "", "How long a requester waits where its message does not say; absent: the method's deadline."),
-            d("dead-letters", Text, "curlewpoint.dead", "", "The queue for messages that cannot be read, and for answers that nobody takes."),
-            d("journal", Text, "", "", "The file that notes what may have been sent; needed with an address."),
-            d("journal-most", Memory, "256MiB", "", "What it may hold; beyond it nothing that needs it is sent."),
-            d("journal-delay", Time, "0s", "", "How long a write to it waits for more to go with it."),
-            d("keep", Time, "1h", "", "How long a record is kept whose message does not come again."),
-            d("amqp-back-off", Time, "200ms", "", "The pause after a lost connection; it doubles with each in a row ..."),
-            d("amqp-most-back-off", Time, "5s", "", "... up to this."),
+            directive("address", Address, "", "", "Address of the broker."),
+            directive("user", Text, "guest", "", "User name at the broker."),
+            directive("password", Text, "guest", "", "Password at the broker."),
+            directive("vhost", Text, "/", "", "Virtual host at the broker."),
+            directive("tls-roots", Text, "", "", "PEM file of root certificates. The broker's certificate must be signed by one of them. Absent: no TLS."),
+            directive("tls-name", Text, "localhost", "", "Name that the broker's certificate must have."),
+            directive("connections", Number, "1", "", "Number of connections to the broker. The queues are spread over them."),
+            directive("heartbeat", Time, "10s", "", "Heartbeat interval in whole seconds. A connection that is silent for twice this time is closed."),
+            directive("most-held", Number, "256", "", "Maximum number of messages held from one queue. Fewer are held if fewer can be answered in time."),
+            directive("time-left", Time, "", "", "Time that a requester waits if its message does not state one. Absent: the method's deadline."),
+            directive("dead-letters", Text, "curlewpoint.dead", "", "Queue for messages that cannot be read and for answers that cannot be delivered."),
+            directive("journal", Text, "", "", "File that records the messages whose RPCs may have been sent. Required with an address."),
+            directive("journal-most", Memory, "256MiB", "", "Maximum size of the journal. Messages that need a record are not sent while the journal is full."),
+            directive("journal-delay", Time, "0s", "", "Time that a journal write waits so that further records can be written with it."),
+            directive("keep", Time, "1h", "", "Time for which a record is kept if its message is not delivered again."),
+            directive("amqp-back-off", Time, "200ms", "", "Delay before reconnecting after a lost connection. It doubles with each consecutive failure ..."),
+            directive("amqp-most-back-off", Time, "5s", "", "... up to this limit."),
         ],
     },
     Block {
         name: "connections",
         named: false,
-        about: "Bounds of connections.",
+        about: "Limits of connections.",
         directives: &[
-            d(
+            directive(
                 "clients",
                 Number,
                 "10000",
                 "",
-                "Clients connected at a time; more are turned away with a plain frame.",
+                "Maximum number of connected clients. Further connections are closed with a FAULT frame.",
             ),
-            d("http-clients", Number, "1000", "", "HTTP connections at a time; more are closed."),
-            d("http-slow", Time, "10s", "", "How long a client may take for a request's headers, and again for its body."),
-            d("http-head", Memory, "16KiB", "", "The bytes of a request's headers."),
-            d("to-worker", Number, "4", "", "Connections to one worker."),
-            d("streams", Number, "32", "", "Attempts at a time on one of them."),
-            d("dial-limit", Time, "250ms", "", "A connection not up by then counts as failed."),
-            d("idle", Time, "15s", "", "An idle connection to a worker is closed after this."),
-            d(
+            directive("http-clients", Number, "1000", "", "Maximum number of HTTP connections. Further connections are closed."),
+            directive("http-slow", Time, "10s", "", "Maximum time for a client to send a request's headers, and again for its body."),
+            directive("http-head", Memory, "16KiB", "", "Maximum size of a request's headers."),
+            directive("to-worker", Number, "4", "", "Maximum number of connections to one worker."),
+            directive("streams", Number, "32", "", "Maximum number of open attempts on one connection to a worker."),
+            directive("dial-limit", Time, "250ms", "", "A connection that is not established within this time has failed."),
+            directive("idle", Time, "15s", "", "Time after which an idle connection to a worker is closed."),
+            directive(
                 "back-off",
                 Time,
                 "50ms",
                 "",
-                "The pause after a failed dial; it doubles with each in a row ...",
+                "Delay after a failed dial. It doubles with each consecutive failure ...",
             ),
-            d("most-back-off", Time, "2s", "", "... up to this."),
-            d("most-frame", Memory, "16MiB", "", "The longest frame taken; what a client sends may be 4 KiB less, so that it fits a worker's frame with an attempt's head."),
-            d("outbox", Memory, "32MiB", "", "Bytes that may wait to be written on one connection."),
-            d("write-limit", Time, "10s", "", "A peer that takes not a byte for so long is cut off."),
-            d("outbox-frames", Number, "1024", "", "Frames that may wait to be written on one connection."),
-            d("hello-limit", Time, "2s", "", "How long a peer may take for its hello."),
+            directive("most-back-off", Time, "2s", "", "... up to this limit."),
+            directive("most-frame", Memory, "16MiB", "", "Maximum length of a frame. Frames from clients may be at most 4 KiB shorter, so that an attempt with its longer header fits into a frame to a worker."),
+            directive("outbox", Memory, "32MiB", "", "Maximum number of bytes queued for writing on one connection."),
+            directive("write-limit", Time, "10s", "", "A connection on which nothing can be written for this time is closed."),
+            directive("outbox-frames", Number, "1024", "", "Maximum number of frames queued for writing on one connection."),
+            directive("hello-limit", Time, "2s", "", "Maximum time for a peer to send its hello."),
         ],
     },
 ];
--- a/crates/curlewpoint-config/src/grammar.rs
+++ b/crates/curlewpoint-config/src/grammar.rs
@@ -8,19 +8,21 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// One word of a line, with its place in the file (bytes).
+/// A word of a line and its byte range in the file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Word {
     pub text: String,
     pub span: Range<usize>,
 }
 
-/// A directive with its values, in the block that it stands in.
+/// A directive with its values, and the lines of the block that it opens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
+    /// Index of the source file.
     pub file: usize,
+    /// The directive name, then its values. Never empty.
     pub words: Vec<Word>,
-    /// The lines of its block, where it opens one.
+    /// The lines of the block, if this line opens one.
     pub block: Option<Vec<Line>>,
 }
 
@@ -34,18 +36,18 @@
     }
 }
 
-/// What is wrong, and where.
+/// An error at a byte range of a source file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
+pub struct ConfigError {
     pub file: usize,
     pub span: Range<usize>,
-    pub what: String,
+    pub message: String,
     pub help: Option<String>,
 }
 
-impl Fault {
-    pub fn new(file: usize, span: Range<usize>, what: impl Into<String>) -> Fault {
-        Fault { file, span, what: what.into(), help: None }
+impl ConfigError {
+    pub fn new(file: usize, span: Range<usize>, message: impl Into<String>) -> ConfigError {
+        ConfigError { file, span, message: message.into(), help: None }
     }
 }
 
@@ -68,7 +70,7 @@
 
 type Brace = Option<(char, Range<usize>)>;
 
-/// The words of one line, and the brace at its end, if any.
+/// The words of a line and the brace at its end, if there is one.
 fn line(i: &mut Input) -> ModalResult<(Vec<Word>, Brace)> {
     let blank = || take_while(0.., [' ', '\t', '\r']).void();
     let words = repeat(0.., preceded(blank(), word));
@@ -77,59 +79,65 @@
     (words, opt(brace), comment).map(|(words, brace, _)| (words, brace)).parse_next(i)
 }
 
-/// Reads a file's lines into blocks; all faults are found, not only the first.
-pub fn parse_file(file: usize, text: &str, faults: &mut Vec<Fault>) -> Vec<Line> {
-    // What is open: the lines so far, and the line that opened the block.
-    let mut open: Vec<(Vec<Line>, Option<Line>)> = vec![(Vec::new(), None)];
+/// Parses a file into lines and blocks. Collects all errors, not only the first.
+pub fn parse_file(file: usize, text: &str, errors: &mut Vec<ConfigError>) -> Vec<Line> {
+    // The stack of open blocks: the lines of each block so far, and the line that opened it. The first is the file itself.
+    let mut open_blocks: Vec<(Vec<Line>, Option<Line>)> = vec![(Vec::new(), None)];
     let mut start = 0;
-    for row in text.split('\n') {
-        let (from, to) = (start, start + row.len());
-        start = to + 1;
-        let read: Result<_, winnow::error::ParseError<Input, ContextError>> =
-            line.parse(LocatingSlice::new(row));
-        let (mut words, brace) = match read {
-            Ok(read) => read,
+    for raw_line in text.split('\n') {
+        let (line_start, line_end) = (start, start + raw_line.len());
+        start = line_end + 1;
+        let parsed: Result<_, winnow::error::ParseError<Input, ContextError>> =
+            line.parse(LocatingSlice::new(raw_line));
+        let (mut words, brace) = match parsed {
+            Ok(parsed) => parsed,
             Err(e) => {
-                let at = (from + e.offset()).min(to);
-                let what = if row[e.offset()..].starts_with('"') {
-                    "this text in quotes is not closed on its line, or has an escape other than \\\" \\\\ \\n"
+                let at = (line_start + e.offset()).min(line_end);
+                let message = if raw_line[e.offset()..].starts_with('"') {
+                    "this quoted value is not closed on its line, or has an escape other than \\\" \\\\ \\n"
                 } else {
-                    "nothing may stand here: quote a value that has braces or quotes in it"
+                    "unexpected character: quote a value that contains braces or quotes"
                 };
-                faults.push(Fault::new(file, at..to.max(at + 1).min(text.len().max(at)), what));
+                errors.push(ConfigError::new(
+                    file,
+                    at..line_end.max(at + 1).min(text.len().max(at)),
+                    message,
+                ));
                 continue;
             }
         };
-        words.iter_mut().for_each(|w| w.span = from + w.span.start..from + w.span.end);
-        let brace = brace.map(|(c, span)| (c, from + span.start..from + span.end));
+        words.iter_mut().for_each(|w| w.span = line_start + w.span.start..line_start + w.span.end);
+        let brace = brace.map(|(c, span)| (c, line_start + span.start..line_start + span.end));
         match (words.is_empty(), brace) {
             (true, None) => {}
-            (true, Some(('}', span))) => match open.pop() {
+            (true, Some(('}', span))) => match open_blocks.pop() {
                 Some((lines, Some(mut opener))) => {
                     opener.block = Some(lines);
-                    open.last_mut().expect("the file itself").0.push(opener);
+                    open_blocks.last_mut().expect("the file itself").0.push(opener);
                 }
-                rest => {
-                    open.extend(rest);
-                    faults.push(Fault::new(file, span, "no block is open here"));
+                popped => {
+                    open_blocks.extend(popped);
+                    errors.push(ConfigError::new(file, span, "no block is open here"));
                 }
             },
-            (true, Some((_, span))) => faults.push(Fault::new(file, span, "a block needs a name before it")),
-            (false, Some(('}', span))) => faults.push(Fault::new(
+            (true, Some((_, span))) => {
+                errors.push(ConfigError::new(file, span, "a block needs a name before it"))
+            }
+            (false, Some(('}', span))) => errors.push(ConfigError::new(
                 file,
                 span,
-                "the brace that closes a block stands on a line of its own",
+                "the brace that closes a block must be on a line of its own",
             )),
-            (false, Some(_)) => open.push((Vec::new(), Some(Line { file, words, block: None }))),
+            (false, Some(_)) => open_blocks.push((Vec::new(), Some(Line { file, words, block: None }))),
             (false, None) => {
-                open.last_mut().expect("the file itself").0.push(Line { file, words, block: None })
+                open_blocks.last_mut().expect("the file itself").0.push(Line { file, words, block: None })
             }
         }
     }
-    while open.len() > 1 {
-        let (_, opener) = open.pop().expect("more than one");
+    while open_blocks.len() > 1 {
+        let (_, opener) = open_blocks.pop().expect("more than one");
         let opener = opener.expect("a block has its opener");
-        faults.push(Fault::new(file, opener.span(), "this block is not closed"));
+        errors.push(ConfigError::new(file, opener.span(), "this block is not closed"));
     }
-    open.pop().map(|(lines, _)| lines).unwrap_or_default()
+    open_blocks.pop().map(|(lines, _)| lines).unwrap_or_default()
 }
--- a/crates/curlewpoint-config/src/settings.rs
+++ b/crates/curlewpoint-config/src/settings.rs
@@ -4,11 +4,12 @@
 use crate::directives::{Directive, ValueKind, BLOCKS};
 use crate::units;
 
-/// A directive's words as the module knows them: times in milliseconds, memory in bytes, words in its own terms.
-fn value(directive: &Directive, words: &[String]) -> Value {
+/// The value of a directive as the decision module expects it: times in milliseconds, memory in bytes, words translated
+/// to the module's own.
+fn setting_value(directive: &Directive, words: &[String]) -> Value {
     let first = words.first().map_or("", String::as_str);
-    let term = |all: &[(&str, &str)], word: &str| {
-        all.iter().find(|(w, _)| *w == word).map_or(Value::Null, |(_, term)| json!(term))
+    let translate = |words: &[(&str, &str)], word: &str| {
+        words.iter().find(|(w, _)| *w == word).map_or(Value::Null, |(_, setting)| json!(setting))
     };
     match directive.value_kind {
         ValueKind::Text | ValueKind::Address | ValueKind::Addresses | ValueKind::Date => json!(first),
@@ -17,50 +18,50 @@
         ValueKind::Number => json!(units::number(first).unwrap_or(0.0)),
         ValueKind::Share => json!(units::share(first).unwrap_or(0.0)),
         ValueKind::YesNo => json!(first == "yes"),
-        ValueKind::OneOf(all) => term(all, first),
-        ValueKind::AnyOf(all) => words.iter().map(|w| term(all, w)).collect(),
+        ValueKind::OneOf(allowed) => translate(allowed, first),
+        ValueKind::AnyOf(allowed) => words.iter().map(|w| translate(allowed, w)).collect(),
     }
 }
 
 impl Config {
-    fn fill(&self, map: &mut Map<String, Value>, block: &'static str, of: &str) {
+    fn fill_settings(&self, map: &mut Map<String, Value>, block: &'static str, block_name: &str) {
         let directives = BLOCKS.iter().filter(|b| b.name == block).flat_map(|b| b.directives);
         for d in directives.filter(|d| !d.setting.is_empty()) {
-            let Some(words) = self.words(block, of, d.name) else { continue };
+            let Some(words) = self.words(block, block_name, d.name) else { continue };
             match d.setting.split_once('.') {
                 None => {
-                    map.insert(d.setting.to_owned(), value(d, words));
+                    map.insert(d.setting.to_owned(), setting_value(d, words));
                 }
-                Some((part, name)) => {
-                    let inner = map.entry(part).or_insert_with(|| json!({}));
-                    inner[name] = value(d, words);
+                Some((group, name)) => {
+                    let inner = map.entry(group).or_insert_with(|| json!({}));
+                    inner[name] = setting_value(d, words);
                 }
             }
         }
     }
 
-    /// The plain map that the decision module is handed.
+    /// The settings map for the decision module.
     pub fn settings(&self) -> Map<String, Value> {
         let mut map = Map::new();
         for block in BLOCKS.iter().filter(|b| !b.named) {
-            self.fill(&mut map, block.name, "");
+            self.fill_settings(&mut map, block.name, "");
         }
-        map.insert("requestClasses".to_owned(), self.each("method", self.methods()).into());
-        map.insert("tenants".to_owned(), self.each("tenant", self.tenants()).into());
+        map.insert("requestClasses".to_owned(), self.named_blocks("method", self.methods()).into());
+        map.insert("tenants".to_owned(), self.named_blocks("tenant", self.tenants()).into());
         map
     }
 
-    /// The module's terms of each method.
+    /// The decision module's settings of each method, in the order of the file.
     pub fn method_settings(&self) -> Vec<Value> {
-        self.each("method", self.methods())
+        self.named_blocks("method", self.methods())
     }
 
-    fn each(&self, block: &'static str, names: &[String]) -> Vec<Value> {
-        let one = |name: &String| {
-            let mut one = Map::from_iter([("name".to_owned(), json!(name))]);
-            self.fill(&mut one, block, name);
-            Value::Object(one)
+    fn named_blocks(&self, block: &'static str, names: &[String]) -> Vec<Value> {
+        let block_settings = |name: &String| {
+            let mut map = Map::from_iter([("name".to_owned(), json!(name))]);
+            self.fill_settings(&mut map, block, name);
+            Value::Object(map)
         };
-        names.iter().map(one).collect()
+        names.iter().map(block_settings).collect()
     }
 }
--- a/crates/curlewpoint-config/src/units.rs
+++ b/crates/curlewpoint-config/src/units.rs
@@ -1,20 +1,21 @@
-//! Values with units.
+//! Parses values with units.
 
-fn split(text: &str) -> Option<(f64, &str)> {
+/// Splits a value into its number and its unit.
+fn split_unit(text: &str) -> Option<(f64, &str)> {
     let at = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let number: f64 = text[..at].parse().ok()?;
     (number.is_finite() && text.as_bytes()[0] != b'.').then_some((number, &text[at..]))
 }
 
-/// A day in UTC, as the seconds since 1970 at its begin.
+/// A date in UTC, as seconds since 1970 at the start of the day.
 pub fn date(text: &str) -> Result<u64, String> {
-    let day: jiff::civil::Date =
-        text.parse().map_err(|_| format!("'{text}' is not a day: write 2027-03-01"))?;
-    let begin = jiff::tz::TimeZone::UTC.to_timestamp(day.at(0, 0, 0, 0)).map_err(|e| e.to_string())?;
-    u64::try_from(begin.as_second()).map_err(|_| format!("'{text}' is before 1970"))
+    let date: jiff::civil::Date =
+        text.parse().map_err(|_| format!("'{text}' is not a date: write 2027-03-01"))?;
+    let start = jiff::tz::TimeZone::UTC.to_timestamp(date.at(0, 0, 0, 0)).map_err(|e| e.to_string())?;
+    u64::try_from(start.as_second()).map_err(|_| format!("'{text}' is before 1970"))
 }
 
-/// A span of time, in milliseconds: `500ms`, `1.5s`, `2min`, `1h`.
+/// A duration in milliseconds: `500ms`, `1.5s`, `2min`, `1h`.
 pub fn milliseconds(text: &str) -> Result<f64, String> {
     let unit = |u: &str| {
         Some(match u {
@@ -26,11 +27,11 @@
             _ => return None,
         })
     };
-    let read = split(text).and_then(|(n, u)| Some(n * unit(u)?));
-    read.ok_or_else(|| format!("'{text}' is not a span of time: write 500ms, 1.5s, 2min or 1h"))
+    let value = split_unit(text).and_then(|(n, u)| Some(n * unit(u)?));
+    value.ok_or_else(|| format!("'{text}' is not a duration: write 500ms, 1.5s, 2min or 1h"))
 }
 
-/// An amount of memory, in bytes: `64KiB`, `384MiB`, `4GiB`, `100B`.
+/// An amount of memory in bytes: `64KiB`, `384MiB`, `4GiB`, `100B`.
 pub fn bytes(text: &str) -> Result<f64, String> {
     let unit = |u: &str| {
         Some(match u {
@@ -41,24 +42,26 @@
             _ => return None,
         })
     };
-    let read = split(text).and_then(|(n, u)| Some((n * unit(u)?).floor()));
-    read.ok_or_else(|| format!("'{text}' is not an amount of memory: write 100B, 64KiB, 384MiB or 4GiB"))
+    let value = split_unit(text).and_then(|(n, u)| Some((n * unit(u)?).floor()));
+    value.ok_or_else(|| format!("'{text}' is not an amount of memory: write 100B, 64KiB, 384MiB or 4GiB"))
 }
 
-/// A share, from 0 to 1: `25%` or `0.25`.
+/// A fraction from 0 to 1: `25%` or `0.25`.
 pub fn share(text: &str) -> Result<f64, String> {
-    let read = split(text).and_then(|(n, u)| match u {
+    let value = split_unit(text).and_then(|(n, u)| match u {
         "%" => Some(n / 100.0),
         "" => Some(n),
         _ => None,
     });
-    read.filter(|s| *s <= 1.0).ok_or_else(|| format!("'{text}' is not a share: write 25% or 0.25, at most 1"))
+    value
+        .filter(|s| *s <= 1.0)
+        .ok_or_else(|| format!("'{text}' is not a share: write 25% or 0.25, at most 1"))
 }
 
-/// A plain number.
+/// A number without a unit.
 pub fn number(text: &str) -> Result<f64, String> {
-    let read = split(text).filter(|(_, u)| u.is_empty()).map(|(n, _)| n);
-    read.ok_or_else(|| format!("'{text}' is not a number"))
+    let value = split_unit(text).filter(|(_, u)| u.is_empty()).map(|(n, _)| n);
+    value.ok_or_else(|| format!("'{text}' is not a number"))
 }
 
 #[cfg(test)]
@@ -71,22 +74,22 @@
     #[test_case("500", None ; "no unit")]
     #[test_case("-5s", None ; "negative")]
     #[test_case("s", None ; "no number")]
-    #[test_case("", None ; "nothing")]
+    #[test_case("", None ; "empty")]
     #[test_case("1e3s", None ; "an exponent")]
-    fn spans(text: &str, want: Option<f64>) {
-        assert_eq!(super::milliseconds(text).ok(), want);
+    fn durations_need_a_number_and_a_unit(text: &str, expected: Option<f64>) {
+        assert_eq!(super::milliseconds(text).ok(), expected);
     }
 
     #[test_case("4GiB", Some(4294967296.0))]
-    #[test_case("4GB", None ; "a unit of tens")]
-    fn memory(text: &str, want: Option<f64>) {
-        assert_eq!(super::bytes(text).ok(), want);
+    #[test_case("4GB", None ; "a decimal unit")]
+    fn memory_needs_a_binary_unit(text: &str, expected: Option<f64>) {
+        assert_eq!(super::bytes(text).ok(), expected);
     }
 
     #[test_case("25%", Some(0.25))]
     #[test_case("0.25", Some(0.25))]
     #[test_case("125%", None)]
-    fn shares(text: &str, want: Option<f64>) {
-        assert_eq!(super::share(text).ok(), want);
+    fn shares_are_at_most_the_whole(text: &str, expected: Option<f64>) {
+        assert_eq!(super::share(text).ok(), expected);
     }
 }
