--- a/crates/curlewpoint-gateway/src/amqp.rs
+++ b/crates/curlewpoint-gateway/src/amqp.rs
@@ -28,25 +28,29 @@
 use tokio_util::codec::Framed;
 use tracing::{info, warn};
 
-use crate::http::{Ask, Reply};
-use crate::notes::Note;
-use crate::reload::InForce;
+use crate::events::Event;
+use crate::http::{Reply, RpcRequest};
+use crate::reload::ActiveMethods;
 
-/// What a broker and its queues are consumed by.
+/// Settings of the broker connection.
 pub(crate) struct Settings {
     pub address: String,
     pub tls: Option<Tls>,
     pub login: Login,
     pub connections: usize,
-    pub most_held: u64,
-    pub time_left: Option<Time>,
+    /// Maximum number of messages held from one queue.
+    pub max_held: u64,
+    /// Time that a requester waits if its message does not state one.
+    pub default_time_left: Option<Time>,
     pub dead_letters: String,
-    pub keep: Time,
-    pub back_off: (Duration, Duration),
+    /// Time for which a journal record is kept if its message is not delivered again.
+    pub record_retention: Time,
+    /// Initial and maximum delay before reconnecting.
+    pub backoff: (Duration, Duration),
     pub seed: u128,
 }
 
-/// Whom a broker has to be signed by, and what it has to be called.
+/// TLS settings: trusted root certificates and the expected name of the broker.
 #[derive(Clone)]
 pub(crate) struct Tls {
     connector: TlsConnector,
@@ -55,13 +59,13 @@
 
 impl Tls {
     pub fn new(roots: &Path, name: &str) -> Result<Tls, String> {
-        let at_fault = |e: &dyn std::fmt::Display| format!("{}: {e}", roots.display());
+        let in_file = |e: &dyn std::fmt::Display| format!("{}: {e}", roots.display());
         let mut store = RootCertStore::empty();
-        for certificate in CertificateDer::pem_file_iter(roots).map_err(|e| at_fault(&e))? {
-            store.add(certificate.map_err(|e| at_fault(&e))?).map_err(|e| at_fault(&e))?;
+        for certificate in CertificateDer::pem_file_iter(roots).map_err(|e| in_file(&e))? {
+            store.add(certificate.map_err(|e| in_file(&e))?).map_err(|e| in_file(&e))?;
         }
         if store.is_empty() {
-            return Err(at_fault(&"no certificate"));
+            return Err(in_file(&"no certificate"));
         }
         let name = ServerName::try_from(name.to_owned()).map_err(|e| format!("'{name}': {e}"))?;
         let provider = Arc::new(crypto::ring::default_provider());
@@ -85,28 +89,33 @@
     }
 }
 
-/// A dial, with all of TLS, that takes longer has failed.
-const DIAL: Duration = Duration::from_secs(5);
+/// Time for connecting, including the TLS handshake.
+const DIAL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the tasks around the broker tell the one that owns the inbox.
-enum Event {
-    Up(u64, usize, mpsc::UnboundedSender<Out>, AbortHandle),
+/// Events that the broker and RPC tasks send to the task that owns the inbox.
+enum BrokerEvent {
+    /// A connection is established: its id, its slot, its outgoing channel and its task.
+    Connected(u64, usize, mpsc::UnboundedSender<Outgoing>, AbortHandle),
     Frame(u64, Box<AMQPFrame>),
-    Lost(u64, String),
-    Intent(Name, u64, bool),
-    Unfit(Name, String),
-    /// None: the engine has gone with it.
-    Ended(Name, Option<Reply>),
+    /// A connection was lost, and why.
+    Disconnected(u64, String),
+    /// The journal has handled an intent, and whether it was written.
+    IntentWritten(Name, u64, bool),
+    /// The message does not match its method's schema.
+    InvalidRpc(Name, String),
+    /// An RPC has ended. None: the engine ended while the RPC was open.
+    RpcEnded(Name, Option<Reply>),
 }
 
-/// What a connection's task is told.
-enum Out {
+/// Commands for the task of a broker connection.
+enum Outgoing {
     Frame(Box<AMQPFrame>),
-    Agreed(u32, u16),
+    /// The negotiated maximum frame size and number of channels.
+    Negotiated(u32, u16),
 }
 
-/// What a session heard, until it is looked at.
-enum Heard {
+/// Events that a session has reported and that have not been processed yet.
+enum SessionEvent {
     Ready,
     Delivered(String, u64, bool, Box<AMQPProperties>, Bytes),
     Committed(String, Vec<u64>),
@@ -116,25 +125,26 @@
     Over(String),
 }
 
-struct Wire {
-    out: mpsc::UnboundedSender<Out>,
-    heard: VecDeque<Heard>,
+/// Implements the session's host: queues its frames for the connection task and its events for the inbox task.
+struct SessionHost {
+    outgoing_tx: mpsc::UnboundedSender<Outgoing>,
+    events: VecDeque<SessionEvent>,
 }
 
-impl Host for Wire {
+impl Host for SessionHost {
     fn send(&mut self, frame: AMQPFrame) {
-        let _ = self.out.send(Out::Frame(Box::new(frame)));
+        let _ = self.outgoing_tx.send(Outgoing::Frame(Box::new(frame)));
     }
     fn agreed(&mut self, frame_max: u32, channel_max: u16) {
-        let _ = self.out.send(Out::Agreed(frame_max, channel_max));
+        let _ = self.outgoing_tx.send(Outgoing::Negotiated(frame_max, channel_max));
     }
     fn ready(&mut self) {
-        self.heard.push_back(Heard::Ready);
+        self.events.push_back(SessionEvent::Ready);
     }
     fn delivered(
         &mut self, queue: &str, tag: u64, redelivered: bool, properties: AMQPProperties, body: Bytes,
     ) {
-        self.heard.push_back(Heard::Delivered(
+        self.events.push_back(SessionEvent::Delivered(
             queue.to_owned(),
             tag,
             redelivered,
@@ -143,97 +153,101 @@
         ));
     }
     fn committed(&mut self, queue: &str, tags: &[u64]) {
-        self.heard.push_back(Heard::Committed(queue.to_owned(), tags.to_vec()));
+        self.events.push_back(SessionEvent::Committed(queue.to_owned(), tags.to_vec()));
     }
-    fn returned(&mut self, routing_key: &str, why: &str, properties: AMQPProperties, body: Bytes) {
-        self.heard.push_back(Heard::Returned(
+    fn returned(&mut self, routing_key: &str, reason: &str, properties: AMQPProperties, body: Bytes) {
+        self.events.push_back(SessionEvent::Returned(
             routing_key.to_owned(),
-            why.to_owned(),
+            reason.to_owned(),
             Box::new(properties),
             body,
         ));
     }
     fn cancelled(&mut self, queue: &str) {
-        self.heard.push_back(Heard::Cancelled(queue.to_owned()));
+        self.events.push_back(SessionEvent::Cancelled(queue.to_owned()));
     }
     fn blocked(&mut self, blocked: bool) {
-        self.heard.push_back(Heard::Blocked(blocked));
+        self.events.push_back(SessionEvent::Blocked(blocked));
     }
-    fn over(&mut self, why: &str) {
-        self.heard.push_back(Heard::Over(why.to_owned()));
+    fn over(&mut self, reason: &str) {
+        self.events.push_back(SessionEvent::Over(reason.to_owned()));
     }
 }
 
-/// Opens a connection, tells of what comes, and begins anew when it ends.
-async fn connect(
-    slot: usize, address: String, tls: Option<Tls>, back_off: (Duration, Duration), seed: u128,
-    events: mpsc::UnboundedSender<Event>,
+/// Keeps one connection to the broker open and reconnects with backoff when it ends.
+async fn maintain_connection(
+    slot: usize, address: String, tls: Option<Tls>, backoff: (Duration, Duration), seed: u128,
+    event_tx: mpsc::UnboundedSender<BrokerEvent>,
 ) {
-    let (mut rng, mut pause, mut no) = (Rand64::new(seed + slot as u128), back_off.0, 0u64);
+    let (mut rng, mut delay, mut connection_number) = (Rand64::new(seed + slot as u128), backoff.0, 0u64);
     loop {
-        no += 1;
-        let conn = (slot as u64) << 32 | no;
-        let why = match tokio::time::timeout(DIAL, dial(&address, tls.as_ref())).await {
-            Err(_) => format!("not up within {DIAL:?}"),
+        connection_number += 1;
+        let conn = (slot as u64) << 32 | connection_number;
+        let reason = match tokio::time::timeout(DIAL_TIMEOUT, dial(&address, tls.as_ref())).await {
+            Err(_) => format!("not connected within {DIAL_TIMEOUT:?}"),
             Ok(Err(e)) => e.to_string(),
             Ok(Ok(stream)) => {
-                let (out, waiting) = mpsc::unbounded_channel();
-                let talk = tokio::spawn(converse(conn, stream, waiting, events.clone()));
-                if events.send(Event::Up(conn, slot, out, talk.abort_handle())).is_err() {
+                let (outgoing_tx, outgoing_rx) = mpsc::unbounded_channel();
+                let task = tokio::spawn(run_connection(conn, stream, outgoing_rx, event_tx.clone()));
+                if event_tx
+                    .send(BrokerEvent::Connected(conn, slot, outgoing_tx, task.abort_handle()))
+                    .is_err()
+                {
                     return;
                 }
-                let began = std::time::Instant::now();
-                let why = talk.await.unwrap_or_else(|_| "given up".to_owned());
-                if events.send(Event::Lost(conn, why.clone())).is_err() {
+                let connected_at = std::time::Instant::now();
+                let reason = task.await.unwrap_or_else(|_| "aborted".to_owned());
+                if event_tx.send(BrokerEvent::Disconnected(conn, reason.clone())).is_err() {
                     return;
                 }
-                if began.elapsed() > back_off.1 {
-                    pause = back_off.0;
+                if connected_at.elapsed() > backoff.1 {
+                    delay = backoff.0;
                 }
-                why
+                reason
             }
         };
-        if events.is_closed() {
+        if event_tx.is_closed() {
             return;
         }
-        // Instances that lost one broker together do not come back together.
-        let jittered = pause.mul_f64(0.5 + rng.rand_float());
-        info!(address, "no broker, tried again in {jittered:?}: {why}");
+        // Jitter keeps instances that lost the same broker from reconnecting at the same moment.
+        let jittered = delay.mul_f64(0.5 + rng.rand_float());
+        info!(address, "no broker, tried again in {jittered:?}: {reason}");
         sleep(jittered).await;
-        pause = (pause * 2).min(back_off.1);
+        delay = (delay * 2).min(backoff.1);
     }
 }
 
-async fn converse(
-    conn: u64, stream: Box<dyn Stream>, mut out: mpsc::UnboundedReceiver<Out>,
-    events: mpsc::UnboundedSender<Event>,
+/// Reads and writes a connection until it ends. Returns the reason.
+async fn run_connection(
+    conn: u64, stream: Box<dyn Stream>, mut outgoing_rx: mpsc::UnboundedReceiver<Outgoing>,
+    event_tx: mpsc::UnboundedSender<BrokerEvent>,
 ) -> String {
     let mut framed = Framed::new(stream, Codec::default());
     loop {
         tokio::select! {
             next = framed.next() => match next {
                 Some(Ok(frame)) => {
-                    if events.send(Event::Frame(conn, Box::new(frame))).is_err() {
-                        return "nobody listens".to_owned();
+                    if event_tx.send(BrokerEvent::Frame(conn, Box::new(frame))).is_err() {
+                        return "the trigger task has ended".to_owned();
                     }
                 }
                 Some(Err(e)) => return e.to_string(),
-                None => return "the broker ended it".to_owned(),
+                None => return "the broker closed the connection".to_owned(),
             },
-            said = out.recv() => {
-                let mut next = said;
+            first = outgoing_rx.recv() => {
+                let mut next = first;
                 loop {
                     match next {
-                        Some(Out::Frame(frame)) => if let Err(e) = framed.feed(*frame).await {
+                        Some(Outgoing::Frame(frame)) => if let Err(e) = framed.feed(*frame).await {
                             return e.to_string();
                         },
-                        Some(Out::Agreed(frame_max, channel_max)) => framed.codec_mut().agreed(frame_max, channel_max),
+                        Some(Outgoing::Negotiated(frame_max, channel_max)) => framed.codec_mut().agreed(frame_max, channel_max),
                         None => {
                             let _ = framed.flush().await;
-                            return "ended in order".to_owned();
+                            return "closed by this scheduler".to_owned();
                         }
                     }
-                    match out.try_recv() {
+                    match outgoing_rx.try_recv() {
                         Ok(more) => next = Some(more),
                         Err(mpsc::error::TryRecvError::Disconnected) => next = None,
                         Err(mpsc::error::TryRecvError::Empty) => break,
@@ -247,45 +261,47 @@
     }
 }
 
-/// A message that is here.
-struct Held {
+/// A message that has been delivered and not settled.
+struct HeldMessage {
     name: Option<Name>,
     method: String,
     properties: AMQPProperties,
     body: Bytes,
 }
 
-struct Up {
+struct BrokerConnection {
     slot: usize,
-    session: Session<Wire>,
-    talk: AbortHandle,
+    session: Session<SessionHost>,
+    task: AbortHandle,
 }
 
-/// Everything that the inbox acts through.
-struct Hands {
-    sessions: BTreeMap<u64, Up>,
-    held: BTreeMap<Delivery, Held>,
+/// Performs the inbox's actions on the broker connections, the journal and the engine.
+struct TriggerDriver {
+    connections: BTreeMap<u64, BrokerConnection>,
+    held: BTreeMap<Delivery, HeldMessage>,
+    /// The latest delivery of each message.
     latest: BTreeMap<Name, Delivery>,
     journal: Journal,
-    events: mpsc::UnboundedSender<Event>,
-    notes: mpsc::Sender<Note>,
-    in_force: watch::Receiver<Arc<InForce>>,
+    broker_event_tx: mpsc::UnboundedSender<BrokerEvent>,
+    request_tx: mpsc::Sender<Event>,
+    active_methods: watch::Receiver<Arc<ActiveMethods>>,
     clock: Clock,
-    next: u64,
-    /// Each queue's number, which stands in its deliveries' tags.
+    /// Number of RPCs started so far.
+    rpcs: u64,
+    /// The queues. The index of a queue is part of the tags of its deliveries.
     queues: Vec<String>,
     dead_letters: String,
 }
 
-/// Clients of this door have ids apart from those of the others.
-const DOOR: u64 = 1 << 62;
-/// A delivery's tag has the number of its queue above this bit: tags count from one on each channel.
-const QUEUE_BIT: u32 = 40;
-const GIVEN_BACK: &str = "curlewpoint-given-back";
-const PREFIX: &str = "curlewpoint.";
+/// First client id of RPCs from AMQP, apart from those of the native protocol and HTTP.
+const FIRST_CLIENT_ID: u64 = 1 << 62;
+/// The bits of a delivery tag from this one on hold the index of the queue, as AMQP tags are only unique per channel.
+const QUEUE_SHIFT: u32 = 40;
+const GIVEN_BACK_HEADER: &str = "curlewpoint-given-back";
+const QUEUE_PREFIX: &str = "curlewpoint.";
 
-/// The wall's clock, in the journal's unit.
-fn wall() -> Time {
+/// The wall clock since 1970, in the unit of the journal (tenths of a millisecond).
+fn wall_clock() -> Time {
     Time(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| (d.as_micros() / 100) as u64))
 }
 
@@ -293,7 +309,8 @@
     properties.headers().as_ref()?.inner().get(name)
 }
 
-fn text(properties: &AMQPProperties, name: &str) -> Option<String> {
+/// A header that is a string.
+fn text_header(properties: &AMQPProperties, name: &str) -> Option<String> {
     match header(properties, name)? {
         AMQPValue::LongString(s) => Some(s.to_string()),
         _ => None,
@@ -306,16 +323,17 @@
     properties.clone().with_headers(headers)
 }
 
-impl Hands {
-    /// Publishes something for a delivery that is here, in one transaction with its acknowledgement.
+impl TriggerDriver {
+    /// Publishes a message and acknowledges a held delivery in one transaction.
     fn exchange(&mut self, delivery: Delivery, to: &str, properties: AMQPProperties, body: &[u8]) {
-        let Some(queue) = self.queues.get((delivery.tag >> QUEUE_BIT) as usize) else { return };
-        let Some(up) = self.sessions.get_mut(&delivery.conn) else { return };
-        let tag = delivery.tag & ((1 << QUEUE_BIT) - 1);
-        up.session.exchange(self.clock.now(), queue, Some(tag), "", to, properties, body);
+        let Some(queue) = self.queues.get((delivery.tag >> QUEUE_SHIFT) as usize) else { return };
+        let Some(connection) = self.connections.get_mut(&delivery.conn) else { return };
+        let tag = delivery.tag & ((1 << QUEUE_SHIFT) - 1);
+        connection.session.exchange(self.clock.now(), queue, Some(tag), "", to, properties, body);
     }
 
-    fn let_go(&mut self, delivery: Delivery) -> Option<Held> {
+    /// Forgets a delivery that is settled or lost.
+    fn release(&mut self, delivery: Delivery) -> Option<HeldMessage> {
         let held = self.held.remove(&delivery)?;
         if let Some(name) = held.name.as_ref().filter(|n| self.latest.get(n) == Some(&delivery)) {
             self.latest.remove(name);
@@ -324,14 +342,16 @@
     }
 }
 
-impl Desk for Hands {
-    fn write_intent(&mut self, name: &Name, no: u64) {
-        let (events, of) = (self.events.clone(), name.clone());
-        self.journal.intent(name, wall(), move |written| drop(events.send(Event::Intent(of, no, written))));
+impl Desk for TriggerDriver {
+    fn write_intent(&mut self, name: &Name, number: u64) {
+        let (event_tx, intent_name) = (self.broker_event_tx.clone(), name.clone());
+        self.journal.intent(name, wall_clock(), move |written| {
+            drop(event_tx.send(BrokerEvent::IntentWritten(intent_name, number, written)))
+        });
     }
 
     fn write_answer(&mut self, name: &Name, answer: &Final) {
-        self.journal.answer(name, wall(), answer);
+        self.journal.answer(name, wall_clock(), answer);
     }
 
     fn write_done(&mut self, name: &Name) {
@@ -341,33 +361,35 @@
     fn ask(&mut self, name: &Name, until: Time) {
         let Some(held) = self.latest.get(name).and_then(|d| self.held.get(d)) else { return };
         let (method, body, properties) = (held.method.clone(), held.body.clone(), &held.properties);
-        let (model, tenant) = (text(properties, "model"), text(properties, "tenant"));
+        let (model, tenant) = (text_header(properties, "model"), text_header(properties, "tenant"));
         let (model, tenant) = (model.unwrap_or_default(), tenant.unwrap_or_default());
-        let (notes, events, in_force) = (self.notes.clone(), self.events.clone(), self.in_force.clone());
-        let (clock, name, id) = (self.clock, name.clone(), ClientId(DOOR + self.next));
-        self.next += 1;
+        let (request_tx, event_tx, active_methods) =
+            (self.request_tx.clone(), self.broker_event_tx.clone(), self.active_methods.clone());
+        let (clock, name, id) = (self.clock, name.clone(), ClientId(FIRST_CLIENT_ID + self.rpcs));
+        self.rpcs += 1;
         tokio::spawn(async move {
             loop {
-                let now = Arc::clone(&in_force.borrow());
-                let known = now.prepared.catalogue.method(&method);
-                if let Some(Err(why)) = known.map(|m| m.request.check(&body)) {
-                    let _ = events.send(Event::Unfit(name, why.to_string()));
+                let active = Arc::clone(&active_methods.borrow());
+                let described = active.prepared.catalogue.method(&method);
+                if let Some(Err(error)) = described.map(|m| m.request.check(&body)) {
+                    let _ = event_tx.send(BrokerEvent::InvalidRpc(name, error.to_string()));
                     return;
                 }
-                let (reply, told) = oneshot::channel();
+                let (reply_tx, reply_rx) = oneshot::channel();
                 let (method, model, tenant) = (method.clone(), model.clone(), tenant.clone());
-                let (release, token, body) = (now.release, Some(name.id.clone()), body.clone());
-                let left = until - clock.now();
-                let ask = Ask { release, method, model, tenant, left, token, body, reply };
-                if notes.send(Note::Ask(id, ask)).await.is_err() {
-                    // It was not handed over: nothing was sent.
-                    let _ = events.send(Event::Ended(name, Some(Reply::Refused(Refusal::Stopping))));
+                let (release, token, body) = (active.release, Some(name.id.clone()), body.clone());
+                let time_left = until - clock.now();
+                let request = RpcRequest { release, method, model, tenant, time_left, token, body, reply_tx };
+                if request_tx.send(Event::Request(id, request)).await.is_err() {
+                    // The RPC did not reach the engine, so nothing was sent.
+                    let _ =
+                        event_tx.send(BrokerEvent::RpcEnded(name, Some(Reply::Refused(Refusal::Stopping))));
                     return;
                 }
-                match told.await {
-                    Ok(Reply::Changed) => continue,
+                match reply_rx.await {
+                    Ok(Reply::MethodsChanged) => continue,
                     reply => {
-                        let _ = events.send(Event::Ended(name, reply.ok()));
+                        let _ = event_tx.send(BrokerEvent::RpcEnded(name, reply.ok()));
                         return;
                     }
                 }
@@ -377,19 +399,19 @@
 
     fn settle(&mut self, name: &Name, delivery: Delivery, answer: &Final) {
         let Some(held) = self.held.get(&delivery) else { return };
-        let word = match answer.end {
+        let answer_name = match answer.end {
             End::Ok => "ok",
             End::Denied => "denied",
             End::Aborted => "aborted",
         };
-        let catalogue = Arc::clone(&self.in_force.borrow().prepared.catalogue);
-        let media =
+        let catalogue = Arc::clone(&self.active_methods.borrow().prepared.catalogue);
+        let media_type =
             catalogue.method(&held.method).map_or("application/octet-stream", |m| m.answer.media_type());
         let mut properties = AMQPProperties::default()
             .with_correlation_id(name.id.as_str().into())
             .with_delivery_mode(2)
-            .with_content_type(media.into());
-        properties = with_header(&properties, "answer", AMQPValue::LongString(word.into()));
+            .with_content_type(media_type.into());
+        properties = with_header(&properties, "answer", AMQPValue::LongString(answer_name.into()));
         if !answer.why.is_empty() {
             properties = with_header(&properties, "why", AMQPValue::LongString(answer.why.as_str().into()));
         }
@@ -398,16 +420,18 @@
 
     fn give_back(&mut self, _: &Name, delivery: Delivery, given_back: u32) {
         let Some(held) = self.held.get(&delivery) else { return };
-        let (queue, body) = (format!("{PREFIX}{}", held.method), held.body.clone());
-        let properties = with_header(&held.properties, GIVEN_BACK, AMQPValue::LongInt(given_back as i32));
+        let (queue, body) = (format!("{QUEUE_PREFIX}{}", held.method), held.body.clone());
+        let properties =
+            with_header(&held.properties, GIVEN_BACK_HEADER, AMQPValue::LongInt(given_back as i32));
         self.exchange(delivery, &queue, properties, &body);
     }
 
-    fn dead_letter(&mut self, delivery: Delivery, why: &str) {
+    fn dead_letter(&mut self, delivery: Delivery, reason: &str) {
         let Some(held) = self.held.get(&delivery) else { return };
         let (to, body) = (self.dead_letters.clone(), held.body.clone());
-        let properties = with_header(&held.properties, "curlewpoint-why", AMQPValue::LongString(why.into()));
-        info!(method = held.method, "a message goes to {to}: {why}");
+        let properties =
+            with_header(&held.properties, "curlewpoint-why", AMQPValue::LongString(reason.into()));
+        info!(method = held.method, "a message goes to {to}: {reason}");
         self.exchange(delivery, &to, properties, &body);
     }
 
@@ -416,11 +440,11 @@
     }
 }
 
-/// What the journal of a run before this one holds.
+/// Records that previous runs have left in the journal.
 #[derive(Default)]
-pub(crate) struct Before(Vec<(Name, Time, Option<Final>)>);
+pub(crate) struct RecoveredRecords(Vec<(Name, Time, Option<Final>)>);
 
-impl Reader for Before {
+impl Reader for RecoveredRecords {
     fn intent(&mut self, name: Name, at: Time) {
         self.0.push((name, at, None));
     }
@@ -430,61 +454,63 @@
 }
 
 struct Trigger {
-    inbox: Inbox<Hands>,
+    inbox: Inbox<TriggerDriver>,
     intakes: BTreeMap<String, Intake>,
     settings: Settings,
     clock: Clock,
     stopping: bool,
 }
 
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Consumes the broker's queues until `stop` says so; then what is here is answered or given back.
+/// Consumes the broker's queues until `stop` is set. Messages held by then are answered or given back.
 pub(crate) async fn serve(
-    settings: Settings, journal: Journal, before: Before, in_force: watch::Receiver<Arc<InForce>>,
-    clock: Clock, notes: mpsc::Sender<Note>, mut stop: watch::Receiver<bool>,
+    settings: Settings, journal: Journal, recovered: RecoveredRecords,
+    active_methods: watch::Receiver<Arc<ActiveMethods>>, clock: Clock, request_tx: mpsc::Sender<Event>,
+    mut stop: watch::Receiver<bool>,
 ) {
-    let (events, mut heard) = mpsc::unbounded_channel();
-    let mut dialling = Vec::new();
+    let (broker_event_tx, mut broker_event_rx) = mpsc::unbounded_channel();
+    let mut connection_tasks = Vec::new();
     for slot in 0..settings.connections.max(1) {
-        let (address, tls, back_off) = (settings.address.clone(), settings.tls.clone(), settings.back_off);
-        let connecting = connect(slot, address, tls, back_off, settings.seed, events.clone());
-        dialling.push(tokio::spawn(connecting).abort_handle());
+        let (address, tls, backoff) = (settings.address.clone(), settings.tls.clone(), settings.backoff);
+        let connecting =
+            maintain_connection(slot, address, tls, backoff, settings.seed, broker_event_tx.clone());
+        connection_tasks.push(tokio::spawn(connecting).abort_handle());
     }
-    let hands = Hands {
-        sessions: BTreeMap::new(),
+    let driver = TriggerDriver {
+        connections: BTreeMap::new(),
         held: BTreeMap::new(),
         latest: BTreeMap::new(),
         journal,
-        events,
-        notes,
-        in_force,
+        broker_event_tx,
+        request_tx,
+        active_methods,
         clock,
-        next: 0,
+        rpcs: 0,
         queues: Vec::new(),
         dead_letters: settings.dead_letters.clone(),
     };
-    let mut inbox = Inbox::new(hands, settings.keep);
-    let (now, today, found) = (clock.now(), wall(), before.0.len());
-    for (name, at, answer) in before.0 {
+    let mut inbox = Inbox::new(driver, settings.record_retention);
+    let (now, wall_time, found) = (clock.now(), wall_clock(), recovered.0.len());
+    for (name, at, answer) in recovered.0 {
         match answer {
             Some(answer) => inbox.recovered_answer(now, name, answer),
-            // A record of later than now: the clock was set back, and nobody knows how old it is.
+            // A record from the future means that the clock was set back, and the age is unknown.
             None => {
-                let age = today.0.checked_sub(at.0).map_or(Time(u64::MAX), Time);
+                let age = wall_time.0.checked_sub(at.0).map_or(Time(u64::MAX), Time);
                 inbox.recovered_intent(now, name, age);
             }
         }
     }
     if found > 0 {
-        info!(found, "the journal of the run before has messages that may come again");
+        info!(found, "the journal holds messages of a previous run that may be delivered again");
     }
     let mut trigger = Trigger { inbox, intakes: BTreeMap::new(), settings, clock, stopping: false };
-    let mut tick = interval(TICK);
+    let mut tick = interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
         tokio::select! {
-            event = heard.recv() => match event {
+            event = broker_event_rx.recv() => match event {
                 Some(event) => trigger.event(event),
                 None => break,
             },
@@ -495,17 +521,17 @@
             break;
         }
     }
-    dialling.iter().for_each(AbortHandle::abort);
+    connection_tasks.iter().for_each(AbortHandle::abort);
     let now = clock.now();
-    let hands = trigger.inbox.desk();
-    for up in hands.sessions.values_mut() {
-        up.session.close(now);
-    }
-    // Their tasks write what they have been told, and end.
-    let talks: Vec<AbortHandle> =
-        std::mem::take(&mut hands.sessions).into_values().map(|up| up.talk).collect();
-    let began = std::time::Instant::now();
-    while talks.iter().any(|t| !t.is_finished()) && began.elapsed() < Duration::from_secs(1) {
+    let driver = trigger.inbox.desk();
+    for connection in driver.connections.values_mut() {
+        connection.session.close(now);
+    }
+    // The connection tasks write what is queued and end.
+    let tasks: Vec<AbortHandle> =
+        std::mem::take(&mut driver.connections).into_values().map(|connection| connection.task).collect();
+    let closing_since = std::time::Instant::now();
+    while tasks.iter().any(|t| !t.is_finished()) && closing_since.elapsed() < Duration::from_secs(1) {
         sleep(Duration::from_millis(5)).await;
     }
 }
@@ -519,27 +545,31 @@
         self.stopping = true;
         self.inbox.stop();
         self.intakes.values_mut().for_each(Intake::stop);
-        self.hold_all();
-    }
-
-    /// Asks each session for what its queues may hold now. A method that came by a reload has its queue from here on.
-    fn hold_all(&mut self) {
-        let (now, most) = (self.clock.now(), self.settings.most_held);
-        let hands = self.inbox.desk();
-        let in_force = Arc::clone(&hands.in_force.borrow());
-        for method in in_force.prepared.catalogue.methods() {
-            let queue = format!("{PREFIX}{}", method.name);
-            if !hands.queues.contains(&queue) {
-                hands.queues.push(queue.clone());
+        self.update_prefetch();
+    }
+
+    /// Sets the number of messages that each queue may hold now. Adds queues of methods that a reload has added.
+    fn update_prefetch(&mut self) {
+        let (now, max_held) = (self.clock.now(), self.settings.max_held);
+        let driver = self.inbox.desk();
+        let active_methods = Arc::clone(&driver.active_methods.borrow());
+        for method in active_methods.prepared.catalogue.methods() {
+            let queue = format!("{QUEUE_PREFIX}{}", method.name);
+            if !driver.queues.contains(&queue) {
+                driver.queues.push(queue.clone());
             }
-            self.intakes.entry(queue).or_insert_with(|| Intake::new(now, most));
+            self.intakes.entry(queue).or_insert_with(|| Intake::new(now, max_held));
         }
         let slots = self.settings.connections.max(1);
-        for up in hands.sessions.values_mut() {
-            for queue in hands.queues.iter().skip(up.slot).step_by(slots) {
-                let served = in_force.prepared.catalogue.method(queue.trim_start_matches(PREFIX)).is_some();
-                let hold = self.intakes.get(queue).filter(|_| served).map_or(0, Intake::prefetch);
-                up.session.hold(now, queue, u16::try_from(hold).unwrap_or(u16::MAX));
+        for connection in driver.connections.values_mut() {
+            for queue in driver.queues.iter().skip(connection.slot).step_by(slots) {
+                let served = active_methods
+                    .prepared
+                    .catalogue
+                    .method(queue.trim_start_matches(QUEUE_PREFIX))
+                    .is_some();
+                let prefetch = self.intakes.get(queue).filter(|_| served).map_or(0, Intake::prefetch);
+                connection.session.hold(now, queue, u16::try_from(prefetch).unwrap_or(u16::MAX));
             }
         }
     }
@@ -547,125 +577,144 @@
     fn tick(&mut self) {
         let now = self.clock.now();
         self.inbox.sweep(now);
-        let conns: Vec<u64> = self.inbox.desk().sessions.keys().copied().collect();
+        let conns: Vec<u64> = self.inbox.desk().connections.keys().copied().collect();
         for conn in conns {
             self.with_session(conn, |session| session.tick(now));
         }
         self.intakes.values_mut().for_each(|i| {
             i.tick(now);
         });
-        self.hold_all();
+        self.update_prefetch();
     }
 
-    fn with_session(&mut self, conn: u64, work: impl FnOnce(&mut Session<Wire>)) {
-        if let Some(up) = self.inbox.desk().sessions.get_mut(&conn) {
-            work(&mut up.session);
+    fn with_session(&mut self, conn: u64, action: impl FnOnce(&mut Session<SessionHost>)) {
+        if let Some(connection) = self.inbox.desk().connections.get_mut(&conn) {
+            action(&mut connection.session);
         }
-        // One look at a time: what is heard may have the session say more.
-        while let Some(heard) =
-            self.inbox.desk().sessions.get_mut(&conn).and_then(|up| up.session.host().heard.pop_front())
+        // One event at a time, as processing an event may cause the session to report more.
+        while let Some(event) = self
+            .inbox
+            .desk()
+            .connections
+            .get_mut(&conn)
+            .and_then(|connection| connection.session.host().events.pop_front())
         {
-            self.heard(conn, heard);
+            self.session_event(conn, event);
         }
     }
 
-    fn event(&mut self, event: Event) {
+    fn event(&mut self, event: BrokerEvent) {
         let now = self.clock.now();
         match event {
-            Event::Up(conn, slot, out, talk) => {
-                let wire = Wire { out, heard: VecDeque::new() };
-                let session = Session::begin(now, wire, self.settings.login.clone());
-                self.inbox.desk().sessions.insert(conn, Up { slot, session, talk });
+            BrokerEvent::Connected(conn, slot, outgoing_tx, task) => {
+                let host = SessionHost { outgoing_tx, events: VecDeque::new() };
+                let session = Session::begin(now, host, self.settings.login.clone());
+                self.inbox.desk().connections.insert(conn, BrokerConnection { slot, session, task });
+            }
+            BrokerEvent::Frame(conn, frame) => self.with_session(conn, |session| session.frame(now, *frame)),
+            BrokerEvent::Disconnected(conn, reason) => {
+                self.with_session(conn, |session| session.lost(&reason));
+                self.connection_lost(conn);
             }
-            Event::Frame(conn, frame) => self.with_session(conn, |session| session.frame(now, *frame)),
-            Event::Lost(conn, why) => {
-                self.with_session(conn, |session| session.lost(&why));
-                self.lost(conn);
+            BrokerEvent::IntentWritten(name, number, true) => self.inbox.intent_written(&name, number),
+            BrokerEvent::IntentWritten(name, number, false) => self.inbox.intent_lost(&name, number),
+            BrokerEvent::InvalidRpc(name, reason) => {
+                self.inbox.refused(now, &name, &format!("unfit: {reason}"), true)
             }
-            Event::Intent(name, no, true) => self.inbox.intent_written(&name, no),
-            Event::Intent(name, no, false) => self.inbox.intent_lost(&name, no),
-            Event::Unfit(name, why) => self.inbox.refused(now, &name, &format!("unfit: {why}"), true),
-            Event::Ended(name, None) => {
+            BrokerEvent::RpcEnded(name, None) => {
                 let (why, body) = ("the scheduler ended".to_owned(), Bytes::new());
                 self.inbox.answered(&name, Final { end: End::Aborted, why, body });
             }
-            Event::Ended(name, Some(Reply::Final { answer, why, body, .. })) => {
+            BrokerEvent::RpcEnded(name, Some(Reply::Final { answer, reason, body, .. })) => {
                 let end = match answer {
                     Answer::Ok => End::Ok,
                     Answer::Denied => End::Denied,
                     Answer::Aborted => End::Aborted,
                 };
-                let late = end != End::Ok;
-                let hands = self.inbox.desk();
-                let delivery = hands.latest.get(&name);
-                let queue = delivery.and_then(|d| hands.queues.get((d.tag >> QUEUE_BIT) as usize));
-                queue.and_then(|q| self.intakes.get_mut(q)).into_iter().for_each(|i| i.answered(late));
-                self.inbox.answered(&name, Final { end, why, body });
+                let failed = end != End::Ok;
+                let driver = self.inbox.desk();
+                let delivery = driver.latest.get(&name);
+                let queue = delivery.and_then(|d| driver.queues.get((d.tag >> QUEUE_SHIFT) as usize));
+                queue.and_then(|q| self.intakes.get_mut(q)).into_iter().for_each(|i| i.answered(failed));
+                self.inbox.answered(&name, Final { end, why: reason, body });
             }
-            Event::Ended(name, Some(Reply::Refused(why))) => {
-                let for_good = !matches!(why, Refusal::Full | Refusal::Stopping);
-                self.inbox.refused(now, &name, crate::refusal_name(why), for_good);
+            BrokerEvent::RpcEnded(name, Some(Reply::Refused(refusal))) => {
+                let is_permanent = !matches!(refusal, Refusal::Full | Refusal::Stopping);
+                self.inbox.refused(now, &name, crate::refusal_name(refusal), is_permanent);
             }
-            Event::Ended(_, Some(Reply::Changed)) => {}
+            BrokerEvent::RpcEnded(_, Some(Reply::MethodsChanged)) => {}
         }
     }
 
-    fn lost(&mut self, conn: u64) {
+    fn connection_lost(&mut self, conn: u64) {
         let now = self.clock.now();
-        let hands = self.inbox.desk();
-        if let Some(up) = hands.sessions.remove(&conn) {
-            up.talk.abort();
+        let driver = self.inbox.desk();
+        if let Some(connection) = driver.connections.remove(&conn) {
+            connection.task.abort();
         }
-        let gone: Vec<Delivery> = hands.held.keys().filter(|d| d.conn == conn).copied().collect();
-        for delivery in gone {
-            hands.let_go(delivery);
+        let lost: Vec<Delivery> = driver.held.keys().filter(|d| d.conn == conn).copied().collect();
+        for delivery in lost {
+            driver.release(delivery);
         }
         self.inbox.conn_lost(now, conn);
     }
 
-    fn heard(&mut self, conn: u64, heard: Heard) {
+    fn session_event(&mut self, conn: u64, event: SessionEvent) {
         let now = self.clock.now();
-        match heard {
-            Heard::Ready => {
+        match event {
+            SessionEvent::Ready => {
                 info!(conn, "the broker is there");
-                self.hold_all();
+                self.update_prefetch();
             }
-            Heard::Delivered(queue, tag, redelivered, properties, body) => {
+            SessionEvent::Delivered(queue, tag, redelivered, properties, body) => {
                 self.delivered(conn, &queue, tag, redelivered, *properties, body);
             }
-            Heard::Committed(queue, tags) => {
-                let Some(no) = self.inbox.desk().queues.iter().position(|q| *q == queue) else { return };
+            SessionEvent::Committed(queue, tags) => {
+                let Some(index) = self.inbox.desk().queues.iter().position(|q| *q == queue) else { return };
                 for tag in tags {
-                    let delivery = Delivery { conn, tag: (no as u64) << QUEUE_BIT | tag };
-                    if let Some(Held { name: Some(name), .. }) = self.inbox.desk().let_go(delivery) {
+                    let delivery = Delivery { conn, tag: (index as u64) << QUEUE_SHIFT | tag };
+                    if let Some(HeldMessage { name: Some(name), .. }) = self.inbox.desk().release(delivery) {
                         self.inbox.settled(&name, delivery);
                     }
                 }
             }
-            Heard::Returned(to, why, properties, body) => {
-                let hands = self.inbox.desk();
-                warn!(to, "an answer was returned: {why}");
-                let dead = hands.dead_letters.clone();
-                let Some(up) = hands.sessions.get_mut(&conn).filter(|_| to != dead) else { return };
-                let why = AMQPValue::LongString(why.as_str().into());
-                let properties = with_header(&properties, "curlewpoint-why", why);
-                // Any channel of the connection that is up will do.
-                let put = |queue: &String| {
-                    up.session.exchange(now, queue, None, "", &dead, properties.clone(), &body)
+            SessionEvent::Returned(to, reason, properties, body) => {
+                let driver = self.inbox.desk();
+                warn!(to, "an answer was returned: {reason}");
+                let dead_letters = driver.dead_letters.clone();
+                let Some(connection) = driver.connections.get_mut(&conn).filter(|_| to != dead_letters)
+                else {
+                    return;
+                };
+                let reason = AMQPValue::LongString(reason.as_str().into());
+                let properties = with_header(&properties, "curlewpoint-why", reason);
+                // Any open channel of the connection can publish it.
+                let publish = |queue: &String| {
+                    connection.session.exchange(
+                        now,
+                        queue,
+                        None,
+                        "",
+                        &dead_letters,
+                        properties.clone(),
+                        &body,
+                    )
                 };
-                if !hands.queues.iter().any(put) {
-                    warn!(to, "it is lost, as no channel is up");
+                if !driver.queues.iter().any(publish) {
+                    warn!(to, "the answer is lost, as no channel is open");
                 }
             }
-            Heard::Cancelled(queue) => info!(queue, "the broker ended the consumer: asked for again"),
-            Heard::Blocked(blocked) => {
+            SessionEvent::Cancelled(queue) => {
+                info!(queue, "the broker cancelled the consumer, consuming again")
+            }
+            SessionEvent::Blocked(blocked) => {
                 info!(blocked, "the broker takes no answers, or does again");
                 self.intakes.values_mut().for_each(|i| i.blocked(blocked));
-                self.hold_all();
+                self.update_prefetch();
             }
-            Heard::Over(why) => {
-                warn!(conn, "the broker's session is over: {why}");
-                self.lost(conn);
+            SessionEvent::Over(reason) => {
+                warn!(conn, "the broker's session is over: {reason}");
+                self.connection_lost(conn);
             }
         }
     }
@@ -674,39 +723,40 @@
         &mut self, conn: u64, queue: &str, tag: u64, redelivered: bool, properties: AMQPProperties,
         body: Bytes,
     ) {
-        let (now, time_left) = (self.clock.now(), self.settings.time_left);
-        let hands = self.inbox.desk();
-        let Some(no) = hands.queues.iter().position(|q| q == queue) else { return };
-        let delivery = Delivery { conn, tag: (no as u64) << QUEUE_BIT | tag };
-        let method = queue.trim_start_matches(PREFIX).to_owned();
-        let in_force = Arc::clone(&hands.in_force.borrow());
-        let known = in_force.prepared.catalogue.method(&method);
-        let effect = in_force.prepared.effects.get(&method).copied();
+        let (now, default_time_left) = (self.clock.now(), self.settings.default_time_left);
+        let driver = self.inbox.desk();
+        let Some(index) = driver.queues.iter().position(|q| q == queue) else { return };
+        let delivery = Delivery { conn, tag: (index as u64) << QUEUE_SHIFT | tag };
+        let method = queue.trim_start_matches(QUEUE_PREFIX).to_owned();
+        let active_methods = Arc::clone(&driver.active_methods.borrow());
+        let described = active_methods.prepared.catalogue.method(&method);
+        let effect = active_methods.prepared.effects.get(&method).copied();
         let (id, reply_to) = (properties.message_id().clone(), properties.reply_to().clone());
         let name = id.zip(reply_to).map(|(id, to)| Name { id: id.to_string(), reply_to: to.to_string() });
         let age = properties.timestamp().and_then(|at| {
             let sent = Time(at.saturating_mul(10_000));
-            // A clock that is ahead of this one says nothing.
-            wall().0.checked_sub(sent.0).map(Time)
+            // The age is unknown if the sender's clock is ahead.
+            wall_clock().0.checked_sub(sent.0).map(Time)
         });
-        let expires = properties.expiration().as_ref().and_then(|e| e.as_str().parse::<u64>().ok());
-        let given_back = match header(&properties, GIVEN_BACK) {
+        let expiration = properties.expiration().as_ref().and_then(|e| e.as_str().parse::<u64>().ok());
+        let given_back = match header(&properties, GIVEN_BACK_HEADER) {
             Some(AMQPValue::LongInt(n)) => u32::try_from(*n).unwrap_or(0),
             _ => 0,
         };
-        let model = text(&properties, "model").filter(|m| !m.is_empty());
-        let held = Held { name: name.clone(), method: method.clone(), properties, body };
-        hands.held.insert(delivery, held);
-        let (Some(name), Some(known), Some(effect), Some(_)) = (name, known, effect, model) else {
-            return hands.dead_letter(
+        let model = text_header(&properties, "model").filter(|m| !m.is_empty());
+        let held = HeldMessage { name: name.clone(), method: method.clone(), properties, body };
+        driver.held.insert(delivery, held);
+        let (Some(name), Some(described), Some(effect), Some(_)) = (name, described, effect, model) else {
+            return driver.dead_letter(
                 delivery,
                 "it has no id, no address for its answer or no model, or no such method",
             );
         };
-        hands.latest.insert(name.clone(), delivery);
-        let deadline = Time::from_ms(known.deadline);
-        let waits = expires.map(|ms| Time(ms.saturating_mul(10))).or(time_left).unwrap_or(deadline);
-        let left = (waits - age.unwrap_or(Time(0))).min(deadline);
+        driver.latest.insert(name.clone(), delivery);
+        let deadline = Time::from_ms(described.deadline);
+        let waiting_time =
+            expiration.map(|ms| Time(ms.saturating_mul(10))).or(default_time_left).unwrap_or(deadline);
+        let left = (waiting_time - age.unwrap_or(Time(0))).min(deadline);
         let terms = Terms { effect, left, redelivered, age, given_back };
         let open = self.inbox.open() as u64 + 1;
         self.intakes.get_mut(queue).into_iter().for_each(|i| i.delivered(left, open));
--- a/crates/curlewpoint-gateway/src/clients.rs
+++ b/crates/curlewpoint-gateway/src/clients.rs
@@ -15,190 +15,200 @@
 use tokio_util::task::TaskTracker;
 use tracing::{debug, info, warn};
 
-use crate::notes::Note;
-use crate::outside::Client;
-use crate::reload::InForce;
+use crate::driver::Client;
+use crate::events::Event;
+use crate::reload::ActiveMethods;
 
-/// Frames, and their bytes, read from one client ahead of what the engine has taken: a cancel among them and its going
-/// are seen behind them.
-const AHEAD: (usize, usize) = (64, 256 * 1024);
+/// Frames and bytes that are read from one client before the engine's task accepts them. Reading ahead lets a cancel or a
+/// disconnect be noticed while earlier RPCs are still queued.
+const READ_AHEAD: (usize, usize) = (64, 256 * 1024);
 
-/// What each client's task knows.
+/// What all client tasks share.
 #[derive(Clone)]
-pub(crate) struct Desk {
+pub(crate) struct ClientContext {
+    /// Name of this instance.
     pub name: String,
     pub bounds: Bounds,
-    pub in_force: watch::Receiver<Arc<InForce>>,
-    /// What ends something, and what begins something.
-    pub endings: mpsc::Sender<Note>,
-    pub asks: mpsc::Sender<Note>,
-    /// Cancelled where this scheduler ends: what has come is read, and then all is closed.
+    pub active_methods: watch::Receiver<Arc<ActiveMethods>>,
+    /// For events that end something. The engine's task processes these before those of `request_tx`.
+    pub priority_tx: mpsc::Sender<Event>,
+    /// For events that start something.
+    pub request_tx: mpsc::Sender<Event>,
+    /// Cancelled when this scheduler ends. Client tasks then process what has already arrived, and close.
     pub closing: CancellationToken,
     pub tasks: TaskTracker,
 }
 
-/// Clients' connections, up to a number at a time.
-struct Doors {
-    desk: Desk,
-    most: usize,
-    room: Arc<Semaphore>,
-    /// Those turned away take a task each for as long as their word takes, up to as many again.
-    turning: Arc<Semaphore>,
-    next: u64,
+/// Accepts a limited number of client connections.
+struct ClientListener {
+    context: ClientContext,
+    max_clients: usize,
+    client_slots: Arc<Semaphore>,
+    /// Limits the tasks that tell clients over the limit why their connection is closed.
+    rejection_slots: Arc<Semaphore>,
+    next_id: u64,
 }
 
-impl Doors {
-    fn let_in(&mut self, stream: TcpStream) {
-        let desk = self.desk.clone();
-        let tasks = desk.tasks.clone();
-        match Arc::clone(&self.room).try_acquire_owned() {
-            Ok(place) => {
-                self.next += 1;
-                tasks.spawn(client(ClientId(self.next), stream, desk, place));
+impl ClientListener {
+    fn admit(&mut self, stream: TcpStream) {
+        let context = self.context.clone();
+        let tasks = context.tasks.clone();
+        match Arc::clone(&self.client_slots).try_acquire_owned() {
+            Ok(slot) => {
+                self.next_id += 1;
+                tasks.spawn(serve_client(ClientId(self.next_id), stream, context, slot));
             }
             Err(_) => {
-                info!(peer = ?stream.peer_addr().ok(), "turned away: {} clients are connected", self.most);
-                if let Ok(place) = Arc::clone(&self.turning).try_acquire_owned() {
-                    tasks.spawn(turn_away(stream, desk, place));
+                info!(peer = ?stream.peer_addr().ok(), "turned away: {} clients are connected", self.max_clients);
+                if let Ok(slot) = Arc::clone(&self.rejection_slots).try_acquire_owned() {
+                    tasks.spawn(reject(stream, context, slot));
                 }
             }
         }
     }
 }
 
-/// Takes clients' connections until a stop; then what has come up to that moment is still let in, and told to go away, as
-/// a connection that was accepted by the machine counts as taken.
+/// Accepts client connections until a stop. Connections that the kernel has accepted by then are still admitted and told
+/// to go away.
 pub(crate) async fn accept(
-    listener: TcpListener, most: usize, desk: Desk, mut stopped: watch::Receiver<bool>,
+    listener: TcpListener, max_clients: usize, context: ClientContext, mut stopped: watch::Receiver<bool>,
 ) {
-    let (room, turning) = (Arc::new(Semaphore::new(most)), Arc::new(Semaphore::new(most.max(16))));
-    let mut doors = Doors { desk, most, room, turning, next: 0 };
+    let (client_slots, rejection_slots) =
+        (Arc::new(Semaphore::new(max_clients)), Arc::new(Semaphore::new(max_clients.max(16))));
+    let mut clients = ClientListener { context, max_clients, client_slots, rejection_slots, next_id: 0 };
     loop {
         let accepted = tokio::select! {
             _ = stopped.wait_for(|s| *s) => break,
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, _)) => doors.let_in(stream),
+            Ok((stream, _)) => clients.admit(stream),
             Err(e) if is_of_one_accept(&e) => METRICS.local_errors.add(1),
             Err(e) => {
-                // Out of descriptors, most likely: those in use go on, and closing ones make room.
+                // Usually out of file descriptors. Open connections go on, and closing ones free descriptors.
                 warn!("a connection could not be accepted: {e}");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
     }
-    // What the machine has accepted is asked for once more after the driver has looked.
+    // Lets the runtime poll the sockets once, so that all connections that the kernel has accepted are seen.
     yield_now().await;
     while let Some(Ok((stream, _))) = at_once(listener.accept()).await {
-        doors.let_in(stream);
+        clients.admit(stream);
     }
 }
 
-async fn turn_away(stream: TcpStream, desk: Desk, place: OwnedSemaphorePermit) {
-    if let Ok(Link { outbox, mut reader, writer, .. }) = open(stream, &desk.name, desk.bounds).await {
+async fn reject(stream: TcpStream, context: ClientContext, slot: OwnedSemaphorePermit) {
+    if let Ok(Link { outbox, mut reader, writer, .. }) = open(stream, &context.name, context.bounds).await {
         let _ = outbox.send(Frame::new(Kind::FAULT).text(Field::REASON, "too many connections"), None);
         drop(outbox);
         let _ = writer.await;
         linger(reader.get_mut(), LINGER.0, LINGER.1).await;
     }
-    drop(place);
+    drop(slot);
 }
 
-/// Why a body does not fit its method's description. What cannot be read is left to the engine's task to refuse.
-pub(crate) fn unfit(catalogue: &Catalogue, frame: &Frame) -> Option<String> {
+/// Why the body of an RPC does not match its method's schema. A malformed frame is left to the engine's task to reject.
+pub(crate) fn schema_mismatch(catalogue: &Catalogue, frame: &Frame) -> Option<String> {
     let method =
         catalogue.method(frame.maybe_text(Field::METHOD).ok()??).filter(|_| frame.kind == Kind::RPC)?;
-    method.request.check(&frame.body).err().map(|why| why.to_string())
+    method.request.check(&frame.body).err().map(|error| error.to_string())
 }
 
-/// What was read of a client, as it is passed on.
-struct Told {
-    note: Note,
-    /// The tag of an RPC.
+/// An event of a client that has not been passed on yet.
+struct QueuedEvent {
+    event: Event,
+    /// The tag, if the event is an RPC.
     tag: Option<u64>,
 }
 
-async fn client(id: ClientId, stream: TcpStream, desk: Desk, _place: OwnedSemaphorePermit) {
+async fn serve_client(id: ClientId, stream: TcpStream, context: ClientContext, _slot: OwnedSemaphorePermit) {
     let opened = tokio::select! {
         biased;
-        opened = open(stream, &desk.name, desk.bounds) => opened,
-        // One that has said nothing by then is not waited for.
-        () = async { desk.closing.cancelled().await; yield_now().await } => return,
+        opened = open(stream, &context.name, context.bounds) => opened,
+        // A client that has not sent its hello by then is not waited for.
+        () = async { context.closing.cancelled().await; yield_now().await } => return,
     };
     let Link { outbox, mut reader, mut writer, peer } = match opened {
         Ok(link) => link,
-        Err(why) => return info!(client = id.0, "no hello from a client: {why}"),
+        Err(error) => return info!(client = id.0, "no hello from a client: {error}"),
     };
     debug!(client = id.0, peer, "client connected");
-    if desk.endings.send(Note::ClientIn(id, Client::new(outbox, writer.abort_handle()))).await.is_err() {
+    if context
+        .priority_tx
+        .send(Event::ClientConnected(id, Client::new(outbox, writer.abort_handle())))
+        .await
+        .is_err()
+    {
         return;
     }
-    let (mut ahead, mut passed, mut came) = (Ahead::new(AHEAD), 0, None::<Frame>);
-    let (mut writing, mut why) = (true, None);
+    let (mut queue, mut passed_on, mut received) = (Ahead::new(READ_AHEAD), 0, None::<Frame>);
+    let (mut writing, mut error) = (true, None);
     loop {
-        if let Some(frame) = came.take() {
+        if let Some(frame) = received.take() {
             if frame.kind == Kind::CANCEL {
                 let tag = match frame.get_int(Field::TAG) {
                     Ok(tag) => tag,
                     Err(e) => {
-                        why = Some(e);
+                        error = Some(e);
                         break;
                     }
                 };
-                let after = ahead.withdraw(|told: &Told| told.tag == Some(tag)).is_none().then_some(passed);
-                if desk.endings.send(Note::Cancel(id, tag, after)).await.is_err() {
+                let after =
+                    queue.withdraw(|q: &QueuedEvent| q.tag == Some(tag)).is_none().then_some(passed_on);
+                if context.priority_tx.send(Event::CancelRpc(id, tag, after)).await.is_err() {
                     break;
                 }
             } else {
-                let now = Arc::clone(&desk.in_force.borrow());
+                let active = Arc::clone(&context.active_methods.borrow());
                 let bytes = frame.body.len() + frame.header().len();
                 let tag = frame.get_int(Field::TAG).ok().filter(|_| frame.kind == Kind::RPC);
-                let note = match unfit(&now.prepared.catalogue, &frame) {
-                    None => Note::Client(id, now.release, frame),
-                    Some(why) => Note::Unfit(id, frame, why),
+                let event = match schema_mismatch(&active.prepared.catalogue, &frame) {
+                    None => Event::ClientFrame(id, active.release, frame),
+                    Some(reason) => Event::InvalidRpc(id, frame, reason),
                 };
-                ahead.push(Told { note, tag }, bytes);
+                queue.push(QueuedEvent { event, tag }, bytes);
             }
         }
-        // What has come is read before what was read is passed on, so that a client that has gone meanwhile is seen.
+        // Reading comes before passing on, so that a disconnect is noticed as early as possible.
         tokio::select! {
             biased;
             _ = &mut writer => {
                 writing = false;
                 break;
             }
-            next = reader.next(), if ahead.has_room() => match next {
-                Some(Ok(frame)) => came = Some(frame),
+            next = reader.next(), if queue.has_room() => match next {
+                Some(Ok(frame)) => received = Some(frame),
                 Some(Err(e)) => {
-                    why = Some(e);
+                    error = Some(e);
                     break;
                 }
-                // It has gone: what it asked and nobody took is forgotten.
+                // The client has disconnected: its queued RPCs are dropped.
                 None => break,
             },
-            // A full channel holds back this client alone.
-            room = desk.asks.reserve(), if !ahead.is_empty() => match (room, ahead.pop()) {
-                (Ok(room), Some(told)) => {
-                    passed += 1;
-                    room.send(told.note);
+            // A full channel delays only this client.
+            permit = context.request_tx.reserve(), if !queue.is_empty() => match (permit, queue.pop()) {
+                (Ok(permit), Some(queued)) => {
+                    passed_on += 1;
+                    permit.send(queued.event);
                 }
                 _ => break,
             },
-            () = desk.closing.cancelled(), if ahead.is_empty() => match next_at_once(&mut reader).await {
-                Some(Ok(frame)) => came = Some(frame),
+            () = context.closing.cancelled(), if queue.is_empty() => match next_at_once(&mut reader).await {
+                Some(Ok(frame)) => received = Some(frame),
                 Some(Err(e)) => {
-                    why = Some(e);
+                    error = Some(e);
                     break;
                 }
                 None => break,
             },
         }
     }
-    let forgotten = ahead.iter().filter(|told| told.tag.is_some()).count();
-    // Where this scheduler ends, what was asked last is answered first: it went by the other channel.
-    let last = if desk.closing.is_cancelled() { &desk.asks } else { &desk.endings };
-    let _ = last.send(Note::ClientOut(id, why, forgotten)).await;
+    let dropped = queue.iter().filter(|queued| queued.tag.is_some()).count();
+    // When this scheduler ends, the disconnect goes through the request channel, behind the last RPCs, so that these are
+    // answered first.
+    let last_tx = if context.closing.is_cancelled() { &context.request_tx } else { &context.priority_tx };
+    let _ = last_tx.send(Event::ClientDisconnected(id, error, dropped)).await;
     if writing {
         let _ = writer.await;
     }
--- a/crates/curlewpoint-gateway/src/codes.rs
+++ b/crates/curlewpoint-gateway/src/codes.rs
@@ -1,4 +1,4 @@
-//! The numbers that stand for outcomes, answers and the like in the protocol's fields.
+//! Numeric codes of outcomes, copy states and answers in fields of the wire protocol.
 
 use curlewpoint::types::{Copy, Outcome};
 use curlewpoint_engine::{Answer, Refusal};
@@ -6,54 +6,56 @@
 pub use curlewpoint_fleet::frames::standing_code;
 use curlewpoint_wire::{Field, Frame, WireError};
 
-fn code<T: std::marker::Copy + PartialEq>(all: &[T], of: T) -> u64 {
-    all.iter().position(|x| *x == of).map_or(0, |no| no as u64)
+/// The code of a value is its index in the table.
+fn code<T: std::marker::Copy + PartialEq>(table: &[T], value: T) -> u64 {
+    table.iter().position(|x| *x == value).map_or(0, |index| index as u64)
 }
 
 fn read<T: std::marker::Copy>(
-    frame: &Frame, field: Field, all: &[T], what: &'static str,
+    frame: &Frame, field: Field, table: &[T], expected: &'static str,
 ) -> Result<T, WireError> {
-    let no = frame.get_int(field)?;
-    all.get(no as usize).copied().ok_or(WireError::WrongType(frame.kind.0, field.0, what))
+    let code = frame.get_int(field)?;
+    table.get(code as usize).copied().ok_or(WireError::WrongType(frame.kind.0, field.0, expected))
 }
 
-/// What a worker may answer.
+// The order of each table is part of the protocol.
 const OUTCOMES: [Outcome; 4] = [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Miss];
-const COPIES: [Copy; 5] = [Copy::Untold, Copy::Warm, Copy::BeganLoad, Copy::WaitedForLoad, Copy::LoadFailed];
+const COPY_STATES: [Copy; 5] =
+    [Copy::Untold, Copy::Warm, Copy::BeganLoad, Copy::WaitedForLoad, Copy::LoadFailed];
 const ANSWERS: [Answer; 3] = [Answer::Ok, Answer::Denied, Answer::Aborted];
 
-pub fn outcome_code(of: Outcome) -> u64 {
-    code(&OUTCOMES, of)
+pub fn outcome_code(outcome: Outcome) -> u64 {
+    code(&OUTCOMES, outcome)
 }
 
 pub(crate) fn outcome(frame: &Frame) -> Result<Outcome, WireError> {
     read(frame, Field::OUTCOME, &OUTCOMES, "an outcome")
 }
 
-pub fn copy_code(of: Copy) -> u64 {
-    code(&COPIES, of)
+pub fn copy_code(copy: Copy) -> u64 {
+    code(&COPY_STATES, copy)
 }
 
 pub(crate) fn copy(frame: &Frame) -> Result<Copy, WireError> {
     if frame.has(Field::COPY_STATUS) {
-        read(frame, Field::COPY_STATUS, &COPIES, "word of a copy")
+        read(frame, Field::COPY_STATUS, &COPY_STATES, "a copy state")
     } else {
         Ok(Copy::Untold)
     }
 }
 
-pub fn answer_code(of: Answer) -> u64 {
-    code(&ANSWERS, of)
+pub fn answer_code(answer: Answer) -> u64 {
+    code(&ANSWERS, answer)
 }
 
-/// The final answer that a frame tells a client.
+/// Reads the final answer from a frame to a client.
 pub fn read_answer(frame: &Frame) -> Result<Answer, WireError> {
     read(frame, Field::OUTCOME, &ANSWERS, "an answer")
 }
 
-/// Why an RPC was not taken, as a client reads it.
-pub fn refusal_name(of: Refusal) -> &'static str {
-    match of {
+/// The name of a refusal on the wire.
+pub fn refusal_name(refusal: Refusal) -> &'static str {
+    match refusal {
         Refusal::NoSuchMethod => "no-such-method",
         Refusal::Withdrawn => "withdrawn",
         Refusal::NoSuchTenant => "no-such-tenant",
--- a/crates/curlewpoint-gateway/src/outside.rs
+++ b/crates/curlewpoint-gateway/src/driver.rs
@@ -14,54 +14,62 @@
 use crate::http::Reply;
 use crate::workers::Dialler;
 
-/// A client's connection, as the engine's task sees it.
+/// State of a client's connection in the engine's task.
 pub(crate) struct Client {
     pub outbox: Outbox,
     pub writer: AbortHandle,
-    /// It has said that it sends nothing more; all that it sent before has been read.
+    /// The client has sent GO_AWAY: it sends nothing more, and everything before that frame has been read.
     pub leaving: bool,
-    /// Frames taken of those that it asks by.
-    taken: u64,
-    /// Tags that it withdrew, each with the number of the last frame that may have asked by it; all of these numbers.
-    withdrawn: BTreeMap<u64, u64>,
-    until: u64,
+    /// Number of events of this client's requests that have been processed.
+    processed: u64,
+    /// Cancelled tags, each with the number of the last event that may carry the cancelled RPC.
+    cancelled: BTreeMap<u64, u64>,
+    /// The largest of these event numbers.
+    cancelled_until: u64,
 }
 
 impl Client {
     pub fn new(outbox: Outbox, writer: AbortHandle) -> Client {
-        Client { outbox, writer, leaving: false, taken: 0, withdrawn: BTreeMap::new(), until: 0 }
+        Client {
+            outbox,
+            writer,
+            leaving: false,
+            processed: 0,
+            cancelled: BTreeMap::new(),
+            cancelled_until: 0,
+        }
     }
 
-    /// It withdraws what it asked under this tag among the first so many frames: a cancel goes ahead of calls, so it may
-    /// be still on its way. False: more are withdrawn than can be.
-    pub fn withdraws(&mut self, tag: u64, after: u64) -> bool {
-        if after > self.taken {
-            self.until = self.until.max(after);
-            self.withdrawn.insert(tag, after);
+    /// Records the cancel of the RPC with this tag among the client's first `passed_on` events. A cancel overtakes RPCs,
+    /// so the RPC may still be queued. Returns false if the client has more recorded cancels than allowed.
+    pub fn record_cancel(&mut self, tag: u64, passed_on: u64) -> bool {
+        if passed_on > self.processed {
+            self.cancelled_until = self.cancelled_until.max(passed_on);
+            self.cancelled.insert(tag, passed_on);
         }
-        self.withdrawn.len() <= MOST_WITHDRAWN
+        self.cancelled.len() <= MAX_RECORDED_CANCELS
     }
 
-    /// One more frame of it is taken; whether what it asks under this tag has been withdrawn meanwhile.
-    pub fn takes(&mut self, tag: Option<u64>) -> bool {
-        self.taken += 1;
-        let withdrawn =
-            tag.and_then(|tag| self.withdrawn.get(&tag)).is_some_and(|after| self.taken <= *after);
-        if self.taken >= self.until {
-            self.withdrawn.clear();
+    /// Counts one more event of the client as processed. Returns whether the RPC with this tag has been cancelled.
+    pub fn process(&mut self, tag: Option<u64>) -> bool {
+        self.processed += 1;
+        let cancelled =
+            tag.and_then(|tag| self.cancelled.get(&tag)).is_some_and(|last| self.processed <= *last);
+        if self.processed >= self.cancelled_until {
+            self.cancelled.clear();
         }
-        withdrawn
+        cancelled
     }
 }
 
-/// Tags of one client that are withdrawn before what it asked under them was taken: as many as the channel holds.
-const MOST_WITHDRAWN: usize = 4096;
+/// Maximum number of a client's cancels whose RPCs have not been processed yet: the capacity of the event channel.
+const MAX_RECORDED_CANCELS: usize = 4096;
 
-/// Sockets towards workers, as the pool acts on them.
+/// The connections to workers, on which the pool acts.
 pub(crate) struct Sockets {
     dialler: Dialler,
     outboxes: BTreeMap<ConnId, Outbox>,
-    /// Of each request that is out, and whether it is an attempt.
+    /// The ticket of each open request, and whether the request is an attempt.
     tickets: BTreeMap<RequestId, (Ticket, bool)>,
     ended: VecDeque<(RequestId, Outcome)>,
 }
@@ -96,7 +104,7 @@
 
     fn withdraw(&mut self, conn: ConnId, request: RequestId) {
         if let Some(outbox) = self.outboxes.get(&conn) {
-            // The worker may be spared what nobody waits for; where its outbox is full it is not told.
+            // Only spares the worker needless work, so a full outbox is ignored.
             let _ = outbox.send(Frame::new(Kind::CANCEL_ATTEMPT).int(Field::TAG, request.0), None);
         }
     }
@@ -111,58 +119,60 @@
     }
 }
 
-/// What the engine acts through.
-pub(crate) struct Outside {
-    /// This run of this instance; it names RPCs in logs and at workers.
-    pub run: String,
+/// Performs the engine's actions on connections.
+pub(crate) struct GatewayDriver {
+    /// Identifies this run of this instance. Part of the RPC names in logs and at workers.
+    pub run_id: String,
     pub clients: BTreeMap<ClientId, Client>,
-    /// RPCs that came over HTTP, each a client of its own.
-    pub calls: BTreeMap<ClientId, oneshot::Sender<Reply>>,
-    /// Clients that did not read their answers and have been cut off.
-    pub lost: Vec<ClientId>,
-    pub list: Option<Outbox>,
+    /// Where the answers to RPCs over HTTP and AMQP go. Each of these RPCs has a client id of its own.
+    pub reply_txs: BTreeMap<ClientId, oneshot::Sender<Reply>>,
+    /// Clients that were disconnected because they did not read their answers, until the engine is notified.
+    pub cut_off: Vec<ClientId>,
+    /// Connection to the list service.
+    pub list_outbox: Option<Outbox>,
     pub releases: Releases,
-    /// What the module has seen since the last look, for peers.
-    pub seen: Vec<(WorkerId, FunctionId, Hint, u64)>,
-    /// Functions of RPCs that came in since then; none: nobody asks for them.
-    pub wanted: Option<BTreeSet<FunctionId>>,
-    /// Which methods each RPC was taken under.
-    under: BTreeMap<RpcId, Release>,
+    /// Observations of the decision module since the last iteration, for peers.
+    pub observations: Vec<(WorkerId, FunctionId, Hint, u64)>,
+    /// Functions of the RPCs accepted since then. None: this instance keeps no copy directory.
+    pub wanted_functions: Option<BTreeSet<FunctionId>>,
+    /// The release under which each RPC was accepted.
+    rpc_releases: BTreeMap<RpcId, Release>,
     pool: Pool<Frame>,
     sockets: Sockets,
 }
 
-impl Outside {
-    pub fn new(run: String, releases: Releases, pool: Pool<Frame>, dialler: Dialler) -> Outside {
+impl GatewayDriver {
+    pub fn new(run_id: String, releases: Releases, pool: Pool<Frame>, dialler: Dialler) -> GatewayDriver {
         let (outboxes, tickets, ended) = Default::default();
         let sockets = Sockets { dialler, outboxes, tickets, ended };
-        Outside {
-            run,
+        GatewayDriver {
+            run_id,
             clients: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            lost: Vec::new(),
-            list: None,
+            reply_txs: BTreeMap::new(),
+            cut_off: Vec::new(),
+            list_outbox: None,
             releases,
-            seen: Vec::new(),
-            wanted: None,
-            under: BTreeMap::new(),
+            observations: Vec::new(),
+            wanted_functions: None,
+            rpc_releases: BTreeMap::new(),
             pool,
             sockets,
         }
     }
 
-    pub fn taken_under(&self, rpc: RpcId) -> Option<&Catalogue> {
-        self.releases.catalogue(*self.under.get(&rpc)?).map(|c| &**c)
+    /// The catalogue under which an RPC was accepted.
+    pub fn catalogue_of(&self, rpc: RpcId) -> Option<&Catalogue> {
+        self.releases.catalogue(*self.rpc_releases.get(&rpc)?).map(|c| &**c)
     }
 
-    /// Sends to a client; one whose outbox is full does not read, and is cut off rather than waited for.
-    pub fn tell_client(&mut self, id: ClientId, frame: Frame) {
+    /// Sends a frame to a client. A client whose outbox is full does not read and is disconnected.
+    pub fn send_to_client(&mut self, id: ClientId, frame: Frame) {
         let Some(client) = self.clients.get(&id) else { return };
         if client.outbox.send(frame, None).is_err() {
             info!(client = id.0, "cut off: it does not read its answers");
             client.writer.abort();
             self.clients.remove(&id);
-            self.lost.push(id);
+            self.cut_off.push(id);
         }
     }
 
@@ -171,8 +181,8 @@
         self.pool.conn_up(now, &mut self.sockets, conn);
     }
 
-    pub fn conn_failed(&mut self, now: Time, conn: ConnId, ours: bool) {
-        self.pool.conn_failed(now, &mut self.sockets, conn, ours);
+    pub fn conn_failed(&mut self, now: Time, conn: ConnId, local: bool) {
+        self.pool.conn_failed(now, &mut self.sockets, conn, local);
     }
 
     pub fn conn_broken(&mut self, now: Time, conn: ConnId) {
@@ -184,14 +194,14 @@
         self.pool.leave(&mut self.sockets, conn);
     }
 
-    /// An answer came on this connection; false: nothing was asked there under this number, or it has ended since.
+    /// Handles an answer on this connection. Returns false if no such request is open there.
     pub fn answered(&mut self, now: Time, conn: ConnId, request: RequestId) -> bool {
-        let asked = self.pool.is_on(request, conn);
-        if asked {
+        let is_open = self.pool.is_on(request, conn);
+        if is_open {
             self.sockets.tickets.remove(&request);
             self.pool.answered(now, &mut self.sockets, request);
         }
-        asked
+        is_open
     }
 
     pub fn sweep(&mut self, now: Time) {
@@ -203,11 +213,11 @@
     }
 
     fn rpc_name(&self, rpc: RpcId) -> String {
-        format!("{}.{}", self.run, rpc.0)
+        format!("{}.{}", self.run_id, rpc.0)
     }
 }
 
-impl World for Outside {
+impl World for GatewayDriver {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
         let frame = match request {
             UpstreamRequest::Attempt { rpc, no, method, model, tenant, token, left, body } => {
@@ -242,30 +252,30 @@
     }
 
     fn answer(
-        &mut self, rpc: RpcId, client: ClientId, tag: u64, answer: Answer, why: &str, retry_after: Time,
+        &mut self, rpc: RpcId, client: ClientId, tag: u64, answer: Answer, reason: &str, retry_after: Time,
         body: Bytes,
     ) {
         let name = self.rpc_name(rpc);
         match answer {
             Answer::Ok => debug!(rpc = name, client = client.0, tag, "ok"),
-            _ => info!(rpc = name, client = client.0, tag, "{answer:?}: {why}"),
+            _ => info!(rpc = name, client = client.0, tag, "{answer:?}: {reason}"),
         }
-        if let Some(reply) = self.calls.remove(&client) {
-            let (rpc, why) = (name, why.to_owned());
-            // Where the request was dropped meanwhile nobody listens any more.
-            let _ = reply.send(Reply::Final { answer, rpc, why, retry_after, body });
+        if let Some(reply) = self.reply_txs.remove(&client) {
+            let (rpc, reason) = (name, reason.to_owned());
+            // Fails if the request was dropped in the meantime.
+            let _ = reply.send(Reply::Final { answer, rpc, reason, retry_after, body });
             return;
         }
         let mut f =
             Frame::new(Kind::FINAL_ANSWER).int(Field::TAG, tag).int(Field::OUTCOME, answer_code(answer));
         f = f.text(Field::RPC_NAME, &name);
         if answer != Answer::Ok {
-            f = f.text(Field::REASON, why);
+            f = f.text(Field::REASON, reason);
         }
         if retry_after > Time(0) {
             f = f.int(Field::RETRY_AFTER, retry_after.0);
         }
-        self.tell_client(client, f.body(body));
+        self.send_to_client(client, f.body(body));
     }
 
     fn ended(&mut self) -> Option<(RequestId, Outcome)> {
@@ -285,7 +295,7 @@
         if let Some((epoch, version)) = held {
             frame = frame.int(Field::EPOCH, epoch).int(Field::LIST_VERSION, version);
         }
-        if let Some(outbox) = &self.list {
+        if let Some(outbox) = &self.list_outbox {
             let _ = outbox.send(frame, None);
         }
     }
@@ -304,20 +314,20 @@
     }
 
     fn seen(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
-        self.seen.push((worker, function, hint, held));
+        self.observations.push((worker, function, hint, held));
     }
 
     fn wanted(&mut self, function: FunctionId) {
-        self.wanted.as_mut().map(|all| all.insert(function));
+        self.wanted_functions.as_mut().map(|all| all.insert(function));
     }
 
     fn taken(&mut self, rpc: RpcId) {
         let release = self.releases.taken();
-        self.under.insert(rpc, release);
+        self.rpc_releases.insert(rpc, release);
     }
 
     fn forgotten(&mut self, rpc: RpcId) {
-        if let Some(release) = self.under.remove(&rpc) {
+        if let Some(release) = self.rpc_releases.remove(&rpc) {
             self.releases.ended(release);
         }
     }
--- a/crates/curlewpoint-gateway/src/http.rs
+++ b/crates/curlewpoint-gateway/src/http.rs
@@ -29,143 +29,154 @@
 use tokio_util::task::TaskTracker;
 use tracing::{debug, info, warn};
 
-use crate::notes::Note;
-use crate::reload::InForce;
+use crate::events::Event;
+use crate::reload::ActiveMethods;
 
-/// An RPC that came over HTTP and fits its descriptions.
-pub(crate) struct Ask {
-    /// The methods in force that it was read by.
+/// An RPC from HTTP or AMQP that has been checked against its method's description.
+pub(crate) struct RpcRequest {
+    /// The release under which it was checked.
     pub release: Release,
     pub method: String,
     pub model: String,
     pub tenant: String,
-    pub left: Time,
+    pub time_left: Time,
     pub token: Option<String>,
     pub body: Bytes,
-    pub reply: oneshot::Sender<Reply>,
+    pub reply_tx: oneshot::Sender<Reply>,
 }
 
-/// What becomes of it.
+/// The result of an [`RpcRequest`].
 pub(crate) enum Reply {
     Final {
         answer: Answer,
         rpc: String,
-        why: String,
+        reason: String,
         retry_after: Time,
         body: Bytes,
     },
     Refused(Refusal),
-    /// Other methods came into force on its way: nothing was taken, it is to be read anew.
-    Changed,
+    /// A reload has replaced the methods since the request was checked. The RPC was not accepted, and has to be checked
+    /// again.
+    MethodsChanged,
 }
 
 #[derive(Clone, Copy)]
 pub(crate) struct Limits {
     pub connections: usize,
-    pub body: usize,
-    /// For a request's headers, and again for its body.
-    pub slow: Duration,
-    /// The bytes of its headers.
-    pub head: usize,
+    pub body_bytes: usize,
+    /// Time for receiving a request's headers, and again for its body.
+    pub receive_timeout: Duration,
+    pub header_bytes: usize,
 }
 
-/// Clients of this door have ids apart from those of the native one.
-const DOOR: u64 = 1 << 63;
+/// First client id of HTTP requests. Clients of the native protocol have smaller ids.
+const FIRST_CLIENT_ID: u64 = 1 << 63;
 
-/// What requests go by.
-pub(crate) struct Door {
-    pub in_force: watch::Receiver<Arc<InForce>>,
+/// The context in which requests are served.
+pub(crate) struct HttpEndpoint {
+    pub active_methods: watch::Receiver<Arc<ActiveMethods>>,
     pub clock: Clock,
     pub limits: Limits,
-    /// What ends something, and what begins something.
-    pub endings: mpsc::Sender<Note>,
-    pub asks: mpsc::Sender<Note>,
+    /// For events that end something. The engine's task processes these before those of `request_tx`.
+    pub priority_tx: mpsc::Sender<Event>,
+    /// For events that start something.
+    pub request_tx: mpsc::Sender<Event>,
     pub tasks: TaskTracker,
-    next: AtomicU64,
+    next_client_id: AtomicU64,
 }
 
-impl Door {
+impl HttpEndpoint {
     pub fn new(
-        in_force: watch::Receiver<Arc<InForce>>, clock: Clock, limits: Limits, endings: mpsc::Sender<Note>,
-        asks: mpsc::Sender<Note>, tasks: TaskTracker,
-    ) -> Door {
-        Door { in_force, clock, limits, endings, asks, tasks, next: AtomicU64::new(DOOR) }
+        active_methods: watch::Receiver<Arc<ActiveMethods>>, clock: Clock, limits: Limits,
+        priority_tx: mpsc::Sender<Event>, request_tx: mpsc::Sender<Event>, tasks: TaskTracker,
+    ) -> HttpEndpoint {
+        HttpEndpoint {
+            active_methods,
+            clock,
+            limits,
+            priority_tx,
+            request_tx,
+            tasks,
+            next_client_id: AtomicU64::new(FIRST_CLIENT_ID),
+        }
     }
 }
 
-/// A connection's reading side, lent to the server: after the server has done with it, it is read to its end.
+/// The reading half of a connection, shared with the HTTP server. After the server has finished, the connection is read to
+/// its end.
 #[derive(Clone)]
-struct Lent(Arc<Mutex<OwnedReadHalf>>);
+struct SharedReadHalf(Arc<Mutex<OwnedReadHalf>>);
 
-impl AsyncRead for Lent {
+impl AsyncRead for SharedReadHalf {
     fn poll_read(
         self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<std::io::Result<()>> {
-        // Never two at a time: who has lent it waits for the server's end.
+        // Never contended: the other owner reads only after the server has finished.
         Pin::new(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner)).poll_read(cx, buf)
     }
 }
 
-/// Connections, up to a number at a time.
-struct Doors {
-    door: Arc<Door>,
-    room: Arc<Semaphore>,
-    /// Those that find no room are closed in order, up to as many again.
-    turning: Arc<Semaphore>,
+/// Accepts a limited number of HTTP connections.
+struct HttpListener {
+    endpoint: Arc<HttpEndpoint>,
+    connection_slots: Arc<Semaphore>,
+    /// Limits the tasks that close connections over the limit without a reset.
+    rejection_slots: Arc<Semaphore>,
     stop: watch::Receiver<bool>,
 }
 
-impl Doors {
-    fn let_in(&self, stream: TcpStream) {
-        match Arc::clone(&self.room).try_acquire_owned() {
-            Ok(place) => {
-                let serving = connection(stream, Arc::clone(&self.door), self.stop.clone(), place);
-                self.door.tasks.spawn(serving);
+impl HttpListener {
+    fn admit(&self, stream: TcpStream) {
+        match Arc::clone(&self.connection_slots).try_acquire_owned() {
+            Ok(slot) => {
+                let serving = serve_connection(stream, Arc::clone(&self.endpoint), self.stop.clone(), slot);
+                self.endpoint.tasks.spawn(serving);
             }
             Err(_) => {
-                let (peer, most) = (stream.peer_addr().ok(), self.door.limits.connections);
-                info!(?peer, "http: turned away, {most} are connected");
-                if let Ok(place) = Arc::clone(&self.turning).try_acquire_owned() {
-                    self.door.tasks.spawn(turn_away(stream, place));
+                let (peer, limit) = (stream.peer_addr().ok(), self.endpoint.limits.connections);
+                info!(?peer, "http: turned away, {limit} are connected");
+                if let Ok(slot) = Arc::clone(&self.rejection_slots).try_acquire_owned() {
+                    self.endpoint.tasks.spawn(reject(stream, slot));
                 }
             }
         }
     }
 }
 
-async fn turn_away(stream: TcpStream, _place: OwnedSemaphorePermit) {
+async fn reject(stream: TcpStream, _slot: OwnedSemaphorePermit) {
     let (mut read, write) = stream.into_split();
-    // With it the writing side is shut.
+    // Shuts the writing side down.
     drop(write);
     linger(&mut read, LINGER.0, LINGER.1).await;
 }
 
-async fn connection(
-    stream: TcpStream, door: Arc<Door>, mut stop: watch::Receiver<bool>, _place: OwnedSemaphorePermit,
+async fn serve_connection(
+    stream: TcpStream, endpoint: Arc<HttpEndpoint>, mut stop: watch::Receiver<bool>,
+    _slot: OwnedSemaphorePermit,
 ) {
-    let (peer, limits) = (stream.peer_addr().ok(), door.limits);
+    let (peer, limits) = (stream.peer_addr().ok(), endpoint.limits);
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
-    let mut lent = Lent(Arc::new(Mutex::new(read)));
+    let mut shared_read = SharedReadHalf(Arc::new(Mutex::new(read)));
     let service = tower::service_fn(move |request: Request<hyper::body::Incoming>| {
-        let door = Arc::clone(&door);
-        async move { Ok::<_, std::convert::Infallible>(door.request(request.map(Body::new)).await) }
+        let endpoint = Arc::clone(&endpoint);
+        async move { Ok::<_, std::convert::Infallible>(endpoint.respond(request.map(Body::new)).await) }
     });
     let mut server = auto::Builder::new(TokioExecutor::new());
     server
         .http1()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.slow)
-        .max_buf_size(limits.head.max(8192));
-    server.http2().timer(TokioTimer::new()).max_header_list_size(limits.head as u32);
-    let io = TokioIo::new(tokio::io::join(lent.clone(), write));
+        .header_read_timeout(limits.receive_timeout)
+        .max_buf_size(limits.header_bytes.max(8192));
+    server.http2().timer(TokioTimer::new()).max_header_list_size(limits.header_bytes as u32);
+    let io = TokioIo::new(tokio::io::join(shared_read.clone(), write));
     let ended = {
         let serving = server.serve_connection(io, TowerToHyperService::new(service));
         tokio::pin!(serving);
         tokio::select! {
             biased;
             ended = serving.as_mut() => ended,
-            // What has come by then is read before it is told to take nothing more.
+            // Requests that have arrived by then are read before the server is told to accept no more.
             () = async { drop(stop.wait_for(|s| *s).await); yield_now().await } => {
                 serving.as_mut().graceful_shutdown();
                 serving.await
@@ -175,23 +186,24 @@
     if let Err(e) = ended {
         debug!(?peer, "http: {e}");
     }
-    // With the server the writing side was shut.
-    linger(&mut lent, LINGER.0, LINGER.1).await;
+    // Dropping the server has shut the writing side down.
+    linger(&mut shared_read, LINGER.0, LINGER.1).await;
 }
 
-/// Serves HTTP/1.1 and HTTP/2 without TLS until `stop` says so; what has come by then is still let in and answered, and
-/// connections then end after the answers under way.
-pub(crate) async fn serve(listener: TcpListener, door: Door, stop: watch::Receiver<bool>) {
-    let (most, mut stopped) = (door.limits.connections, stop.clone());
-    let (room, turning) = (Arc::new(Semaphore::new(most)), Arc::new(Semaphore::new(most.max(16))));
-    let doors = Doors { door: Arc::new(door), room, turning, stop };
+/// Serves HTTP/1.1 and HTTP/2 without TLS until `stop` is set. Connections that have arrived by then are still admitted and
+/// answered, and every connection ends after its pending answers.
+pub(crate) async fn serve(listener: TcpListener, endpoint: HttpEndpoint, stop: watch::Receiver<bool>) {
+    let (limit, mut stopped) = (endpoint.limits.connections, stop.clone());
+    let (connection_slots, rejection_slots) =
+        (Arc::new(Semaphore::new(limit)), Arc::new(Semaphore::new(limit.max(16))));
+    let connections = HttpListener { endpoint: Arc::new(endpoint), connection_slots, rejection_slots, stop };
     loop {
         let accepted = tokio::select! {
             _ = stopped.wait_for(|s| *s) => break,
             accepted = listener.accept() => accepted,
         };
         match accepted {
-            Ok((stream, _)) => doors.let_in(stream),
+            Ok((stream, _)) => connections.admit(stream),
             Err(e) => {
                 warn!("a connection could not be accepted: {e}");
                 tokio::time::sleep(Duration::from_millis(50)).await;
@@ -200,13 +212,14 @@
     }
     yield_now().await;
     while let Ok(Ok((stream, _))) = timeout(Duration::ZERO, listener.accept()).await {
-        doors.let_in(stream);
+        connections.admit(stream);
     }
 }
 
-/// What the door itself refuses: nothing was taken.
+/// A request that the endpoint itself refuses. No RPC was accepted.
 struct Refused {
     status: StatusCode,
+    /// Name of the problem type.
     name: &'static str,
     detail: String,
 }
@@ -223,22 +236,23 @@
         "aborted" => "Aborted: it may have run, nothing is promised",
         _ => "Refused: nothing was taken",
     };
-    let mut told = json!({"type": format!("/problems/{name}"), "title": title, "status": status.as_u16(), "detail": detail});
+    let mut problem = json!({"type": format!("/problems/{name}"), "title": title, "status": status.as_u16(), "detail": detail});
     if let Some(rpc) = rpc {
-        told["rpc"] = json!(rpc);
+        problem["rpc"] = json!(rpc);
     }
-    let mut response = Response::new(Body::from(told.to_string()));
+    let mut response = Response::new(Body::from(problem.to_string()));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
     if retry_after > Time(0) {
-        // Whole seconds, rounded up: earlier than advised would be too early.
+        // Whole seconds, rounded up, so that the client does not retry too early.
         headers.insert(header::RETRY_AFTER, HeaderValue::from(retry_after.0.div_ceil(10_000)));
     }
     response
 }
 
-fn text<'h>(headers: &'h HeaderMap, name: &str) -> Result<Option<&'h str>, Refused> {
+/// The value of a header that may occur once.
+fn single_header<'h>(headers: &'h HeaderMap, name: &str) -> Result<Option<&'h str>, Refused> {
     let mut all = headers.get_all(name).iter();
     let Some(first) = all.next() else { return Ok(None) };
     if all.next().is_some() {
@@ -247,82 +261,82 @@
     first.to_str().map(Some).map_err(|_| refused(400, "malformed", format!("header {name} is no text")))
 }
 
-/// A request's head as the documents allow it.
-struct Head<'a> {
+/// The parameters of an RPC from a request's path and headers.
+struct RequestHead<'a> {
     method: &'a Described,
     model: String,
-    left: Time,
+    time_left: Time,
     token: Option<String>,
     tenant: String,
 }
 
-/// So often an RPC is read anew because other methods came into force on its way.
-const READ_ANEW: usize = 8;
+/// Maximum number of times that an RPC is checked because reloads replace the methods in the meantime.
+const MAX_CHECKS: usize = 8;
 
-impl Door {
-    fn in_force(&self) -> Arc<InForce> {
-        Arc::clone(&self.in_force.borrow())
+impl HttpEndpoint {
+    fn active_methods(&self) -> Arc<ActiveMethods> {
+        Arc::clone(&self.active_methods.borrow())
     }
 
-    async fn request(self: Arc<Self>, request: Request) -> Response {
+    async fn respond(self: Arc<Self>, request: Request) -> Response {
         let (parts, body) = request.into_parts();
-        let in_force = self.in_force();
-        if let (&Method::GET, Some(document)) = (&parts.method, document(&in_force, &parts)) {
+        let active_methods = self.active_methods();
+        if let (&Method::GET, Some(document)) = (&parts.method, document(&active_methods, &parts)) {
             return document;
         }
-        // The head is looked at first: a body that is refused anyway is not read.
-        let done = match self.head(&in_force, &parts) {
+        // The head is checked first, so that the body of a refused request is not read.
+        let result = match self.parse_head(&active_methods, &parts) {
             Err(refused) => Err(refused),
-            Ok(_) => match self.body(body).await {
+            Ok(_) => match self.read_body(body).await {
                 Err(refused) => Err(refused),
-                Ok(body) => self.rpc(&parts, body).await,
+                Ok(body) => self.call(&parts, body).await,
             },
         };
-        let mut response = done.unwrap_or_else(|r| problem(r.status, r.name, &r.detail, None, Time(0)));
-        self.notices(&parts, response.headers_mut());
+        let mut response = result.unwrap_or_else(|r| problem(r.status, r.name, &r.detail, None, Time(0)));
+        self.add_lifecycle_headers(&parts, response.headers_mut());
         response
     }
 
-    /// Asks the engine, and turns the one final answer into a response.
-    async fn rpc(&self, parts: &request::Parts, body: Bytes) -> Result<Response, Refused> {
-        for _ in 0..READ_ANEW {
-            let in_force = self.in_force();
-            let head = self.head(&in_force, parts)?;
-            let media = head.method.answer.media_type();
-            let (reply, told) = oneshot::channel();
-            let ask = ask(&in_force, head, body.clone(), reply)?;
-            let id = ClientId(self.next.fetch_add(1, Ordering::Relaxed));
-            // From here on it is told of, should its client go, and not taken any more.
-            let mut waits = Waits { id, door: self, told: Some(told) };
-            if self.asks.send(Note::Ask(id, ask)).await.is_err() {
+    /// Sends the RPC to the engine and turns its final answer into a response.
+    async fn call(&self, parts: &request::Parts, body: Bytes) -> Result<Response, Refused> {
+        for _ in 0..MAX_CHECKS {
+            let active_methods = self.active_methods();
+            let head = self.parse_head(&active_methods, parts)?;
+            let media_type = head.method.answer.media_type();
+            let (reply_tx, reply_rx) = oneshot::channel();
+            let request = rpc_request(&active_methods, head, body.clone(), reply_tx)?;
+            let id = ClientId(self.next_client_id.fetch_add(1, Ordering::Relaxed));
+            // From here on the engine is notified if the client disconnects.
+            let mut pending = PendingReply { id, endpoint: self, reply_rx: Some(reply_rx) };
+            if self.request_tx.send(Event::Request(id, request)).await.is_err() {
                 return Err(refused(429, "full", "this scheduler ends"));
             }
-            return match waits.reply().await {
-                Ok(Reply::Changed) => continue,
+            return match pending.reply().await {
+                Ok(Reply::MethodsChanged) => continue,
                 Ok(Reply::Final { answer: Answer::Ok, body, .. }) => {
                     let mut response = Response::new(Body::from(body));
-                    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(media));
+                    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(media_type));
                     Ok(response)
                 }
-                Ok(Reply::Final { answer, rpc, why, retry_after, .. }) => {
+                Ok(Reply::Final { answer, rpc, reason, retry_after, .. }) => {
                     let denied = answer == Answer::Denied;
                     let (status, name) = if denied {
                         (StatusCode::SERVICE_UNAVAILABLE, "denied")
                     } else {
                         (StatusCode::BAD_GATEWAY, "aborted")
                     };
-                    Ok(problem(status, name, &why, Some(&rpc), retry_after))
+                    Ok(problem(status, name, &reason, Some(&rpc), retry_after))
                 }
-                Ok(Reply::Refused(why)) => {
-                    let detail = crate::refusal_name(why);
-                    Err(match why {
+                Ok(Reply::Refused(refusal)) => {
+                    let detail = crate::refusal_name(refusal);
+                    Err(match refusal {
                         Refusal::NoSuchMethod => refused(404, "unknown", detail),
                         Refusal::Withdrawn => refused(410, "withdrawn", detail),
                         Refusal::Full | Refusal::Stopping => refused(429, "full", detail),
                         _ => refused(400, "malformed", detail),
                     })
                 }
-                // The engine has gone with the RPC: it may have run.
+                // The engine ended while the RPC was open: it may have run.
                 Err(_) => {
                     Ok(problem(StatusCode::BAD_GATEWAY, "aborted", "the scheduler ended", None, Time(0)))
                 }
@@ -331,14 +345,17 @@
         Err(refused(429, "full", "the methods in force change too fast"))
     }
 
-    /// Reads a request's head; nothing is taken yet.
-    fn head<'a>(&self, in_force: &'a InForce, parts: &request::Parts) -> Result<Head<'a>, Refused> {
+    /// Parses and checks the path and headers of a request.
+    fn parse_head<'a>(
+        &self, active_methods: &'a ActiveMethods, parts: &request::Parts,
+    ) -> Result<RequestHead<'a>, Refused> {
         let path = parts.uri.path();
-        let found = in_force.prepared.routes.find(path);
-        let method = found.as_ref().and_then(|(name, _)| in_force.prepared.catalogue.method(name));
-        let (Some((_, stood)), Some(method)) = (found, method) else {
-            let gone = method_in(path).and_then(|name| in_force.withdrawn.ago(self.clock.now(), name));
-            return Err(match gone {
+        let route = active_methods.prepared.routes.find(path);
+        let method = route.as_ref().and_then(|(name, _)| active_methods.prepared.catalogue.method(name));
+        let (Some((_, wildcards)), Some(method)) = (route, method) else {
+            let withdrawn =
+                method_in(path).and_then(|name| active_methods.withdrawn.ago(self.clock.now(), name));
+            return Err(match withdrawn {
                 Some(_) => refused(410, "withdrawn", "the method was withdrawn"),
                 None => refused(404, "unknown", "no such method"),
             });
@@ -349,84 +366,95 @@
         if parts.uri.query().is_some() {
             return Err(refused(400, "malformed", "no query is taken"));
         }
-        let model = percent_decode_str(stood.first().copied().unwrap_or("")).decode_utf8();
+        let model = percent_decode_str(wildcards.first().copied().unwrap_or("")).decode_utf8();
         let model =
             model.map_err(|_| refused(400, "malformed", "the model's name is not UTF-8"))?.into_owned();
-        let left = match text(&parts.headers, "curlewpoint-time-left")? {
+        let time_left = match single_header(&parts.headers, "curlewpoint-time-left")? {
             None => Time::from_ms(method.deadline),
             Some(v) => match v.parse::<u64>() {
                 Ok(ms) if ms >= 1 && ms as f64 <= method.deadline => Time(ms * 10),
                 _ => {
-                    let what = format!("Curlewpoint-Time-Left: '{v}' is not 1 to {} ms", method.deadline);
-                    return Err(refused(400, "malformed", what));
+                    let detail = format!("Curlewpoint-Time-Left: '{v}' is not 1 to {} ms", method.deadline);
+                    return Err(refused(400, "malformed", detail));
                 }
             },
         };
-        let token = text(&parts.headers, "idempotency-key")?.map(str::to_owned);
+        let token = single_header(&parts.headers, "idempotency-key")?.map(str::to_owned);
         if method.effect == Effect::Tokened && token.as_deref().is_none_or(str::is_empty) {
             return Err(refused(400, "malformed", "an Idempotency-Key is needed"));
         }
-        let tenant = text(&parts.headers, "curlewpoint-tenant")?.unwrap_or("").to_owned();
-        let media =
-            text(&parts.headers, "content-type")?.unwrap_or("").split(';').next().unwrap_or("").trim();
-        let wanted = method.request.media_type();
-        if !media.eq_ignore_ascii_case(wanted) {
-            return Err(refused(415, "media-type", format!("'{media}' is not {wanted}")));
+        let tenant = single_header(&parts.headers, "curlewpoint-tenant")?.unwrap_or("").to_owned();
+        let media_type = single_header(&parts.headers, "content-type")?
+            .unwrap_or("")
+            .split(';')
+            .next()
+            .unwrap_or("")
+            .trim();
+        let expected = method.request.media_type();
+        if !media_type.eq_ignore_ascii_case(expected) {
+            return Err(refused(415, "media-type", format!("'{media_type}' is not {expected}")));
         }
-        Ok(Head { method, model, left, token, tenant })
+        Ok(RequestHead { method, model, time_left, token, tenant })
     }
 
-    /// A body within its bounds of length and of time.
-    async fn body(&self, body: Body) -> Result<Bytes, Refused> {
-        let whole: Pin<Box<dyn Future<Output = _> + Send>> =
-            Box::pin(Limited::new(body, self.limits.body).collect());
-        match timeout(self.limits.slow, whole).await {
-            Err(_) => {
-                Err(refused(408, "slow", format!("the body did not come within {:?}", self.limits.slow)))
-            }
+    /// Reads a body within the limits of length and time.
+    async fn read_body(&self, body: Body) -> Result<Bytes, Refused> {
+        let reading: Pin<Box<dyn Future<Output = _> + Send>> =
+            Box::pin(Limited::new(body, self.limits.body_bytes).collect());
+        match timeout(self.limits.receive_timeout, reading).await {
+            Err(_) => Err(refused(
+                408,
+                "slow",
+                format!("the body did not come within {:?}", self.limits.receive_timeout),
+            )),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
-                Err(refused(413, "too-long", format!("over {} bytes", self.limits.body)))
+                Err(refused(413, "too-long", format!("over {} bytes", self.limits.body_bytes)))
             }
             Ok(Err(e)) => Err(refused(400, "malformed", e.to_string())),
-            Ok(Ok(whole)) => Ok(whole.to_bytes()),
+            Ok(Ok(body)) => Ok(body.to_bytes()),
         }
     }
 
-    /// Every answer of a method that goes, or has gone of late, says so in its headers.
-    fn notices(&self, parts: &request::Parts, headers: &mut HeaderMap) {
-        let (in_force, Some(name)) = (self.in_force(), method_in(parts.uri.path())) else { return };
-        let (deprecated, sunset) = match in_force.prepared.catalogue.method(name) {
+    /// Adds `Deprecation` and `Sunset` headers to responses of methods that will be or have recently been withdrawn.
+    fn add_lifecycle_headers(&self, parts: &request::Parts, headers: &mut HeaderMap) {
+        let (active_methods, Some(name)) = (self.active_methods(), method_in(parts.uri.path())) else {
+            return;
+        };
+        let (deprecated, sunset) = match active_methods.prepared.catalogue.method(name) {
             Some(m) => (m.deprecated, m.sunset.map(|s| UNIX_EPOCH + Duration::from_secs(s))),
             None => {
-                let ago = in_force.withdrawn.ago(self.clock.now(), name);
+                let ago = active_methods.withdrawn.ago(self.clock.now(), name);
                 (None, ago.map(|ago| SystemTime::now() - Duration::from_micros(ago.0 * 100)))
             }
         };
-        if let Some(Ok(day)) = deprecated.map(|d| HeaderValue::from_str(&format!("@{d}"))) {
-            headers.insert("deprecation", day);
+        if let Some(Ok(date)) = deprecated.map(|d| HeaderValue::from_str(&format!("@{d}"))) {
+            headers.insert("deprecation", date);
         }
-        if let Some(Ok(day)) = sunset.map(|s| HeaderValue::from_str(&httpdate::fmt_http_date(s))) {
-            headers.insert("sunset", day);
+        if let Some(Ok(date)) = sunset.map(|s| HeaderValue::from_str(&httpdate::fmt_http_date(s))) {
+            headers.insert("sunset", date);
         }
     }
 }
 
-fn ask(in_force: &InForce, head: Head, body: Bytes, reply: oneshot::Sender<Reply>) -> Result<Ask, Refused> {
-    let Head { method, model, left, token, tenant } = head;
-    method.request.check(&body).map_err(|why| match why {
-        Misfit::Unreadable(why) => refused(400, "malformed", why),
-        Misfit::Unfit(why) => refused(422, "unfit", why),
+fn rpc_request(
+    active_methods: &ActiveMethods, head: RequestHead, body: Bytes, reply_tx: oneshot::Sender<Reply>,
+) -> Result<RpcRequest, Refused> {
+    let RequestHead { method, model, time_left, token, tenant } = head;
+    method.request.check(&body).map_err(|misfit| match misfit {
+        Misfit::Unreadable(detail) => refused(400, "malformed", detail),
+        Misfit::Unfit(detail) => refused(422, "unfit", detail),
     })?;
-    let (release, method) = (in_force.release, method.name.clone());
-    Ok(Ask { release, method, model, tenant, left, token, body, reply })
+    let (release, method) = (active_methods.release, method.name.clone());
+    Ok(RpcRequest { release, method, model, tenant, time_left, token, body, reply_tx })
 }
 
-fn document(in_force: &InForce, parts: &request::Parts) -> Option<Response> {
-    let (_, tag, text) = in_force.prepared.documents.iter().find(|d| d.0 == parts.uri.path())?;
-    let known = parts.headers.get(header::IF_NONE_MATCH).and_then(|v| v.to_str().ok());
-    let same = known.is_some_and(|k| k.split(',').any(|t| t.trim() == tag || t.trim() == "*"));
-    let mut response = Response::new(if same { Body::empty() } else { Body::from(text.clone()) });
-    if same {
+/// The API document at a path, if there is one.
+fn document(active_methods: &ActiveMethods, parts: &request::Parts) -> Option<Response> {
+    let (_, tag, text) = active_methods.prepared.documents.iter().find(|d| d.0 == parts.uri.path())?;
+    let cached = parts.headers.get(header::IF_NONE_MATCH).and_then(|v| v.to_str().ok());
+    let unchanged = cached.is_some_and(|k| k.split(',').any(|t| t.trim() == tag || t.trim() == "*"));
+    let mut response = Response::new(if unchanged { Body::empty() } else { Body::from(text.clone()) });
+    if unchanged {
         *response.status_mut() = StatusCode::NOT_MODIFIED;
     }
     let headers = response.headers_mut();
@@ -437,36 +465,40 @@
     Some(response)
 }
 
-/// While an RPC waits for its answer, its client may go away: hyper then drops the request, and this with it.
-struct Waits<'a> {
+/// Waits for the answer to an RPC. If the client disconnects in the meantime, hyper drops the request and with it this
+/// value, which notifies the engine.
+struct PendingReply<'a> {
     id: ClientId,
-    door: &'a Door,
-    told: Option<oneshot::Receiver<Reply>>,
+    endpoint: &'a HttpEndpoint,
+    reply_rx: Option<oneshot::Receiver<Reply>>,
 }
 
-impl Waits<'_> {
+impl PendingReply<'_> {
     async fn reply(&mut self) -> Result<Reply, oneshot::error::RecvError> {
-        let reply = match &mut self.told {
-            Some(told) => told.await,
-            // Asked for once only.
+        let reply = match &mut self.reply_rx {
+            Some(reply_rx) => reply_rx.await,
+            // The reply is awaited only once.
             None => std::future::pending().await,
         };
-        self.told = None;
+        self.reply_rx = None;
         reply
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for PendingReply<'_> {
     fn drop(&mut self) {
-        // First nobody listens any more, then it is told: where the going overtakes the RPC, that is not taken.
-        let Some(told) = self.told.take() else { return };
-        drop(told);
-        if let Err(TrySendError::Full(going)) = self.door.endings.try_send(Note::ClientOut(self.id, None, 0))
+        // The receiver is closed before the engine is notified: if the notification overtakes the RPC, the engine sees the
+        // closed channel and does not accept it.
+        let Some(reply_rx) = self.reply_rx.take() else { return };
+        drop(reply_rx);
+        if let Err(TrySendError::Full(event)) =
+            self.endpoint.priority_tx.try_send(Event::ClientDisconnected(self.id, None, 0))
         {
-            let (endings, runtime) = (self.door.endings.clone(), tokio::runtime::Handle::try_current());
-            // Without a runtime all ends.
+            let (priority_tx, runtime) =
+                (self.endpoint.priority_tx.clone(), tokio::runtime::Handle::try_current());
+            // Without a runtime the whole process is ending.
             if let Ok(runtime) = runtime {
-                self.door.tasks.spawn_on(async move { drop(endings.send(going).await) }, &runtime);
+                self.endpoint.tasks.spawn_on(async move { drop(priority_tx.send(event).await) }, &runtime);
             }
         }
     }
--- a/crates/curlewpoint-gateway/src/http/tests.rs
+++ b/crates/curlewpoint-gateway/src/http/tests.rs
@@ -1,84 +1,101 @@
 use super::*;
 use std::net::SocketAddr;
 
-use crate::reload::Prepared;
+use crate::reload::PreparedMethods;
 use curlewpoint_catalogue::Releases;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// A door before an engine that takes nothing: what ends something comes out first, then what begins something; as many of
-/// each wait as is said.
-async fn door(room: usize) -> (SocketAddr, mpsc::Receiver<Note>, mpsc::Receiver<Note>) {
+/// An HTTP endpoint without an engine. Returns its address and the receivers of the priority and the request channel, which
+/// have the given capacity.
+async fn endpoint(capacity: usize) -> (SocketAddr, mpsc::Receiver<Event>, mpsc::Receiver<Event>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let ((endings, ended), (asks, asked)) = (mpsc::channel(room), mpsc::channel(room));
+    let ((priority_tx, priority_rx), (request_tx, request_rx)) =
+        (mpsc::channel(capacity), mpsc::channel(capacity));
     let text = "name x\nlisten 127.0.0.1:0\nlist 127.0.0.1:9\nmethod m {\n  effect idempotent\n  soft-deadline 1s\n  \
                 deadline 2s\n}\n";
-    let prepared = Arc::new(Prepared::of(&curlewpoint_config::parse("x", text).unwrap()).unwrap());
+    let prepared =
+        Arc::new(PreparedMethods::from_config(&curlewpoint_config::parse("x", text).unwrap()).unwrap());
     let releases = Releases::new(Arc::clone(&prepared.catalogue), 4, Time(0));
-    let now = InForce { release: releases.in_force(), prepared, withdrawn: releases.withdrawn().clone() };
-    let (_, in_force) = watch::channel(Arc::new(now));
-    let limits = Limits { connections: 8, body: 4096, slow: Duration::from_secs(9), head: 8192 };
-    let door = Door::new(in_force, Clock::start(), limits, endings, asks, TaskTracker::new());
-    let (no_more, stop) = watch::channel(false);
+    let active =
+        ActiveMethods { release: releases.in_force(), prepared, withdrawn: releases.withdrawn().clone() };
+    let (_, active_methods) = watch::channel(Arc::new(active));
+    let limits = Limits {
+        connections: 8,
+        body_bytes: 4096,
+        receive_timeout: Duration::from_secs(9),
+        header_bytes: 8192,
+    };
+    let endpoint = HttpEndpoint::new(
+        active_methods,
+        Clock::start(),
+        limits,
+        priority_tx,
+        request_tx,
+        TaskTracker::new(),
+    );
+    let (stop_tx, stop) = watch::channel(false);
     tokio::spawn(async move {
-        serve(listener, door, stop).await;
-        drop(no_more);
+        serve(listener, endpoint, stop).await;
+        drop(stop_tx);
     });
-    (address, ended, asked)
+    (address, priority_rx, request_rx)
 }
 
-/// No step of a story takes longer.
-async fn soon<T>(what: impl std::future::Future<Output = T>) -> T {
-    timeout(Duration::from_secs(10), what).await.expect("it never came")
+/// Fails the test if a step takes longer than ten seconds.
+async fn soon<T>(step: impl std::future::Future<Output = T>) -> T {
+    timeout(Duration::from_secs(10), step).await.expect("the step timed out")
 }
 
-async fn asks(address: SocketAddr) -> TcpStream {
+async fn send_request(address: SocketAddr) -> TcpStream {
     let mut client = TcpStream::connect(address).await.unwrap();
     let post = "POST /v1/m/x HTTP/1.1\r\nhost: x\r\ncontent-type: application/octet-stream\r\ncontent-length: 1\r\n\r\nb";
     client.write_all(post.as_bytes()).await.unwrap();
     client
 }
 
-/// Guards against requests that are taken after their client has gone: its going overtakes them, and who takes one sees
-/// that nobody waits for it.
+/// Guards against accepting requests whose client has disconnected: the disconnect overtakes the request, and the engine's
+/// task sees that its reply channel is closed.
 #[tokio::test]
-async fn a_going_overtakes_the_request_that_waits_to_be_taken() {
-    let (address, mut ended, mut asked) = door(2).await;
-    drop(asks(address).await);
-    let Some(Note::ClientOut(gone, None, 0)) = soon(ended.recv()).await else { panic!("no going") };
-    let Ok(Note::Ask(id, ask)) = asked.try_recv() else { panic!("it went ahead of nothing") };
-    assert!(id == gone && ask.reply.is_closed());
+async fn a_disconnect_overtakes_a_queued_request() {
+    let (address, mut priority_rx, mut request_rx) = endpoint(2).await;
+    drop(send_request(address).await);
+    let Some(Event::ClientDisconnected(disconnected, None, 0)) = soon(priority_rx.recv()).await else {
+        panic!("no disconnect")
+    };
+    let Ok(Event::Request(id, request)) = request_rx.try_recv() else { panic!("no request was queued") };
+    assert!(id == disconnected && request.reply_tx.is_closed());
 }
 
-/// Where there is no room for the word of a going it waits for room; it is not lost.
+/// A disconnect that finds the channel full waits until there is room and is not lost.
 #[tokio::test]
-async fn a_going_is_told_however_full_it_is() {
-    let (address, mut ended, mut asked) = door(1).await;
-    let (first, second) = (asks(address).await, asks(address).await);
-    let mut replies = Vec::new();
+async fn a_disconnect_is_reported_although_the_channel_is_full() {
+    let (address, mut priority_rx, mut request_rx) = endpoint(1).await;
+    let (first, second) = (send_request(address).await, send_request(address).await);
+    let mut reply_txs = Vec::new();
     for _ in 0..2 {
-        let Some(Note::Ask(_, ask)) = soon(asked.recv()).await else { panic!("no request") };
-        replies.push(ask.reply);
+        let Some(Event::Request(_, request)) = soon(request_rx.recv()).await else { panic!("no request") };
+        reply_txs.push(request.reply_tx);
     }
     drop((first, second));
-    // Both are gone before the one place is free again.
-    for reply in &mut replies {
-        soon(reply.closed()).await;
+    // Both clients have disconnected before there is room in the channel again.
+    for reply_tx in &mut reply_txs {
+        soon(reply_tx.closed()).await;
     }
     for _ in 0..2 {
-        assert!(matches!(soon(ended.recv()).await, Some(Note::ClientOut(_, None, 0))));
+        assert!(matches!(soon(priority_rx.recv()).await, Some(Event::ClientDisconnected(_, None, 0))));
     }
 }
 
-/// One who finds no room is closed in order, though it has spoken.
+/// A connection over the limit is closed without a reset, although it has sent a request.
 #[tokio::test]
-async fn one_that_finds_no_room_is_closed_and_not_reset() {
-    let (address, _ended, mut asked) = door(16).await;
-    let mut within = Vec::new();
+async fn a_connection_over_the_limit_is_closed_and_not_reset() {
+    let (address, _priority_rx, mut request_rx) = endpoint(16).await;
+    let mut admitted = Vec::new();
     for _ in 0..8 {
-        within.push(asks(address).await);
-        soon(asked.recv()).await;
+        admitted.push(send_request(address).await);
+        soon(request_rx.recv()).await;
     }
-    let mut over = asks(address).await;
-    assert_eq!(soon(over.read_to_end(&mut Vec::new())).await.expect("closed, not reset"), 0);
+    let mut rejected = send_request(address).await;
+    assert_eq!(soon(rejected.read_to_end(&mut Vec::new())).await.expect("closed, not reset"), 0);
 }
--- a/crates/curlewpoint-gateway/src/lib.rs
+++ b/crates/curlewpoint-gateway/src/lib.rs
@@ -1,13 +1,14 @@
-//! The daemon: doors for clients, connections to workers, the list. It moves bytes and nothing else: one task owns the
-//! [`Engine`](curlewpoint_engine::Engine), all others read or write a connection and speak with it by channels.
+//! The gateway daemon: endpoints for clients over the native protocol, HTTP and AMQP, and connections to workers, the
+//! list service and peers. It performs the I/O only. One task owns the [`Engine`](curlewpoint_engine::Engine), which makes
+//! the decisions; every other task reads or writes a connection and exchanges events with that task over channels.
 
 mod amqp;
 mod clients;
 mod codes;
+mod driver;
+mod events;
 mod http;
 mod list;
-mod notes;
-mod outside;
 mod peers;
 mod reload;
 mod run;
--- a/crates/curlewpoint-gateway/src/list.rs
+++ b/crates/curlewpoint-gateway/src/list.rs
@@ -9,31 +9,32 @@
 use tokio_stream::StreamExt;
 use tracing::info;
 
-use crate::notes::Note;
+use crate::events::Event;
 
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const MOST_PAUSE: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Keeps a connection to the list service while one is wanted, and another for each number that is. While there is none the list held goes on to be used; dials pause longer
-/// each time, with jitter, so that a service that comes back is not met by the whole fleet in step.
+/// Keeps a connection to the list service open while `wanted` holds a number, and opens a new one when the number changes.
+/// While there is no connection, the scheduler continues with the list that it has. Failed dials back off with jitter,
+/// so that a service that comes back is not dialled by the whole fleet at the same moment.
 pub(crate) async fn follow(
-    address: String, name: String, bounds: Bounds, dial: Duration, notes: mpsc::Sender<Note>, seed: u128,
-    mut wanted: watch::Receiver<Option<u64>>,
+    address: String, name: String, bounds: Bounds, dial_timeout: Duration, event_tx: mpsc::Sender<Event>,
+    seed: u128, mut wanted: watch::Receiver<Option<u64>>,
 ) {
     let mut rng = Rand64::new(seed);
-    let mut pause = FIRST_PAUSE;
-    let mut said = false;
+    let mut backoff = INITIAL_BACKOFF;
+    let mut failure_logged = false;
     loop {
         let Ok(number) = wanted.wait_for(Option::is_some).await.map(|w| *w) else { return };
-        let dialled = timeout(dial, async {
+        let dialled = timeout(dial_timeout, async {
             let stream = TcpStream::connect(&address).await.map_err(WireError::from)?;
             open(stream, &name, bounds).await
         });
         match dialled.await {
             Ok(Ok(mut link)) => {
                 info!(address, "list service connected");
-                (pause, said) = (FIRST_PAUSE, false);
-                if notes.send(Note::ListUp(link.outbox)).await.is_err() {
+                (backoff, failure_logged) = (INITIAL_BACKOFF, false);
+                if event_tx.send(Event::ListConnected(link.outbox)).await.is_err() {
                     return;
                 }
                 loop {
@@ -43,7 +44,7 @@
                     };
                     match next {
                         Some(Ok(frame)) => {
-                            if notes.send(Note::List(frame)).await.is_err() {
+                            if event_tx.send(Event::ListFrame(frame)).await.is_err() {
                                 return;
                             }
                         }
@@ -54,28 +55,28 @@
                         None => break,
                     }
                 }
-                if notes.send(Note::ListBroke).await.is_err() {
+                if event_tx.send(Event::ListDisconnected).await.is_err() {
                     return;
                 }
                 if *wanted.borrow() == number {
                     info!(address, "list service lost: the list held goes on to be used");
                 }
             }
-            failed if !said => {
-                said = true;
-                let why = failed.map_or("no connection in time".to_owned(), |r| {
+            failed if !failure_logged => {
+                failure_logged = true;
+                let reason = failed.map_or("no connection in time".to_owned(), |r| {
                     r.err().map_or(String::new(), |e| e.to_string())
                 });
-                info!(address, "list service not reached: {why}");
+                info!(address, "list service not reached: {reason}");
             }
             _ => {}
         }
         if *wanted.borrow() != number {
-            // Whoever wants it again has waited on its own.
-            (pause, said) = (FIRST_PAUSE, false);
+            // The fleet delays its own requests for a new connection, so no further backoff is needed.
+            (backoff, failure_logged) = (INITIAL_BACKOFF, false);
             continue;
         }
-        sleep(pause.mul_f64(0.5 + 0.5 * rng.rand_float())).await;
-        pause = (pause * 2).min(MOST_PAUSE);
+        sleep(backoff.mul_f64(0.5 + 0.5 * rng.rand_float())).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -1,4 +1,5 @@
-//! Sockets between instances of a fleet, and the hands with which a [`Fleet`] acts. What is decided, it decides.
+//! Connections between the instances of a fleet, and the driver through which a [`Fleet`] acts. The fleet makes the
+//! decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -23,106 +24,109 @@
 use tokio_util::task::TaskTracker;
 use tracing::{debug, info, warn};
 
-use crate::notes::Note;
-use crate::outside::Outside;
+use crate::driver::GatewayDriver;
+use crate::events::Event;
 use crate::snapshot;
 
-/// Frames between peers are short: a list goes in many.
-const MOST_FRAME: usize = 64 << 10;
-/// Links opened by peers count from here, those opened from here from one.
-const THEIRS: u64 = 1 << 63;
-/// Beside links: whoever asks how the fleet stands.
-const ASKERS: usize = 8;
+/// Longest frame between peers. A list is sent in many frames.
+const MAX_FRAME_BYTES: usize = 64 << 10;
+/// Ids of links that peers open are larger than this. Ids of links that this instance opens start from one.
+const ACCEPTED_LINK_ID_BASE: u64 = 1 << 63;
+/// Connections beyond the links of peers, for status requests.
+const STATUS_CONNECTIONS: usize = 8;
 
-/// What all links of this instance have in common.
+/// What all link tasks of this instance share.
 #[derive(Clone)]
-struct Door {
+struct LinkContext {
+    /// Name of this instance.
     name: String,
     bounds: Bounds,
-    limit: Duration,
-    notes: mpsc::Sender<Note>,
+    /// Time for connecting and exchanging hellos.
+    dial_timeout: Duration,
+    event_tx: mpsc::Sender<Event>,
     tasks: TaskTracker,
 }
 
-/// Links to peers, as the engine's task holds them.
-pub(crate) struct Peers {
-    door: Door,
+/// State of the links to peers in the engine's task.
+pub(crate) struct PeerLinks {
+    context: LinkContext,
     outboxes: BTreeMap<LinkId, Outbox>,
     dials: BTreeMap<LinkId, AbortHandle>,
-    /// The number of the connection to the list service that is wanted.
-    watch: watch::Sender<Option<u64>>,
-    watched: u64,
+    /// The number of the wanted connection to the list service. None: none is wanted.
+    wanted_list_connection: watch::Sender<Option<u64>>,
+    /// Number of times that the fleet has requested or dropped that connection.
+    list_connection_number: u64,
 }
 
-/// One instance among others: what it decides by, and its sockets.
-pub(crate) struct Mesh {
+/// This instance's membership in a fleet: the state machine, the links and the snapshot.
+pub(crate) struct FleetMembership {
     fleet: Fleet,
-    peers: Peers,
-    kept: Option<Kept>,
+    links: PeerLinks,
+    snapshot: Option<SnapshotFile>,
 }
 
 /// The snapshot on disk.
-struct Kept {
+struct SnapshotFile {
     path: PathBuf,
-    fleet: String,
-    /// What was written last, and when.
-    written: (Option<(u64, u64)>, u64, Instant),
-    /// Ends with whether it could be written.
+    fleet_name: String,
+    /// List version and member digest of the last snapshot, and when it was written.
+    last_written: (Option<(u64, u64)>, u64, Instant),
+    /// The write in progress. Yields whether it succeeded.
     writing: Option<JoinHandle<bool>>,
     failed: bool,
 }
 
-/// A snapshot is written no more often than this.
-const KEEP: Duration = Duration::from_secs(2);
+/// Minimum time between two snapshots.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(2);
 
-impl Door {
+impl LinkContext {
     async fn dial(self, link: LinkId, address: String) {
-        let dialled = timeout(self.limit, async {
+        let dialled = timeout(self.dial_timeout, async {
             let stream = TcpStream::connect(&address).await.map_err(WireError::from)?;
             open(stream, &self.name, self.bounds).await
         });
         match dialled.await {
-            Ok(Ok(opened)) => self.converse(link, opened, Note::PeerUp).await,
+            Ok(Ok(opened)) => self.read_frames(link, opened, Event::PeerConnected).await,
             failed => {
-                let why = failed.unwrap_or(Err(LinkError::NoHello(self.limit))).err();
-                debug!(link = link.0, address, "no link to a peer: {:?}", why.map(|w| w.to_string()));
-                let _ = self.notes.send(Note::PeerDown(link)).await;
+                let error = failed.unwrap_or(Err(LinkError::NoHello(self.dial_timeout))).err();
+                debug!(link = link.0, address, "no link to a peer: {:?}", error.map(|e| e.to_string()));
+                let _ = self.event_tx.send(Event::PeerDisconnected(link)).await;
             }
         }
     }
 
-    async fn converse(self, link: LinkId, opened: Link, up: fn(LinkId, Outbox) -> Note) {
+    async fn read_frames(self, link: LinkId, opened: Link, connected: fn(LinkId, Outbox) -> Event) {
         let Link { outbox, mut reader, mut writer, peer } = opened;
-        if self.notes.send(up(link, outbox)).await.is_err() {
+        if self.event_tx.send(connected(link, outbox)).await.is_err() {
             return;
         }
         loop {
             let next = tokio::select! {
                 next = reader.next() => next,
-                // The outbox was dropped and all is written, or nothing can be written any more.
+                // The outbox was dropped and everything is written, or writing has failed.
                 _ = &mut writer => break,
             };
             match next {
                 Some(Ok(frame)) => {
-                    if self.notes.send(Note::Peer(link, frame)).await.is_err() {
+                    if self.event_tx.send(Event::PeerFrame(link, frame)).await.is_err() {
                         return;
                     }
                 }
-                Some(Err(why)) => {
-                    info!(link = link.0, peer, "fleet: a peer cannot be read: {why}");
+                Some(Err(error)) => {
+                    info!(link = link.0, peer, "fleet: a peer cannot be read: {error}");
                     break;
                 }
                 None => break,
             }
         }
         writer.abort();
-        let _ = self.notes.send(Note::PeerDown(link)).await;
+        let _ = self.event_tx.send(Event::PeerDisconnected(link)).await;
     }
 
-    /// Takes peers' connections, up to a number at a time.
-    async fn accept(self, listener: TcpListener, most: usize) {
-        let room = Arc::new(Semaphore::new(most + ASKERS));
-        let mut next = THEIRS;
+    /// Accepts a limited number of connections from peers.
+    async fn accept(self, listener: TcpListener, max_links: usize) {
+        let slots = Arc::new(Semaphore::new(max_links + STATUS_CONNECTIONS));
+        let mut last_id = ACCEPTED_LINK_ID_BASE;
         loop {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
@@ -132,61 +136,62 @@
                     continue;
                 }
             };
-            // Beyond that it is closed without a word; a peer tries another.
-            let Ok(place) = Arc::clone(&room).try_acquire_owned() else { continue };
-            next += 1;
-            let (link, door) = (LinkId(next), self.clone());
+            // Over the limit the connection is closed without a message, and the peer tries another instance.
+            let Ok(slot) = Arc::clone(&slots).try_acquire_owned() else { continue };
+            last_id += 1;
+            let (link, context) = (LinkId(last_id), self.clone());
             self.tasks.spawn(async move {
-                match open(stream, &door.name, door.bounds).await {
-                    Ok(opened) => door.converse(link, opened, Note::PeerIn).await,
-                    Err(why) => info!("fleet: no hello from a peer: {why}"),
+                match open(stream, &context.name, context.bounds).await {
+                    Ok(opened) => context.read_frames(link, opened, Event::PeerAccepted).await,
+                    Err(error) => info!("fleet: no hello from a peer: {error}"),
                 }
-                drop(place);
+                drop(slot);
             });
         }
     }
 }
 
-/// The hands of a fleet for one call: links to peers, and the scheduler here.
-struct Hands<'a> {
+/// Performs the fleet's actions during one call, on the links to peers and on the local engine.
+struct PeerDriver<'a> {
     now: Time,
-    peers: &'a mut Peers,
-    engine: &'a mut Engine<Outside>,
+    links: &'a mut PeerLinks,
+    engine: &'a mut Engine<GatewayDriver>,
 }
 
-impl Hands<'_> {
+impl PeerDriver<'_> {
     fn send(&mut self, link: LinkId, frame: Frame) {
-        let Some(outbox) = self.peers.outboxes.get(&link) else { return };
-        // A peer that does not read is cut off rather than waited for.
+        let Some(outbox) = self.links.outboxes.get(&link) else { return };
+        // A full outbox means that the peer does not read. The link is closed instead of waiting.
         if outbox.send(frame, None).is_err() {
             self.close(link);
         }
     }
 }
 
-/// A number that no other start of a process has, whatever seed it was given: two runs under one name are two.
-fn this_run() -> Run {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
-    let mixed = since ^ u128::from(std::process::id()) << 64;
+/// Draws an id for this run of the process from the clock and the process id, independent of the configured seed. Runs under
+/// the same name must differ.
+fn new_run_id() -> Run {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
+    let mixed = since_epoch ^ u128::from(std::process::id()) << 64;
     Run(oorandom::Rand64::new(mixed).rand_u64())
 }
 
-impl Others for Hands<'_> {
+impl Others for PeerDriver<'_> {
     fn dial(&mut self, link: LinkId, address: &str) {
-        let door = self.peers.door.clone();
-        let task = self.peers.door.tasks.spawn(door.dial(link, address.to_owned()));
-        self.peers.dials.insert(link, task.abort_handle());
+        let context = self.links.context.clone();
+        let task = self.links.context.tasks.spawn(context.dial(link, address.to_owned()));
+        self.links.dials.insert(link, task.abort_handle());
     }
 
     fn close(&mut self, link: LinkId) {
-        // Dropping its outbox ends the link once all is written; a dial under way ends at once.
-        if self.peers.outboxes.remove(&link).is_none() {
-            self.peers.dials.remove(&link).into_iter().for_each(|dial| dial.abort());
+        // Dropping the outbox ends the link once everything is written. A dial in progress is aborted.
+        if self.links.outboxes.remove(&link).is_none() {
+            self.links.dials.remove(&link).into_iter().for_each(|dial| dial.abort());
         }
     }
 
-    fn refuse(&mut self, link: LinkId, why: &str) {
-        self.send(link, Frame::new(Kind::FAULT).text(Field::REASON, why));
+    fn refuse(&mut self, link: LinkId, reason: &str) {
+        self.send(link, Frame::new(Kind::FAULT).text(Field::REASON, reason));
         self.close(link);
     }
 
@@ -226,15 +231,15 @@
     }
 
     fn watch(&mut self, on: bool) {
-        self.peers.watched += 1;
-        self.peers.watch.send_replace(on.then_some(self.peers.watched));
+        self.links.list_connection_number += 1;
+        self.links.wanted_list_connection.send_replace(on.then_some(self.links.list_connection_number));
         if !on {
-            self.engine.world().list = None;
+            self.engine.world().list_outbox = None;
         }
     }
 
     fn ask_service(&mut self, held: Option<(u64, u64)>) {
-        if let Some(outbox) = &self.engine.world().list {
+        if let Some(outbox) = &self.engine.world().list_outbox {
             let _ = outbox.send(frames::ask_list_frame(held), None);
         }
     }
@@ -274,209 +279,227 @@
     }
 }
 
-impl Mesh {
-    /// Begins to listen for peers, where the configuration names a fleet. Whether the list is to be watched is told by
-    /// `watch`.
+impl FleetMembership {
+    /// Starts listening for peers if the configuration names a fleet. `wanted_list_connection` receives whether this
+    /// instance watches the list service.
     pub fn start(
-        config: &Config, now: Time, seed: u128, notes: &mpsc::Sender<Note>, tasks: &TaskTracker,
-        watch: watch::Sender<Option<u64>>,
-    ) -> std::io::Result<Option<(Mesh, AbortHandle)>> {
+        config: &Config, now: Time, seed: u128, event_tx: &mpsc::Sender<Event>, tasks: &TaskTracker,
+        wanted_list_connection: watch::Sender<Option<u64>>,
+    ) -> std::io::Result<Option<(FleetMembership, AbortHandle)>> {
         let Some(listen) = config.value("fleet", "listen") else { return Ok(None) };
         let listener = curlewpoint_link::listen(listen)?;
-        let at = listener.local_addr()?.to_string();
-        let address = config.value("fleet", "reached-at").unwrap_or(&at);
-        let of = |name| config.number("fleet", name) as usize;
+        let local_address = listener.local_addr()?.to_string();
+        let address = config.value("fleet", "reached-at").unwrap_or(&local_address);
+        let number = |name| config.number("fleet", name) as usize;
         let limits = FleetBounds {
-            instances: of("most-instances"),
-            links: of("most-links"),
-            watchers: of("watchers"),
+            instances: number("most-instances"),
+            links: number("most-links"),
+            watchers: number("watchers"),
             slack: Time::from_ms(config.number("rpcs", "answer-slack")),
             hints: Time::from_ms(config.number("workers", "keep-alive")),
             hinted: config.value("fleet", "hints").is_some_and(|h| h == "yes"),
         };
-        let (fleet, name) = (config.value("fleet", "name").unwrap_or(""), config.text("name"));
-        let (peers, told) = (config.values("fleet", "peers").to_vec(), config.number("", "instances") as u64);
-        let fleet_name = fleet.to_owned();
-        let mut fleet = Fleet::start(now, fleet, (name, this_run()), address, peers, told, limits, seed);
+        let (fleet_name, name) = (config.value("fleet", "name").unwrap_or(""), config.text("name"));
+        let (peers, configured_instances) =
+            (config.values("fleet", "peers").to_vec(), config.number("", "instances") as u64);
+        let owned_fleet_name = fleet_name.to_owned();
+        let mut fleet = Fleet::start(
+            now,
+            fleet_name,
+            (name, new_run_id()),
+            address,
+            peers,
+            configured_instances,
+            limits,
+            seed,
+        );
         if config.value("fleet", "directory").is_some() {
             fleet.keep_directory(now, config.number("fleet", "directory") as u64);
         }
-        let kept = config.value("fleet", "snapshot").map(|file| {
+        let snapshot_file = config.value("fleet", "snapshot").map(|file| {
             let path = config.resolve_path(file);
             match snapshot::read(
                 &path,
-                &fleet_name,
+                &owned_fleet_name,
                 config.duration("fleet", "snapshot-age"),
                 now,
                 &mut fleet,
             ) {
-                Ok(age) => info!("fleet: a snapshot {age:?} old is at hand"),
-                Err(why) => info!("fleet: no snapshot is used: {}: {why}", path.display()),
+                Ok(age) => info!("fleet: a snapshot {age:?} old is used"),
+                Err(error) => info!("fleet: no snapshot is used: {}: {error}", path.display()),
+            }
+            SnapshotFile {
+                path,
+                fleet_name: owned_fleet_name,
+                last_written: (None, 0, Instant::now()),
+                writing: None,
+                failed: false,
             }
-            Kept { path, fleet: fleet_name, written: (None, 0, Instant::now()), writing: None, failed: false }
         });
-        info!(address = at, run = format!("{:016x}", fleet.me().run.0), "fleet: peers may come");
+        info!(address = local_address, run = format!("{:016x}", fleet.me().run.0), "fleet: peers may come");
         let bounds = Bounds {
-            frame: MOST_FRAME,
+            frame: MAX_FRAME_BYTES,
             outbox: (16 << 10, 4 << 20),
             hello: config.duration("connections", "hello-limit"),
             write: config.duration("connections", "write-limit"),
         };
-        let door = Door {
+        let context = LinkContext {
             name: name.to_owned(),
             bounds,
-            limit: config.duration("connections", "dial-limit"),
-            notes: notes.clone(),
+            dial_timeout: config.duration("connections", "dial-limit"),
+            event_tx: event_tx.clone(),
             tasks: tasks.clone(),
         };
-        let accepting = tokio::spawn(door.clone().accept(listener, limits.links)).abort_handle();
+        let accepting = tokio::spawn(context.clone().accept(listener, limits.links)).abort_handle();
         let (outboxes, dials) = Default::default();
-        let peers = Peers { door, outboxes, dials, watch, watched: 0 };
-        Ok(Some((Mesh { fleet, peers, kept }, accepting)))
+        let links = PeerLinks { context, outboxes, dials, wanted_list_connection, list_connection_number: 0 };
+        Ok(Some((FleetMembership { fleet, links, snapshot: snapshot_file }, accepting)))
     }
 
     pub fn next_wake(&self) -> Time {
         self.fleet.next_wake()
     }
 
+    /// Whether new work is held back after this process has been stalled.
     pub fn holds(&self, now: Time) -> bool {
         self.fleet.holds(now)
     }
 
-    /// Lets the fleet act: on links to peers and on the scheduler here.
+    /// Calls the fleet with a driver for the links to peers and the local engine.
     fn call<R>(
-        &mut self, now: Time, engine: &mut Engine<Outside>,
-        what: impl FnOnce(&mut Fleet, &mut Hands<'_>) -> R,
+        &mut self, now: Time, engine: &mut Engine<GatewayDriver>,
+        action: impl FnOnce(&mut Fleet, &mut PeerDriver<'_>) -> R,
     ) -> R {
-        what(&mut self.fleet, &mut Hands { now, peers: &mut self.peers, engine })
+        action(&mut self.fleet, &mut PeerDriver { now, links: &mut self.links, engine })
     }
 
-    pub fn advance(&mut self, now: Time, engine: &mut Engine<Outside>) {
-        self.call(now, engine, |fleet, hands| fleet.advance(now, hands));
+    pub fn advance(&mut self, now: Time, engine: &mut Engine<GatewayDriver>) {
+        self.call(now, engine, |fleet, driver| fleet.advance(now, driver));
     }
 
-    pub fn link_in(&mut self, now: Time, engine: &mut Engine<Outside>, link: LinkId, outbox: Outbox) {
-        self.peers.outboxes.insert(link, outbox);
-        self.call(now, engine, |fleet, hands| fleet.link_in(now, hands, link));
+    pub fn link_in(&mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, outbox: Outbox) {
+        self.links.outboxes.insert(link, outbox);
+        self.call(now, engine, |fleet, driver| fleet.link_in(now, driver, link));
     }
 
-    pub fn link_up(&mut self, now: Time, engine: &mut Engine<Outside>, link: LinkId, outbox: Outbox) {
-        // One that was closed while it was dialled is not wanted any more.
-        if self.peers.dials.remove(&link).is_some() {
-            self.peers.outboxes.insert(link, outbox);
-            self.call(now, engine, |fleet, hands| fleet.link_up(now, hands, link));
+    pub fn link_up(&mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, outbox: Outbox) {
+        // A link that was closed during its dial is ignored.
+        if self.links.dials.remove(&link).is_some() {
+            self.links.outboxes.insert(link, outbox);
+            self.call(now, engine, |fleet, driver| fleet.link_up(now, driver, link));
         }
     }
 
-    pub fn link_down(&mut self, now: Time, engine: &mut Engine<Outside>, link: LinkId) {
-        self.peers.dials.remove(&link);
-        self.peers.outboxes.remove(&link);
-        self.call(now, engine, |fleet, hands| fleet.link_down(now, hands, link));
+    pub fn link_down(&mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId) {
+        self.links.dials.remove(&link);
+        self.links.outboxes.remove(&link);
+        self.call(now, engine, |fleet, driver| fleet.link_down(now, driver, link));
     }
 
-    /// What a peer says; what cannot be read ends its link, and harms no other.
-    pub fn peer(&mut self, now: Time, engine: &mut Engine<Outside>, link: LinkId, f: &Frame) {
-        if !self.peers.outboxes.contains_key(&link) {
+    /// Handles a frame from a peer. A malformed frame ends this link only.
+    pub fn peer_frame(&mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, f: &Frame) {
+        if !self.links.outboxes.contains_key(&link) {
             return;
         }
-        if let Err(why) = self.read(now, engine, link, f) {
-            info!(link = link.0, "fleet: a peer is closed: {why}");
-            self.call(now, engine, |fleet, hands| {
-                hands.refuse(link, &why.to_string());
-                fleet.link_down(now, hands, link);
+        if let Err(error) = self.read(now, engine, link, f) {
+            info!(link = link.0, "fleet: a peer is closed: {error}");
+            self.call(now, engine, |fleet, driver| {
+                driver.refuse(link, &error.to_string());
+                fleet.link_down(now, driver, link);
             });
         }
     }
 
     fn read(
-        &mut self, now: Time, engine: &mut Engine<Outside>, link: LinkId, f: &Frame,
+        &mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, f: &Frame,
     ) -> Result<(), WireError> {
         match f.kind {
             Kind::FAULT => info!("fleet: a peer says: {}", f.get_text(Field::REASON).unwrap_or("nothing")),
             Kind::STATUS_REQUEST => {
-                let told = Frame::new(Kind::STATUS_REPLY).body(self.status(now).into_bytes());
-                self.call(now, engine, |_, hands| hands.send(link, told));
+                let reply = Frame::new(Kind::STATUS_REPLY).body(self.status(now).into_bytes());
+                self.call(now, engine, |_, driver| driver.send(link, reply));
             }
             _ => {
-                self.call(now, engine, |me, hands| frames::read(me, now, hands, link, f))?;
+                self.call(now, engine, |me, driver| frames::read(me, now, driver, link, f))?;
             }
         }
         Ok(())
     }
 
-    /// A frame of a list, from a peer or (none) from the list service.
-    pub fn list(
-        &mut self, now: Time, engine: &mut Engine<Outside>, on: Option<LinkId>, f: &Frame,
+    /// Handles a list frame from a peer, or from the list service if `on` is none.
+    pub fn list_frame(
+        &mut self, now: Time, engine: &mut Engine<GatewayDriver>, on: Option<LinkId>, f: &Frame,
     ) -> Result<(), WireError> {
-        self.call(now, engine, |me, hands| frames::read_list(me, now, hands, on, f)).map(drop)
+        self.call(now, engine, |me, driver| frames::read_list(me, now, driver, on, f)).map(drop)
     }
 
-    /// The module has seen something of functions at workers, and RPCs of functions came in.
-    pub fn saw(
-        &mut self, now: Time, engine: &mut Engine<Outside>, seen: Vec<(WorkerId, FunctionId, Hint, u64)>,
+    /// Passes on what the decision module observed of functions at workers, and the functions of newly accepted RPCs.
+    pub fn observed(
+        &mut self, now: Time, engine: &mut Engine<GatewayDriver>,
+        observations: Vec<(WorkerId, FunctionId, Hint, u64)>,
     ) {
-        for (worker, function, hint, held) in seen {
-            self.call(now, engine, |me, hands| me.saw(now, hands, worker, function, hint, held));
+        for (worker, function, hint, held) in observations {
+            self.call(now, engine, |me, driver| me.saw(now, driver, worker, function, hint, held));
         }
         if self.fleet.directory().is_none() {
             return;
         }
-        for function in engine.world().wanted.replace(BTreeSet::new()).into_iter().flatten() {
-            self.call(now, engine, |me, hands| me.wanted(now, hands, function));
+        for function in engine.world().wanted_functions.replace(BTreeSet::new()).into_iter().flatten() {
+            self.call(now, engine, |me, driver| me.wanted(now, driver, function));
         }
     }
 
-    pub fn service_up(&mut self, now: Time, engine: &mut Engine<Outside>) {
-        self.call(now, engine, |fleet, hands| fleet.service_up(now, hands));
+    pub fn service_up(&mut self, now: Time, engine: &mut Engine<GatewayDriver>) {
+        self.call(now, engine, |fleet, driver| fleet.service_up(now, driver));
     }
 
     pub fn service_down(&mut self, now: Time) {
         self.fleet.service_down(now);
     }
 
-    /// Writes a snapshot where there is something new, beside all else and one at a time.
-    pub fn keep(&mut self, now: Time) {
-        let Some(kept) = &mut self.kept else { return };
+    /// Writes a snapshot on a blocking thread if something has changed. Only one write runs at a time.
+    pub fn save_snapshot(&mut self, now: Time) {
+        let Some(file) = &mut self.snapshot else { return };
         let (held, digest) = (self.fleet.book().held(), self.fleet.table().digest());
-        if kept.writing.as_ref().is_some_and(|w| !w.is_finished()) {
+        if file.writing.as_ref().is_some_and(|w| !w.is_finished()) {
             return;
         }
-        // It has ended, so this does not wait.
-        let ended = kept.writing.take().and_then(|w| w.now_or_never()).map(|w| w.unwrap_or(false));
-        if let Some(good) = ended {
-            if good == kept.failed {
+        // The write has finished, so this does not wait.
+        let finished = file.writing.take().and_then(|w| w.now_or_never()).map(|w| w.unwrap_or(false));
+        if let Some(succeeded) = finished {
+            if succeeded == file.failed {
                 info!(
                     "fleet: the snapshot {} be written: {}",
-                    if good { "can" } else { "cannot" },
-                    kept.path.display()
+                    if succeeded { "can" } else { "cannot" },
+                    file.path.display()
                 );
             }
-            kept.failed = !good;
-            if !good {
-                // It is tried again, though nothing new may come.
-                kept.written.0 = None;
+            file.failed = !succeeded;
+            if !succeeded {
+                // Forces another write even if nothing changes.
+                file.last_written.0 = None;
             }
         }
-        let (was_held, was_digest, at) = kept.written;
-        if at.elapsed() < KEEP || (held, digest) == (was_held, was_digest) {
+        let (last_held, last_digest, written_at) = file.last_written;
+        if written_at.elapsed() < SNAPSHOT_INTERVAL || (held, digest) == (last_held, last_digest) {
             return;
         }
-        let Some(bytes) = snapshot::draw(&kept.fleet, &self.fleet, now) else { return };
-        kept.written = (held, digest, Instant::now());
-        let path = kept.path.clone();
-        kept.writing = Some(tokio::task::spawn_blocking(move || {
-            let written = snapshot::write(&path, &bytes);
-            written.inspect_err(|why| debug!("the snapshot: {why}")).is_ok()
+        let Some(bytes) = snapshot::encode(&file.fleet_name, &self.fleet, now) else { return };
+        file.last_written = (held, digest, Instant::now());
+        let path = file.path.clone();
+        file.writing = Some(tokio::task::spawn_blocking(move || {
+            let result = snapshot::write(&path, &bytes);
+            result.inspect_err(|error| debug!("snapshot: {error}")).is_ok()
         }));
     }
 
-    /// Says goodbye; what is written leaves with the last of the tasks.
-    pub fn leave(mut self, now: Time, engine: &mut Engine<Outside>) {
-        self.call(now, engine, |fleet, hands| fleet.leave(now, hands));
-        self.peers.dials.values().for_each(AbortHandle::abort);
+    /// Leaves the fleet. The link tasks still write what has been sent.
+    pub fn leave(mut self, now: Time, engine: &mut Engine<GatewayDriver>) {
+        self.call(now, engine, |fleet, driver| fleet.leave(now, driver));
+        self.links.dials.values().for_each(AbortHandle::abort);
     }
 
-    /// How the fleet stands as seen from here, a line each.
+    /// The status text: this instance's view of the fleet.
     fn status(&self, now: Time) -> String {
         let (fleet, mut out) = (&self.fleet, String::new());
         let (table, number) = (fleet.table(), fleet.number());
@@ -484,7 +507,7 @@
         let _ = writeln!(
             out,
             "{} run {:016x}: {} live, {} known, reckons with {} ({}), {} links, {} not reached, {} refused",
-            self.peers.door.name,
+            self.links.context.name,
             fleet.me().run.0,
             table.living().count(),
             table.len(),
@@ -519,7 +542,7 @@
         let watchers = fleet.watchers();
         for (id, m) in table.iter() {
             let s = m.standing;
-            let standing = match (s.left, s.dead, s.is_suspect()) {
+            let state = match (s.left, s.dead, s.is_suspect()) {
                 (true, ..) => "left",
                 (_, true, _) => "given-up",
                 (.., true) => "suspect",
@@ -530,7 +553,7 @@
             let since = (now - m.changed).ms() / 1000.0;
             let _ = writeln!(
                 out,
-                "{} run {:016x} at {}: {standing}{watches}{blind}, incarnation {}, for {since:.1} s",
+                "{} run {:016x} at {}: {state}{watches}{blind}, incarnation {}, for {since:.1} s",
                 m.name, id.run.0, m.address, s.incarnation
             );
         }
--- a/crates/curlewpoint-gateway/src/reload.rs
+++ b/crates/curlewpoint-gateway/src/reload.rs
@@ -10,27 +10,28 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::{info, warn};
 
-use crate::notes::Note;
+use crate::events::Event;
 
-/// All that doors need of a catalogue, made before it comes into force so that the engine's task does not wait for it.
-pub(crate) struct Prepared {
+/// Everything that the endpoints need of a catalogue. Prepared before it becomes active, so that the engine's task does not
+/// wait for it.
+pub(crate) struct PreparedMethods {
     pub catalogue: Arc<Catalogue>,
     pub routes: Routes<String>,
-    /// Path, entity tag and text of each.
+    /// Path, entity tag and text of each API document.
     pub documents: [(&'static str, String, String); 2],
-    /// What triggers go by: the effect of each method, and where and for how long its tokens are known.
+    /// The effect of each method for AMQP triggers, with the scope and lifetime of its tokens.
     pub effects: BTreeMap<String, Effect>,
 }
 
-impl Prepared {
-    pub fn of(config: &Config) -> Result<Prepared, ReloadError> {
-        let at_fault = |what: Vec<String>| ReloadError::InvalidCatalogue(what.join("; "));
+impl PreparedMethods {
+    pub fn of(config: &Config) -> Result<PreparedMethods, ReloadError> {
+        let invalid = |messages: Vec<String>| ReloadError::InvalidCatalogue(messages.join("; "));
         let catalogue = Catalogue::of(config)
-            .map_err(|faults| at_fault(faults.iter().map(ToString::to_string).collect()))?;
+            .map_err(|errors| invalid(errors.iter().map(ToString::to_string).collect()))?;
         let mut routes = Routes::new('/');
         for method in catalogue.methods() {
             let pattern = format!("/v1/{}/*", method.name);
-            routes.add(&pattern, method.name.clone()).map_err(|why| at_fault(vec![why]))?;
+            routes.add(&pattern, method.name.clone()).map_err(|message| invalid(vec![message]))?;
         }
         let document = |path, text: String| (path, etag(&text), text);
         let documents = [
@@ -47,71 +48,73 @@
             _ => Effect::SideEffecting,
         };
         let effects = config.methods().iter().map(|name| (name.clone(), effect(name))).collect();
-        Ok(Prepared { catalogue: Arc::new(catalogue), routes, documents, effects })
+        Ok(PreparedMethods { catalogue: Arc::new(catalogue), routes, documents, effects })
     }
 }
 
-/// What doors go by from one reload to the next.
-pub(crate) struct InForce {
+/// The methods that endpoints serve until the next reload.
+pub(crate) struct ActiveMethods {
     pub release: Release,
-    pub prepared: Arc<Prepared>,
+    pub prepared: Arc<PreparedMethods>,
     pub withdrawn: Withdrawn,
 }
 
-/// Why the methods in force stay.
+/// Why a reload was rejected. The active methods stay as they are.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ReloadError {
     #[error("this changes only at a restart: {}", .0.join(", "))]
     RequiresRestart(Vec<String>),
-    #[error("the methods' schemas are at fault: {0}")]
+    #[error("invalid method schemas: {0}")]
     InvalidCatalogue(String),
     #[error("{0} sets of methods still have RPCs open: try again later")]
     TooManyReleases(usize),
-    #[error("too many sets of terms have been served: this needs a restart")]
+    #[error("too many different method settings have been served: restart the scheduler")]
     TooManyMethodSettings,
-    #[error("the scheduler ends")]
+    #[error("the scheduler is stopping")]
     SchedulerStopped,
 }
 
+/// A reload for the engine's task to apply.
 pub(crate) struct Reload {
-    pub prepared: Arc<Prepared>,
-    pub terms: Vec<Value>,
-    pub told: oneshot::Sender<Result<Release, ReloadError>>,
+    pub prepared: Arc<PreparedMethods>,
+    /// The decision module's settings of the methods.
+    pub method_settings: Vec<Value>,
+    pub reply: oneshot::Sender<Result<Release, ReloadError>>,
 }
 
-/// Puts other methods into force while a scheduler runs.
+/// Replaces the methods of a running scheduler.
 #[derive(Clone)]
 pub struct ReloadHandle {
-    pub(crate) notes: mpsc::Sender<Note>,
-    /// What was started with: all but the methods stays as it is there.
-    pub(crate) started: Arc<Config>,
+    pub(crate) event_tx: mpsc::Sender<Event>,
+    /// The configuration at the start. Everything but the methods must stay the same.
+    pub(crate) initial: Arc<Config>,
 }
 
 impl ReloadHandle {
-    /// Serves the methods of this configuration from here on; nothing else in it may differ from that of the start. On
-    /// any fault those in force stay, and one log line says why.
+    /// Serves the methods of this configuration from now on. Nothing else in it may differ from the configuration at the
+    /// start. On any error the active methods stay, and one log line states the reason.
     pub async fn reload(&self, config: Config) -> Result<Release, ReloadError> {
-        let done = self.put_into_force(config).await;
-        match &done {
+        let result = self.apply(config).await;
+        match &result {
             Ok(release) => info!(release = release.0, "reloaded"),
-            Err(why) => warn!("reload refused, the methods in force stay: {why}"),
+            Err(reason) => warn!("reload refused, the methods in force stay: {reason}"),
         }
-        done
+        result
     }
 
-    async fn put_into_force(&self, config: Config) -> Result<Release, ReloadError> {
-        let differs = self.started.changes_requiring_restart(&config);
-        if !differs.is_empty() {
-            return Err(ReloadError::RequiresRestart(differs));
+    async fn apply(&self, config: Config) -> Result<Release, ReloadError> {
+        let changes = self.initial.changes_requiring_restart(&config);
+        if !changes.is_empty() {
+            return Err(ReloadError::RequiresRestart(changes));
         }
-        // Schemas are compiled and documents written on a thread of their own: a large catalogue takes its time.
+        // Compiling schemas and rendering documents takes long for a large catalogue, so it runs on a blocking thread.
         let preparing = tokio::task::spawn_blocking(move || {
-            Ok((Arc::new(Prepared::of(&config)?), config.method_settings()))
+            Ok((Arc::new(PreparedMethods::from_config(&config)?), config.method_settings()))
         });
-        let (prepared, terms) = preparing.await.map_err(|_| ReloadError::SchedulerStopped)??;
-        let (told, tell) = oneshot::channel();
-        let reload = Reload { prepared, terms, told };
-        self.notes.send(Note::Reload(reload)).await.map_err(|_| ReloadError::SchedulerStopped)?;
-        tell.await.map_err(|_| ReloadError::SchedulerStopped)?
+        let (prepared, method_settings) = preparing.await.map_err(|_| ReloadError::SchedulerStopped)??;
+        let (reply, result) = oneshot::channel();
+        let reload = Reload { prepared, method_settings, reply };
+        self.event_tx.send(Event::Reload(reload)).await.map_err(|_| ReloadError::SchedulerStopped)?;
+        result.await.map_err(|_| ReloadError::SchedulerStopped)?
     }
 }
