--- a/crates/curlewpoint-gateway/src/reload.rs
+++ b/crates/curlewpoint-gateway/src/reload.rs
@@ -24,7 +24,7 @@
 }
 
 impl PreparedMethods {
-    pub fn of(config: &Config) -> Result<PreparedMethods, ReloadError> {
+    pub fn from_config(config: &Config) -> Result<PreparedMethods, ReloadError> {
         let invalid = |messages: Vec<String>| ReloadError::InvalidCatalogue(messages.join("; "));
         let catalogue = Catalogue::of(config)
             .map_err(|errors| invalid(errors.iter().map(ToString::to_string).collect()))?;
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -21,7 +21,7 @@
 use crate::driver::GatewayDriver;
 use crate::events::Event;
 use crate::http::{HttpEndpoint, Limits, Reply, RpcRequest};
-use crate::peers::Mesh;
+use crate::peers::FleetMembership;
 use crate::reload::{ActiveMethods, PreparedMethods, ReloadError, ReloadHandle};
 use crate::workers::Dialler;
 use crate::{amqp, clients, codes, http, list};
