--- a/crates/curlewpoint-gateway/src/codes.rs
+++ b/crates/curlewpoint-gateway/src/codes.rs
@@ -1,6 +1,6 @@
 //! Numeric codes of outcomes, copy states and answers in fields of the wire protocol.
 
-use curlewpoint::types::{Copy, Outcome};
+use curlewpoint::types::{CopyReport, Outcome};
 use curlewpoint_engine::{Answer, Refusal};
 pub(crate) use curlewpoint_fleet::frames::read_standing as standing;
 pub use curlewpoint_fleet::frames::standing_code;
@@ -20,8 +20,13 @@
 
 // The order of each table is part of the protocol.
 const OUTCOMES: [Outcome; 4] = [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::Miss];
-const COPY_STATES: [Copy; 5] =
-    [Copy::Untold, Copy::Warm, Copy::BeganLoad, Copy::WaitedForLoad, Copy::LoadFailed];
+const COPY_STATES: [CopyReport; 5] = [
+    CopyReport::Unreported,
+    CopyReport::Warm,
+    CopyReport::BeganLoad,
+    CopyReport::WaitedForLoad,
+    CopyReport::LoadFailed,
+];
 const ANSWERS: [Answer; 3] = [Answer::Ok, Answer::Denied, Answer::Aborted];
 
 pub fn outcome_code(outcome: Outcome) -> u64 {
@@ -32,15 +37,15 @@
     read(frame, Field::OUTCOME, &OUTCOMES, "an outcome")
 }
 
-pub fn copy_code(copy: Copy) -> u64 {
+pub fn copy_code(copy: CopyReport) -> u64 {
     code(&COPY_STATES, copy)
 }
 
-pub(crate) fn copy(frame: &Frame) -> Result<Copy, WireError> {
+pub(crate) fn copy(frame: &Frame) -> Result<CopyReport, WireError> {
     if frame.has(Field::COPY_STATUS) {
         read(frame, Field::COPY_STATUS, &COPY_STATES, "a copy state")
     } else {
-        Ok(Copy::Untold)
+        Ok(CopyReport::Unreported)
     }
 }
 
