--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -308,7 +308,7 @@
             streaming,
         };
         self.rpcs.insert(id, rpc);
-        if self.try_first_attempt(now, id) {
+        if self.try_first(now, id) {
             self.queues[0].push_back(id);
         }
     }
@@ -626,8 +626,8 @@
             let ceiling = w.ceiling.min((slots * size).max(1.0));
             let may_load = belief.is_none_or(|b| b.no_load_until <= now);
             let accepts = w.full_until <= now && (affinity >= AFFINITY_LOADING || may_load);
-            // A worker at which an attempt may have run is not tried again. Where only the connection broke it is, as it
-            // still has the copy and any other worker might have to load one.
+            // A worker at which an attempt may have run is not tried again. Where only the connection broke it is, as
+            // it still has the copy and any other worker might have to load one.
             let untried = rpc.attempts.iter().all(|a| a.worker != id || a.never_ran || a.connection_broke);
             let room = own < ceiling && accepts && untried && !w.suspect;
             if !room || !self.cold_budget_left(now, w) || !self.is_repeatable(now, rpc, Some(w)) {
@@ -746,7 +746,7 @@
 
     /// Adds evidence (a log-likelihood ratio) about a worker's health, and ejects or clears the worker. This detects
     /// workers that fail fast or hang, and any other fault that shows in outcomes. Once a third of the fleet is
-    /// suspect, the cause lies outside the workers, and no more are ejected. Limit: a tenant whose RPCs always fail
+    /// suspect, the cause lies outside the workers, and no more are ejected. Drawback: a tenant whose RPCs always fail
     /// makes its workers look faulty.
     fn add_evidence(&mut self, now: Time, id: WorkerId, evidence: f64) {
         let (at, worker) = (now.0, id.0);
@@ -819,38 +819,38 @@
 
     // 2. Slow start.
 
-    /// Whether a worker may be sent an attempt as far as its cold start goes. Keeps schedulers from overloading a cold
-    /// worker together: each limits itself to the worker's present share of capacity, times the answers that this
+    /// Whether slow start allows an attempt to this worker now. Keeps schedulers from overloading a cold worker
+    /// together: each limits itself to the share of its capacity that the worker has by now, times the answers that this
     /// scheduler gets from a worker of that size on average. The fleet answers no more than its capacity, so the sum
-    /// stays below the stated multiple (`fallMultiple`), also when retries multiply the RPCs. The budget is given out
-    /// in time slots of one attempt each, so that schedulers with a budget below one attempt per window keep to it too.
+    /// stays below the stated multiple (`fallMultiple`), also when retries multiply the RPCs. The budget is given out in
+    /// time slots of one attempt each, so that schedulers with a budget below one attempt per window keep to it too.
     fn cold_budget_left(&self, now: Time, w: &Worker) -> bool {
         let Some(since) = w.cold_since else { return true };
         let warm_within = self.duration("contract", "warmWithin");
         if now - since >= warm_within {
             return true;
         }
-        let fall = self.duration("contract", "fall");
-        let (age, from) = (now - since, self.number("contract", "startCapacity", 0.2));
-        let capacity = from + (1.0 - from) * age.0 as f64 / warm_within.0.max(1) as f64;
+        let window = self.duration("contract", "fall");
+        let (age, start) = (now - since, self.number("contract", "startCapacity", 0.2));
+        let capacity = start + (1.0 - start) * age.0 as f64 / warm_within.0.max(1) as f64;
         let per_window =
-            self.rate * fall.ms() * self.relative_size(w, self.sizes_known()) / self.peak_ready.max(1.0);
+            self.rate * window.ms() * self.relative_size(w, self.sizes_known()) / self.peak_ready.max(1.0);
         let budget = COLD_BUDGET_SHARE * self.number("contract", "fallMultiple", 2.0) * capacity * per_window;
         // The gap between slots is the window times a power of two: otherwise a changing rate opens slot after slot.
-        let gap = fall.ms() * budget.max(1.0 / self.scheduler_count()).log2().floor().exp2().recip();
+        let gap = window.ms() * budget.max(1.0 / self.scheduler_count()).log2().floor().exp2().recip();
         // Unused slots lapse. Otherwise all schedulers would spend theirs at once when a function's preferred worker
         // becomes this one. With halved gaps, slots begin where the longer ones did and half way between, so that a
         // change of the gap opens few slots at once.
-        let into_slot = (age.ms() + w.slot_phase * SLOT_WINDOWS * fall.ms()) % gap.max(0.1);
+        let into_slot = (age.ms() + w.slot_phase * SLOT_WINDOWS * window.ms()) % gap.max(0.1);
         // Attempts are at least one gap apart, also where a slot was used late or the gap has just been halved.
         let unspent = w.last_sent + Time::from_ms(gap) <= now || w.last_sent < since;
-        unspent && into_slot <= fall.ms() / 2.0
+        unspent && into_slot <= window.ms() / 2.0
     }
 
     // 3. Retries.
 
     /// Tries to send an RPC's first attempt; true: the RPC has to wait.
-    fn try_first_attempt(&mut self, now: Time, id: RpcId) -> bool {
+    fn try_first(&mut self, now: Time, id: RpcId) -> bool {
         let waits = self.admit(now, id);
         let to = if waits == Some(false) { self.pick_worker(now, id) } else { None };
         match to {
@@ -867,9 +867,9 @@
     /// of charge to the retry budget. After two workers at which it would have begun a load have turned it away, or two
     /// loads have failed, an RPC begins no further load: a store that rejects fetches does so for every worker.
     /// Otherwise schedulers scatter a function's loads beyond its preferred workers, the workers that receive them turn
-    /// away further loads, and the fleet does not recover. This holds for any lack of room for loads. Limit: in a small
-    /// fleet a third worker may be the only one with room; the function's next RPCs find it.
-    fn try_further_attempt(&mut self, now: Time, id: RpcId) -> bool {
+    /// away further loads, and the fleet does not recover. This holds for any lack of room for loads. Drawback: in a
+    /// small fleet a third worker may be the only one with room; the function's next RPCs find it.
+    fn try_further(&mut self, now: Time, id: RpcId) -> bool {
         let rpc = &self.rpcs[&id];
         let hedged = rpc.open_attempts() > 0;
         let cost = if rpc.attempts.last().is_some_and(|a| a.never_ran) { 0.0 } else { 1.0 };
@@ -913,11 +913,7 @@
                 if self.rpcs.get(&id).is_none_or(|r| r.done || !r.waiting) {
                     continue;
                 }
-                if if queue == 0 {
-                    self.try_first_attempt(now, id)
-                } else {
-                    self.try_further_attempt(now, id)
-                } {
+                if if queue == 0 { self.try_first(now, id) } else { self.try_further(now, id) } {
                     self.queues[queue].push_back(id);
                     blocked += 1;
                 }
@@ -930,11 +926,10 @@
     fn sweep(&mut self, now: Time) {
         let mut overdue: Vec<(RpcId, usize, WorkerId)> = Vec::new();
         for (&id, rpc) in &self.rpcs {
-            for (number, attempt) in rpc.attempts.iter().enumerate().filter(|(_, a)| a.open && a.overdue < 3)
-            {
-                let limit = self.overdue_after(rpc.method, attempt.warm);
-                if now - attempt.sent_at > Time(limit.0 << attempt.overdue) {
-                    overdue.push((id, number, attempt.worker));
+            for (number, a) in rpc.attempts.iter().enumerate().filter(|(_, a)| a.open && a.overdue < 3) {
+                let limit = self.overdue_after(rpc.method, a.warm);
+                if now - a.sent_at > Time(limit.0 << a.overdue) {
+                    overdue.push((id, number, a.worker));
                 }
             }
         }
@@ -1027,8 +1022,8 @@
 
     /// The limit of RPCs in flight at warm copies, and how many are in flight, in total and for the tenant. The limit
     /// keeps answers within a share of the soft deadline, by Little's law on this scheduler's own rate of answers. It
-    /// guards against overload of any kind that fills the workers' queues, as answers then come no faster. Limit: it is
-    /// too low just after a long quiet spell.
+    /// guards against overload of any kind that fills the workers' queues, as answers then come no faster. Drawback: it
+    /// is too low just after a long quiet spell.
     fn in_flight_limit(&self, tenant: TenantId) -> (f64, f64, f64) {
         let usual = self.peak_rate * TARGET_DEADLINE_SHARE * self.soft_deadlines.mean;
         let floor = MIN_IN_FLIGHT_PER_WORKER * self.ready_workers().count() as f64 / self.scheduler_count();
@@ -1076,8 +1071,8 @@
     }
 
     /// Whether a waiting RPC can no longer be answered by its soft deadline. Giving such RPCs up keeps a queue, in any
-    /// overload, from making every answer late. Limit: this loses value where a late answer is worth nearly as much as a
-    /// timely one.
+    /// overload, from making every answer late. Drawback: this loses value where a late answer is worth nearly as much as
+    /// a timely one.
     fn is_hopeless(&self, now: Time, id: RpcId) -> bool {
         let rpc = &self.rpcs[&id];
         let soft_deadline = rpc.received_at + Time::from_ms(self.soft_deadline(rpc.method));
