--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -820,10 +820,11 @@
     // 2. Slow start.
 
     /// Whether slow start allows an attempt to this worker now. Keeps schedulers from overloading a cold worker
-    /// together: each limits itself to the share of its capacity that the worker has by now, times the answers that this
-    /// scheduler gets from a worker of that size on average. The fleet answers no more than its capacity, so the sum
-    /// stays below the stated multiple (`fallMultiple`), also when retries multiply the RPCs. The budget is given out in
-    /// time slots of one attempt each, so that schedulers with a budget below one attempt per window keep to it too.
+    /// together: each limits itself to the share of its capacity that the worker has by now, times the answers that
+    /// this scheduler gets from a worker of that size on average. The fleet answers no more than its capacity, so the
+    /// sum stays below the stated multiple (`fallMultiple`), also when retries multiply the RPCs. The budget is given
+    /// out in time slots of one attempt each, so that schedulers with a budget below one attempt per window keep to it
+    /// too.
     fn cold_budget_left(&self, now: Time, w: &Worker) -> bool {
         let Some(since) = w.cold_since else { return true };
         let warm_within = self.duration("contract", "warmWithin");
@@ -1071,8 +1072,8 @@
     }
 
     /// Whether a waiting RPC can no longer be answered by its soft deadline. Giving such RPCs up keeps a queue, in any
-    /// overload, from making every answer late. Drawback: this loses value where a late answer is worth nearly as much as
-    /// a timely one.
+    /// overload, from making every answer late. Drawback: this loses value where a late answer is worth nearly as much
+    /// as a timely one.
     fn is_hopeless(&self, now: Time, id: RpcId) -> bool {
         let rpc = &self.rpcs[&id];
         let soft_deadline = rpc.received_at + Time::from_ms(self.soft_deadline(rpc.method));
