--- a/crates/curlewpoint-fleet/src/book.rs
+++ b/crates/curlewpoint-fleet/src/book.rs
@@ -7,12 +7,12 @@
 
 /// What the list says of one worker, as it is handed on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     pub address: String,
-    pub standing: Standing,
+    pub lifecycle: Standing,
     /// One start of its process, and when that was on this instance's clock; none: long ago.
     pub start: u64,
-    pub since: Option<Time>,
+    pub started_at: Option<Time>,
     pub zone: String,
     pub cell: String,
     pub size: f64,
@@ -20,33 +20,33 @@
 
 /// Who tells a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum ListSource {
     /// The list service, at first hand.
     Service,
     Peer(InstanceId),
     /// This instance's own memory of an earlier run, which never pushes anything aside.
-    Disk,
+    Snapshot,
 }
 
 /// What came of a list that was read to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ListOutcome {
     /// It is the newest; from the version that it changes, or none where it is whole.
-    New(Option<u64>),
+    Accepted(Option<u64>),
     /// Nothing newer than what is held.
-    Old,
+    NotNewer,
     /// It changes a version that is not held: more is wanted.
     Gap,
     /// A peer speaks of an epoch or a version far on: not taken until another says so too, or the list service.
-    Unvouched(u64, u64),
+    Unconfirmed(u64, u64),
     /// No list had begun, or it was more than is taken.
-    Stray,
+    Discarded,
 }
 
 struct Staged {
     version: (u64, u64),
     from: Option<u64>,
-    rows: Vec<(String, Entry)>,
+    rows: Vec<(String, EndpointEntry)>,
     over: bool,
 }
 
@@ -60,10 +60,10 @@
 ///
 /// A peer alone cannot move it to another epoch or far on: a forged list from the future would lock out the real one.
 /// Two peers of different names can, and the list service at once.
-pub struct Book {
+pub struct EndpointTable {
     held: Option<(u64, u64)>,
     /// Whoever is being told the list goes on with that of its version while this one changes.
-    rows: Arc<BTreeMap<String, Entry>>,
+    rows: Arc<BTreeMap<String, EndpointEntry>>,
     log: VecDeque<(u64, String)>,
     /// Below this version changes are no longer known.
     oldest: u64,
@@ -73,10 +73,10 @@
     most_rows: usize,
 }
 
-impl Book {
-    pub fn new(most_rows: usize) -> Book {
+impl EndpointTable {
+    pub fn new(most_rows: usize) -> EndpointTable {
         let (rows, log, staged, vouched) = Default::default();
-        Book { held: None, rows, log, oldest: 0, staged, vouched, most_rows }
+        EndpointTable { held: None, rows, log, oldest: 0, staged, vouched, most_rows }
     }
 
     /// Epoch and version held.
@@ -93,23 +93,23 @@
     }
 
     /// All rows of the version held.
-    pub fn whole(&self) -> Arc<BTreeMap<String, Entry>> {
+    pub fn entries(&self) -> Arc<BTreeMap<String, EndpointEntry>> {
         Arc::clone(&self.rows)
     }
 
     /// Whole lists that are on their way and no newer than that held, by their connections, which nobody waits for.
-    pub fn late(&self) -> Vec<u64> {
+    pub fn superseded(&self) -> Vec<u64> {
         let late = |s: &Staged| s.from.is_none() && Some(s.version) <= self.held;
         self.staged.iter().filter(|(_, s)| late(s)).map(|(on, _)| *on).collect()
     }
 
     /// A list begins on a connection.
-    pub fn begins(&mut self, on: u64, epoch: u64, version: u64, from: Option<u64>) {
+    pub fn begin(&mut self, on: u64, epoch: u64, version: u64, from: Option<u64>) {
         let (version, rows) = ((epoch, version), Vec::new());
         self.staged.insert(on, Staged { version, from, rows, over: false });
     }
 
-    pub fn row(&mut self, on: u64, name: &str, entry: Entry) {
+    pub fn push_entry(&mut self, on: u64, name: &str, entry: EndpointEntry) {
         let Some(staged) = self.staged.get_mut(&on) else { return };
         if staged.rows.len() >= self.most_rows {
             staged.over = true;
@@ -119,12 +119,12 @@
     }
 
     /// The connection has ended: what was begun on it is void.
-    pub fn broke(&mut self, on: u64) {
+    pub fn abort(&mut self, on: u64) {
         self.staged.remove(&on);
     }
 
-    fn is_vouched(&mut self, epoch: u64, version: u64, by: Source) -> bool {
-        let Source::Peer(peer) = by else { return true };
+    fn is_vouched(&mut self, epoch: u64, version: u64, by: ListSource) -> bool {
+        let ListSource::Peer(peer) = by else { return true };
         // The first list of all has nothing that it could push aside.
         let near = self.held.is_none_or(|(e, v)| e == epoch && version <= v.saturating_add(MOST_AHEAD));
         if near {
@@ -141,22 +141,22 @@
     }
 
     /// The list on a connection has come to its end.
-    pub fn ends(&mut self, on: u64, by: Source) -> Taken {
+    pub fn finish(&mut self, on: u64, by: ListSource) -> ListOutcome {
         let Some(Staged { version: (epoch, version), from, rows, over }) = self.staged.remove(&on) else {
-            return Taken::Stray;
+            return ListOutcome::Discarded;
         };
         if over {
-            return Taken::Stray;
+            return ListOutcome::Discarded;
         }
-        if self.held.is_some_and(|held| by == Source::Disk || (epoch, version) <= held) {
-            return Taken::Old;
+        if self.held.is_some_and(|held| by == ListSource::Snapshot || (epoch, version) <= held) {
+            return ListOutcome::NotNewer;
         }
         if !self.is_vouched(epoch, version, by) {
-            return Taken::Unvouched(epoch, version);
+            return ListOutcome::Unconfirmed(epoch, version);
         }
         // Changes since a version before the one held are those since that one and some that are known.
         if from.is_some_and(|from| self.held.is_none_or(|(e, v)| e != epoch || v < from)) {
-            return Taken::Gap;
+            return ListOutcome::Gap;
         }
         if from.is_none() {
             self.rows = Arc::default();
@@ -178,11 +178,11 @@
             self.log.retain(|(v, _)| *v != gone);
             self.oldest = gone;
         }
-        Taken::New(from)
+        ListOutcome::Accepted(from)
     }
 
     /// Whether changes since this version are known; else the whole list is needed.
-    pub fn knows_since(&self, held: Option<(u64, u64)>) -> bool {
+    pub fn has_changes_since(&self, held: Option<(u64, u64)>) -> bool {
         match (held, self.held) {
             (Some((e, v)), Some((epoch, version))) => e == epoch && v >= self.oldest && v <= version,
             _ => false,
@@ -190,8 +190,8 @@
     }
 
     /// The rows that have changed since this version, or all.
-    pub fn since(&self, held: Option<(u64, u64)>) -> Vec<(&str, &Entry)> {
-        match held.filter(|_| self.knows_since(held)) {
+    pub fn entries_since(&self, held: Option<(u64, u64)>) -> Vec<(&str, &EndpointEntry)> {
+        match held.filter(|_| self.has_changes_since(held)) {
             Some((_, from)) => {
                 let names: BTreeSet<&str> =
                     self.log.iter().filter(|(v, _)| *v > from).map(|(_, n)| n.as_str()).collect();
--- a/crates/curlewpoint-fleet/src/directory.rs
+++ b/crates/curlewpoint-fleet/src/directory.rs
@@ -15,10 +15,10 @@
 
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
 
-use crate::hints::Seen;
+use crate::hints::Observation;
 use crate::members::{MemberId, Run};
 use copies::Copies;
-pub use queue::Parcel;
+pub use queue::Batch;
 use queue::{Item, Queue, ANSWERS, NEWS, REFRESH, WARM};
 pub(crate) use round::{Rank, Round};
 use view::View;
@@ -63,15 +63,15 @@
 
 /// On what terms an instance takes part.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct DirectorySettings {
     /// Bytes a second that are sent for the directory at most, over any while and one burst of a second.
-    pub bytes: u64,
+    pub bytes_per_second: u64,
     /// How long what was seen counts for anything.
-    pub keep: Time,
+    pub observation_lifetime: Time,
     /// Whether this instance asks and takes what it is told; it holds and hands on for others all the same.
-    pub hinted: bool,
+    pub exchange_hints: bool,
     /// Whether what the directory leaves of the bytes is used to tell all, round the rings.
-    pub spreads: bool,
+    pub gossips: bool,
 }
 
 /// Whom to speak to is asked; where its answer is awaited since it was sent.
@@ -90,24 +90,24 @@
 
 /// What came of the directory so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct DirectoryCounts {
     pub questions: u64,
     pub answers: u64,
     /// Questions that nobody answered in time, each try counted.
     pub unanswered: u64,
     pub bytes: u64,
     /// Rows, questions and answers that the budget or a bound left out.
-    pub left_out: u64,
+    pub dropped: u64,
     /// What peers sent beyond what is read of one.
-    pub passed_over: u64,
+    pub ignored: u64,
     /// Rows that were not sent on round a ring, as the directory left no room for them.
-    pub not_spread: u64,
+    pub not_gossiped: u64,
 }
 
 /// One instance's part of it.
-pub struct Directory {
+pub struct CopyDirectory {
     me: MemberId,
-    terms: Terms,
+    settings: DirectorySettings,
     view: View,
     /// Members that take no part: an earlier release, or a configuration without it.
     strangers: BTreeSet<MemberId>,
@@ -127,7 +127,7 @@
     gathered: Time,
     next: u64,
     swept: Time,
-    counts: Counts,
+    counts: DirectoryCounts,
 }
 
 /// A short mark of a run: with a number it tells one sight from another, in three bytes.
@@ -135,14 +135,14 @@
     Run(run.0 >> 48)
 }
 
-impl Directory {
-    pub fn new(now: Time, me: MemberId, terms: Terms) -> Directory {
-        Directory {
+impl CopyDirectory {
+    pub fn new(now: Time, me: MemberId, settings: DirectorySettings) -> CopyDirectory {
+        CopyDirectory {
             me,
-            terms,
+            settings,
             view: View::new(me, std::iter::empty()),
             strangers: BTreeSet::new(),
-            copies: Copies::new(terms.keep, ROWS, ROWS_EACH),
+            copies: Copies::new(settings.observation_lifetime, ROWS, ROWS_EACH),
             subscribers: BTreeMap::new(),
             subscribed: 0,
             interests: BTreeMap::new(),
@@ -150,17 +150,17 @@
             heard_of: BTreeMap::new(),
             strikes: BTreeMap::new(),
             queue: Queue::default(),
-            allowance: terms.bytes as f64,
+            allowance: settings.bytes_per_second as f64,
             filled: now,
             gathered: Time(0),
             next: 0,
             swept: now,
-            counts: Counts::default(),
+            counts: DirectoryCounts::default(),
         }
     }
 
-    pub fn counts(&self) -> Counts {
-        Counts { left_out: self.counts.left_out + self.queue.left_out(), ..self.counts }
+    pub fn counts(&self) -> DirectoryCounts {
+        DirectoryCounts { dropped: self.counts.dropped + self.queue.left_out(), ..self.counts }
     }
 
     /// Rows held.
@@ -173,26 +173,26 @@
     }
 
     /// The row held of a function at a worker.
-    pub fn copy(&self, function: FunctionId, worker: WorkerId) -> Option<&Seen> {
+    pub fn copy(&self, function: FunctionId, worker: WorkerId) -> Option<&Observation> {
         self.copies.get(function, worker)
     }
 
     /// Those who are told of changes, over all functions.
-    pub fn subscribers(&self) -> usize {
+    pub fn subscriber_count(&self) -> usize {
         self.subscribed
     }
 
     /// Who is being asked for a function.
-    pub fn asked_for(&self, function: FunctionId) -> Option<MemberId> {
+    pub fn asked_member(&self, function: FunctionId) -> Option<MemberId> {
         self.open.get(&function).map(|o| o.to)
     }
 
-    pub fn open_questions(&self) -> usize {
+    pub fn open_question_count(&self) -> usize {
         self.open.len()
     }
 
     /// Those who hold a function, or whom this instance would ask for it, in its order.
-    pub fn towards(&self, function: FunctionId) -> Vec<MemberId> {
+    pub fn contacts_for(&self, function: FunctionId) -> Vec<MemberId> {
         self.view.towards(function)
     }
 
@@ -202,30 +202,30 @@
     }
 
     /// Who lives, as far as is known here.
-    pub fn members(&mut self, me: MemberId, living: impl Iterator<Item = MemberId>) {
+    pub fn update_members(&mut self, me: MemberId, living: impl Iterator<Item = MemberId>) {
         self.me = me;
         let strangers = &self.strangers;
         self.view = View::new(me, living.filter(|m| !strangers.contains(m)));
     }
 
     /// A member takes no part; true: that is news.
-    pub fn stranger(&mut self, member: MemberId) -> bool {
+    pub fn mark_non_participant(&mut self, member: MemberId) -> bool {
         self.strangers.insert(member)
     }
 
     /// A member is heard: it speaks for itself.
-    pub fn heard(&mut self, member: MemberId) {
+    pub fn clear_strikes(&mut self, member: MemberId) {
         self.strikes.remove(&member);
     }
 
     /// A member could not be reached, or said nothing when it had to.
-    pub fn missed(&mut self, now: Time, member: MemberId) {
+    pub fn unreachable(&mut self, now: Time, member: MemberId) {
         self.strikes.insert(member, (STRIKES, now));
-        self.lost(now, member);
+        self.link_lost(now, member);
     }
 
     /// A link to a member has ended: what it was asked goes to another.
-    pub fn lost(&mut self, now: Time, member: MemberId) {
+    pub fn link_lost(&mut self, now: Time, member: MemberId) {
         let asked: Vec<FunctionId> =
             self.open.iter().filter(|(_, o)| o.to == member).map(|(f, _)| *f).collect();
         asked.into_iter().for_each(|f| self.ask_next(now, f));
@@ -245,7 +245,7 @@
     /// This instance stood still: others have heard what it has not, so it forgets what it held and asks anew.
     ///
     /// Guards against telling of copies that are long gone to all who ask. Harms until it is asked: the other holders know.
-    pub fn stood_still(&mut self) {
+    pub fn reset_after_stall(&mut self) {
         self.copies.clear();
         self.open.clear();
         self.interests.clear();
@@ -267,34 +267,44 @@
     // The scheduler here.
 
     /// The scheduler here has seen something of a function at a worker.
-    pub fn saw(&mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
+    pub fn observe(&mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
         let known = self.copies.get(function, worker);
         // That nothing is there is news only to those who think that something is.
         let news = known.map_or(hint != Hint::Gone, |k| {
-            let (age, far) = (now - k.at, held.abs_diff(k.held) >= 2 + k.held / 2);
+            let (age, far) = (now - k.observed_at, held.abs_diff(k.held_rpcs) >= 2 + k.held_rpcs / 2);
             let differs = k.hint != hint && (hint == Hint::Warm || age >= MOVED);
-            differs || age >= AGAIN.max(Time(self.terms.keep.0 / 4)) || (far && age >= MOVED)
+            differs
+                || age >= AGAIN.max(Time(self.settings.observation_lifetime.0 / 4))
+                || (far && age >= MOVED)
         });
         if !news {
             return;
         }
         self.next += 1;
-        let seen = Seen { worker, function, hint, held, at: now, run: mark(self.me.run), no: self.next };
+        let seen = Observation {
+            worker,
+            function,
+            hint,
+            held_rpcs: held,
+            observed_at: now,
+            run: mark(self.me.run),
+            seq: self.next,
+        };
         let Some(changed) = self.copies.put(seen) else { return };
         self.tell_up(now, &seen, changed, None);
         self.tell_subscribers(now, &seen, changed, None);
     }
 
     /// The scheduler here has an RPC of a function.
-    pub fn wanted(&mut self, now: Time, function: FunctionId) {
+    pub fn request(&mut self, now: Time, function: FunctionId) {
         let heard = self.heard_of.get(&function).is_some_and(|at| now - *at < HEARD);
-        if self.terms.hinted && !heard {
+        if self.settings.exchange_hints && !heard {
             self.ask(now, function);
         }
     }
 
     /// A row has come round a ring.
-    pub fn heard_round(&mut self, now: Time, seen: &Seen) {
+    pub fn gossip_received(&mut self, now: Time, seen: &Observation) {
         let stands = matches!(seen.hint, Hint::Warm | Hint::Loading);
         let fits = self.heard_of.len() < HEARD_OF || self.heard_of.contains_key(&seen.function);
         if stands && fits {
@@ -314,7 +324,7 @@
                 return;
             }
         } else if self.interests.len() >= INTERESTS {
-            self.counts.left_out += 1;
+            self.counts.dropped += 1;
             return;
         }
         let first = Interest { asked: now, turn: 0 };
@@ -336,7 +346,7 @@
         let turn = self.interests.get(&function).map_or(0, |i| i.turn);
         let to = all[turn.wrapping_add(tries) % all.len()];
         if self.open.len() >= OPEN {
-            self.counts.left_out += 1;
+            self.counts.dropped += 1;
             return;
         }
         self.open.insert(function, Open { to, sent: None, queued: now, tries });
@@ -346,8 +356,8 @@
     // What peers say.
 
     /// A peer asks for functions, and is told of their changes for a while.
-    pub fn asked(&mut self, now: Time, from: MemberId, functions: &[FunctionId]) {
-        self.heard(from);
+    pub fn question_received(&mut self, now: Time, from: MemberId, functions: &[FunctionId]) {
+        self.clear_strikes(from);
         for f in functions {
             self.subscribe(now, from, *f);
             self.queue.push(now, ANSWERS, from, Item::Answer(*f));
@@ -366,7 +376,7 @@
             if all.is_empty() {
                 self.subscribers.remove(&function);
             }
-            self.counts.left_out += 1;
+            self.counts.dropped += 1;
             return;
         }
         self.subscribed += usize::from(new);
@@ -375,7 +385,7 @@
 
     /// A member knows few others: it has just started, and is told some of the latest that is known here, where the budget
     /// allows. Guards against one that finds each copy anew, one RPC after the other. Harms nobody: it leaves last.
-    pub fn newcomer(&mut self, now: Time, who: MemberId) {
+    pub fn push_to_newcomer(&mut self, now: Time, who: MemberId) {
         let latest: Vec<(FunctionId, WorkerId)> = self.copies.latest(NEWCOMER_ROWS);
         for (f, w) in latest {
             self.queue.push(now, REFRESH, who, Item::Down(f, w));
@@ -383,8 +393,10 @@
     }
 
     /// A peer answers for some functions, and tells rows of these and of others. Returns those for the scheduler here.
-    pub fn told(&mut self, now: Time, from: MemberId, answered: &[FunctionId], rows: Vec<Seen>) -> Vec<Seen> {
-        self.heard(from);
+    pub fn answer_received(
+        &mut self, now: Time, from: MemberId, answered: &[FunctionId], rows: Vec<Observation>,
+    ) -> Vec<Observation> {
+        self.clear_strikes(from);
         for f in answered {
             if self.open.get(f).is_some_and(|o| o.to == from) {
                 self.open.remove(f);
@@ -396,16 +408,18 @@
 
     /// A peer tells what it has seen, or what was seen by those for whom it is the contact. Returns rows for the
     /// scheduler here.
-    pub fn sighted(&mut self, now: Time, from: MemberId, rows: Vec<Seen>) -> Vec<Seen> {
-        self.heard(from);
+    pub fn observations_received(
+        &mut self, now: Time, from: MemberId, rows: Vec<Observation>,
+    ) -> Vec<Observation> {
+        self.clear_strikes(from);
         self.take(now, from, rows, true)
     }
 
-    fn take(&mut self, now: Time, from: MemberId, rows: Vec<Seen>, up: bool) -> Vec<Seen> {
+    fn take(&mut self, now: Time, from: MemberId, rows: Vec<Observation>, up: bool) -> Vec<Observation> {
         let mine = mark(self.me.run);
         let mut news = Vec::new();
         for seen in rows {
-            if seen.run == mine || now - seen.at >= self.terms.keep {
+            if seen.run == mine || now - seen.observed_at >= self.settings.observation_lifetime {
                 continue;
             }
             let Some(changed) = self.copies.put(seen) else { continue };
@@ -414,14 +428,14 @@
                 self.tell_up(now, &seen, changed, Some(from));
             }
             self.tell_subscribers(now, &seen, changed, Some(from));
-            if self.terms.hinted {
+            if self.settings.exchange_hints {
                 news.push(seen);
             }
         }
         news
     }
 
-    fn class(seen: &Seen, changed: bool) -> usize {
+    fn class(seen: &Observation, changed: bool) -> usize {
         match (changed, seen.hint) {
             (false, _) => REFRESH,
             (true, Hint::Warm) => WARM,
@@ -429,7 +443,7 @@
         }
     }
 
-    fn tell_up(&mut self, now: Time, seen: &Seen, changed: bool, from: Option<MemberId>) {
+    fn tell_up(&mut self, now: Time, seen: &Observation, changed: bool, from: Option<MemberId>) {
         let mut to = self.candidates(now, seen.function);
         if !self.view.is_ours(seen.function) {
             to.truncate(1);
@@ -440,7 +454,7 @@
         }
     }
 
-    fn tell_subscribers(&mut self, now: Time, seen: &Seen, changed: bool, from: Option<MemberId>) {
+    fn tell_subscribers(&mut self, now: Time, seen: &Observation, changed: bool, from: Option<MemberId>) {
         let Some(all) = self.subscribers.get(&seen.function) else { return };
         for (member, since) in all {
             if Some(*member) != from && now - *since < SUBSCRIBED {
@@ -451,8 +465,8 @@
     }
 
     /// A peer sent so many rows or questions more than is read of one.
-    pub fn passed_over(&mut self, rows: usize) {
-        self.counts.passed_over += rows as u64;
+    pub fn count_ignored(&mut self, rows: usize) {
+        self.counts.ignored += rows as u64;
     }
 
     // Time.
@@ -490,28 +504,28 @@
     }
 
     /// Those known as living have changed: marks of others are of no use.
-    pub fn forget_strangers(&mut self, lives: impl Fn(MemberId) -> bool) {
+    pub fn retain_non_participants(&mut self, lives: impl Fn(MemberId) -> bool) {
         self.strangers.retain(|m| lives(*m));
     }
 
     // What is sent.
 
     fn refill(&mut self, now: Time) {
-        let (rate, span) = (self.terms.bytes as f64, (now - self.filled).ms() / 1000.0);
+        let (rate, span) = (self.settings.bytes_per_second as f64, (now - self.filled).ms() / 1000.0);
         self.allowance = (self.allowance + rate * span).min(rate);
         self.filled = now;
     }
 
     /// What leaves now, by member, the most useful first and as much as the budget allows; and those for whom something
     /// waits and to whom no link is up. `linked`: to whom one is.
-    pub fn parcels(
+    pub fn take_batches(
         &mut self, now: Time, linked: impl Fn(MemberId) -> bool,
-    ) -> (BTreeMap<MemberId, Parcel>, Vec<MemberId>) {
+    ) -> (BTreeMap<MemberId, Batch>, Vec<MemberId>) {
         if self.queue.is_empty() {
             return Default::default();
         }
         self.refill(now);
-        let little = self.allowance < self.terms.bytes as f64 * TOGETHER.ms() / 1000.0;
+        let little = self.allowance < self.settings.bytes_per_second as f64 * TOGETHER.ms() / 1000.0;
         if self.allowance <= 0.0 || (little && now - self.gathered < TOGETHER) {
             return Default::default();
         }
@@ -530,25 +544,25 @@
     }
 
     /// So many bytes were sent for it.
-    pub fn spent(&mut self, bytes: usize) {
+    pub fn charge(&mut self, bytes: usize) {
         self.counts.bytes += bytes as u64;
         self.allowance -= bytes as f64;
     }
 
     /// Whether what the directory leaves is used to tell all, round the rings.
-    pub fn spreads(&self) -> bool {
-        self.terms.spreads
+    pub fn gossips(&self) -> bool {
+        self.settings.gossips
     }
 
     /// Bytes that may go round the rings now.
-    pub fn spare(&mut self, now: Time) -> usize {
+    pub fn gossip_allowance(&mut self, now: Time) -> usize {
         self.refill(now);
-        (self.allowance - RESERVE * self.terms.bytes as f64).max(0.0) as usize
+        (self.allowance - RESERVE * self.settings.bytes_per_second as f64).max(0.0) as usize
     }
 
     /// So many rows were not sent on round a ring.
-    pub fn not_spread(&mut self, rows: u64) {
-        self.counts.not_spread += rows;
+    pub fn count_not_gossiped(&mut self, rows: u64) {
+        self.counts.not_gossiped += rows;
     }
 
     /// Whether anything may be sent now.
@@ -558,12 +572,12 @@
     }
 
     /// A link to a member is up.
-    pub fn linked(&mut self, member: MemberId) {
+    pub fn link_up(&mut self, member: MemberId) {
         self.queue.linked(member, true);
     }
 
     /// Those for whom something waits and to whom no link is up, the most useful first.
-    pub fn apart(&self) -> Vec<MemberId> {
+    pub fn unlinked_members(&self) -> Vec<MemberId> {
         self.queue.apart()
     }
 }
--- a/crates/curlewpoint-fleet/src/directory/copies.rs
+++ b/crates/curlewpoint-fleet/src/directory/copies.rs
@@ -2,14 +2,14 @@
 
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
 
-use crate::hints::Seen;
+use crate::hints::Observation;
 
 /// The latest that was seen of each function at each worker, by function; the later sight holds, whoever tells it.
 pub(super) struct Copies {
     keep: Time,
     most: usize,
     most_each: usize,
-    rows: BTreeMap<(FunctionId, WorkerId), Seen>,
+    rows: BTreeMap<(FunctionId, WorkerId), Observation>,
     by_age: BTreeSet<(Time, FunctionId, WorkerId)>,
 }
 
@@ -23,51 +23,55 @@
         self.rows.len()
     }
 
-    pub fn get(&self, function: FunctionId, worker: WorkerId) -> Option<&Seen> {
+    pub fn get(&self, function: FunctionId, worker: WorkerId) -> Option<&Observation> {
         self.rows.get(&(function, worker))
     }
 
-    pub fn of(&self, function: FunctionId) -> impl Iterator<Item = &Seen> {
+    pub fn of(&self, function: FunctionId) -> impl Iterator<Item = &Observation> {
         let (first, last) = (WorkerId(0), WorkerId(u64::MAX));
         self.rows.range((function, first)..=(function, last)).map(|(_, seen)| seen)
     }
 
     /// Whether a copy, or a load of one, is known that still counts.
     pub fn is_known(&self, now: Time, function: FunctionId) -> bool {
-        self.of(function).any(|s| matches!(s.hint, Hint::Warm | Hint::Loading) && now - s.at < self.keep)
+        self.of(function)
+            .any(|s| matches!(s.hint, Hint::Warm | Hint::Loading) && now - s.observed_at < self.keep)
     }
 
     /// The most useful rows of a function: copies before loads before refusals, later ones first.
-    pub fn best(&self, now: Time, function: FunctionId, most: usize) -> Vec<Seen> {
-        let mut all: Vec<Seen> = self.of(function).filter(|s| now - s.at < self.keep).copied().collect();
-        all.sort_by_key(|s| std::cmp::Reverse((s.hint, s.at)));
+    pub fn best(&self, now: Time, function: FunctionId, most: usize) -> Vec<Observation> {
+        let mut all: Vec<Observation> =
+            self.of(function).filter(|s| now - s.observed_at < self.keep).copied().collect();
+        all.sort_by_key(|s| std::cmp::Reverse((s.hint, s.observed_at)));
         all.truncate(most);
         all
     }
 
     /// Takes a sight; none: it is not news; true: it tells something else than what was known.
-    pub fn put(&mut self, seen: Seen) -> Option<bool> {
+    pub fn put(&mut self, seen: Observation) -> Option<bool> {
         let key = (seen.function, seen.worker);
         let known = self.rows.get(&key).copied();
         if let Some(k) = known {
             // One sight looks younger after each way, as the time on links is not counted: its number tells it.
-            let again = k.run == seen.run && seen.no <= k.no;
-            if again || (seen.at, seen.run, seen.no) <= (k.at, k.run, k.no) {
+            let again = k.run == seen.run && seen.seq <= k.seq;
+            if again || (seen.observed_at, seen.run, seen.seq) <= (k.observed_at, k.run, k.seq) {
                 return None;
             }
-            self.by_age.remove(&(k.at, seen.function, seen.worker));
+            self.by_age.remove(&(k.observed_at, seen.function, seen.worker));
         } else {
             self.make_room(seen.function);
         }
         self.rows.insert(key, seen);
-        self.by_age.insert((seen.at, seen.function, seen.worker));
+        self.by_age.insert((seen.observed_at, seen.function, seen.worker));
         Some(known.is_none_or(|k| k.hint != seen.hint))
     }
 
     fn make_room(&mut self, function: FunctionId) {
         if self.of(function).count() >= self.most_each {
-            let oldest =
-                self.of(function).min_by_key(|s| (s.at, s.worker)).map(|s| (s.at, function, s.worker));
+            let oldest = self
+                .of(function)
+                .min_by_key(|s| (s.observed_at, s.worker))
+                .map(|s| (s.observed_at, function, s.worker));
             oldest.into_iter().for_each(|key| self.remove(key));
         }
         while self.rows.len() >= self.most {
--- a/crates/curlewpoint-fleet/src/directory/queue.rs
+++ b/crates/curlewpoint-fleet/src/directory/queue.rs
@@ -3,7 +3,7 @@
 
 use curlewpoint::types::{FunctionId, Time, WorkerId};
 
-use crate::hints::Seen;
+use crate::hints::Observation;
 use crate::members::MemberId;
 
 /// What leaves first: questions and answers, loads and refusals, copies that came up, the same again.
@@ -39,18 +39,18 @@
 
 /// What leaves for one member.
 #[derive(Default)]
-pub struct Parcel {
+pub struct Batch {
     pub asked: Vec<FunctionId>,
     pub answered: Vec<FunctionId>,
     /// Rows that belong to answers, and changes for one that has asked.
-    pub copies: Vec<Seen>,
+    pub copies: Vec<Observation>,
     /// Rows for those who hold them.
-    pub sights: Vec<Seen>,
+    pub observations: Vec<Observation>,
 }
 
-impl Parcel {
+impl Batch {
     fn len(&self) -> usize {
-        self.asked.len() + self.answered.len() + self.copies.len() + self.sights.len()
+        self.asked.len() + self.answered.len() + self.copies.len() + self.observations.len()
     }
 }
 
@@ -175,9 +175,10 @@
     /// Takes what leaves now: see `Directory::parcels`. Costs by what leaves, not by what waits.
     pub fn gather(
         &mut self, now: Time, allowance: f64, linked: impl Fn(MemberId) -> bool,
-        rows: impl Fn(FunctionId) -> Vec<Seen>, one: impl Fn(FunctionId, WorkerId) -> Option<Seen>,
-    ) -> (BTreeMap<MemberId, Parcel>, Vec<MemberId>) {
-        let (mut parcels, mut unlinked) = (BTreeMap::<MemberId, Parcel>::new(), Vec::new());
+        rows: impl Fn(FunctionId) -> Vec<Observation>,
+        one: impl Fn(FunctionId, WorkerId) -> Option<Observation>,
+    ) -> (BTreeMap<MemberId, Batch>, Vec<MemberId>) {
+        let (mut parcels, mut unlinked) = (BTreeMap::<MemberId, Batch>::new(), Vec::new());
         let due: Vec<bool> = (0..CLASSES).map(|class| self.is_due(now, class)).collect();
         if !due.contains(&true) {
             return (parcels, unlinked);
@@ -210,8 +211,9 @@
 
     /// Takes what waits of a class for a member, as far as it fits.
     fn fill(
-        &mut self, class: usize, to: MemberId, parcels: &mut BTreeMap<MemberId, Parcel>, left: &mut f64,
-        rows: impl Fn(FunctionId) -> Vec<Seen>, one: impl Fn(FunctionId, WorkerId) -> Option<Seen>,
+        &mut self, class: usize, to: MemberId, parcels: &mut BTreeMap<MemberId, Batch>, left: &mut f64,
+        rows: impl Fn(FunctionId) -> Vec<Observation>,
+        one: impl Fn(FunctionId, WorkerId) -> Option<Observation>,
     ) {
         let waits = |q: &Queue| q.members.get(&to).is_some_and(|w| !w.classes[class].is_empty());
         if !waits(self) {
@@ -219,7 +221,7 @@
         }
         let parcel = parcels.entry(to).or_insert_with(|| {
             *left -= FRAME;
-            Parcel::default()
+            Batch::default()
         });
         while *left > 0.0 && parcel.len() < AT_A_TIME && waits(self) {
             let Some(item) = self.pop(class, to) else { continue };
@@ -230,7 +232,7 @@
                     parcel.answered.push(f);
                     parcel.copies.extend(rows(f));
                 }
-                Item::Up(f, w) => parcel.sights.extend(one(f, w)),
+                Item::Up(f, w) => parcel.observations.extend(one(f, w)),
                 Item::Down(f, w) => parcel.copies.extend(one(f, w)),
             }
             let each = if matches!(item, Item::Ask(_)) { NAME } else { ROW };
--- a/crates/curlewpoint-fleet/src/directory/round.rs
+++ b/crates/curlewpoint-fleet/src/directory/round.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeSet;
 
 use super::queue::LIFE;
-use crate::hints::Seen;
+use crate::hints::Observation;
 
 /// Rows that wait on one link; beyond it the least useful go.
 const WAITING: usize = 256;
@@ -21,7 +21,7 @@
 
 impl Rank {
     /// `changed`: it tells something else than what was known here.
-    pub fn of(seen: &Seen, changed: bool, own: bool) -> Rank {
+    pub fn of(seen: &Observation, changed: bool, own: bool) -> Rank {
         Rank { again: !changed, copy: changed && seen.hint == Hint::Warm, own }
     }
 }
@@ -29,7 +29,7 @@
 /// What is to go on round a ring over one link, as far as the directory leaves room: the most useful first, of these the
 /// newest.
 #[derive(Default)]
-pub(crate) struct Round(Vec<(Rank, Seen, Time)>);
+pub(crate) struct Round(Vec<(Rank, Observation, Time)>);
 
 impl Round {
     pub fn is_empty(&self) -> bool {
@@ -37,7 +37,7 @@
     }
 
     /// Puts a row to the others; how many were left out for it.
-    pub fn push(&mut self, now: Time, rank: Rank, seen: Seen) -> u64 {
+    pub fn push(&mut self, now: Time, rank: Rank, seen: Observation) -> u64 {
         self.0.push((rank, seen, now));
         if self.0.len() < 2 * WAITING {
             return 0;
@@ -47,7 +47,7 @@
 
     /// The most useful first, each worker's and function's latest, so many at most; how many were left out.
     fn settle(&mut self, now: Time) -> u64 {
-        self.0.sort_by_key(|(rank, s, _)| (*rank, std::cmp::Reverse((s.at, s.run, s.no))));
+        self.0.sort_by_key(|(rank, s, _)| (*rank, std::cmp::Reverse((s.observed_at, s.run, s.seq))));
         self.latest_alone();
         let before = self.0.len();
         self.0.retain(|(.., since)| now - *since < LIFE);
@@ -58,7 +58,7 @@
     /// What a later sight has made void is not left out: that one is told.
     fn latest_alone(&mut self) {
         let mut latest: Vec<(WorkerId, FunctionId, Time, u64)> =
-            self.0.iter().map(|(_, s, _)| (s.worker, s.function, s.at, s.no)).collect();
+            self.0.iter().map(|(_, s, _)| (s.worker, s.function, s.observed_at, s.seq)).collect();
         latest.sort_unstable();
         latest.dedup_by(|later, kept| {
             let same = (later.0, later.1) == (kept.0, kept.1);
@@ -68,16 +68,16 @@
             same
         });
         let latest: BTreeSet<_> = latest.into_iter().collect();
-        self.0.retain(|(_, s, _)| latest.contains(&(s.worker, s.function, s.at, s.no)));
+        self.0.retain(|(_, s, _)| latest.contains(&(s.worker, s.function, s.observed_at, s.seq)));
     }
 
     /// Takes what fits into so many bytes, in the order in which it was seen by each, as an earlier release reads it; and
     /// how many were left out meanwhile.
-    pub fn take(&mut self, now: Time, bytes: usize) -> (Vec<Seen>, u64) {
+    pub fn take(&mut self, now: Time, bytes: usize) -> (Vec<Observation>, u64) {
         let left_out = self.settle(now);
         let n = (bytes.saturating_sub(FRAME) / ROW).min(self.0.len());
-        let mut rows: Vec<Seen> = self.0.drain(..n).map(|(_, s, _)| s).collect();
-        rows.sort_by_key(|s| (s.run, s.no));
+        let mut rows: Vec<Observation> = self.0.drain(..n).map(|(_, s, _)| s).collect();
+        rows.sort_by_key(|s| (s.run, s.seq));
         (rows, left_out)
     }
 }
--- a/crates/curlewpoint-fleet/src/directory/view.rs
+++ b/crates/curlewpoint-fleet/src/directory/view.rs
@@ -2,7 +2,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::members::MemberId;
-use crate::rings::rank;
+use crate::rings::order_key;
 
 /// Those who hold a function, and the contacts in a column that are known to one of another.
 pub(super) const HOLDERS: usize = 3;
@@ -52,7 +52,7 @@
                 continue;
             }
             let contacts = &mut view.contacts[column as usize];
-            contacts.push((rank(me.instance.0, m), m));
+            contacts.push((order_key(me.instance.0, m), m));
             contacts.sort_unstable();
             contacts.truncate(HOLDERS);
         }
@@ -98,7 +98,7 @@
             all.retain(|m| *m != self.me);
             // Not all ask the same one first.
             if all.len() > 1 {
-                let first = rank(function.0, self.me) as usize % all.len();
+                let first = order_key(function.0, self.me) as usize % all.len();
                 all.rotate_left(first);
             }
             return all;
--- a/crates/curlewpoint-fleet/src/fleet.rs
+++ b/crates/curlewpoint-fleet/src/fleet.rs
@@ -3,12 +3,12 @@
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
 use oorandom::Rand64;
 
-use crate::book::{Book, Entry, Source, Taken};
-use crate::hints::{Hints, Seen, Untold};
-use crate::members::{InstanceId, Member, MemberId, Refused, Run, Standing, Table};
-use crate::number::Number;
-use crate::outside::{Bounds, LinkId, Outside};
-use crate::rings::{observed, rank, RINGS, SALT_WATCH};
+use crate::book::{EndpointEntry, EndpointTable, ListOutcome, ListSource};
+use crate::hints::{HintTable, Observation, Untold};
+use crate::members::{InstanceId, Member, MemberId, MemberState, MemberTable, RecordError, Run};
+use crate::number::InstanceCount;
+use crate::outside::{FleetDriver, FleetLimits, LinkId};
+use crate::rings::{monitored_member, order_key, RING_COUNT, WATCHER_SALT};
 
 mod asks;
 mod beats;
@@ -126,15 +126,15 @@
     name: String,
     address: String,
     me: MemberId,
-    bounds: Bounds,
+    limits: FleetLimits,
     rng: Rand64,
     /// Those in the file, and after them those remembered from an earlier run.
     peers: Vec<String>,
     told_peers: usize,
-    table: Table,
-    number: Number,
-    book: Book,
-    hints: Hints,
+    members: MemberTable,
+    instance_count: InstanceCount,
+    endpoints: EndpointTable,
+    hints: HintTable,
     /// Those whom this instance looks after, and the records and the silent ones by which they were found.
     wanted: BTreeSet<MemberId>,
     wanted_by: (u64, Vec<MemberId>),
@@ -147,7 +147,7 @@
     /// Since when enough others doubt a member.
     suspects: BTreeMap<MemberId, Time>,
     ticked: Time,
-    changed: Time,
+    members_changed_at: Time,
     /// When it last tried to meet somebody, and a draw for the next time.
     reached: (Time, f64),
     /// Peers to begin with that were met or missed, one after the other, when this instance began.
@@ -192,26 +192,26 @@
     /// this instance, `peers` some of them to begin with, `told` the number of instances in the file.
     pub fn start(
         now: Time, fleet: &str, (name, run): (&str, Run), address: &str, peers: Vec<String>, told: u64,
-        bounds: Bounds, seed: u128,
+        limits: FleetLimits, seed: u128,
     ) -> Fleet {
         let mut rng = Rand64::new(seed);
         let me = MemberId { instance: InstanceId::of(name), run };
-        let mut table = Table::new(bounds.instances * RECORDS);
-        let _ = table.merge(now, me, name, address, Standing::default());
+        let mut members = MemberTable::new(limits.max_instances * RECORDS);
+        let _ = members.merge(now, me, name, address, MemberState::default());
         let peers: Vec<String> = peers.into_iter().filter(|p| p != address).collect();
         let alone = now + stretch(&mut rng, WATCH_AFTER.1);
-        let number = Number::new(told, !peers.is_empty());
+        let instance_count = InstanceCount::new(told, !peers.is_empty());
         Fleet {
             fleet: fleet.to_owned(),
             name: name.to_owned(),
             address: address.to_owned(),
             me,
-            bounds,
+            limits,
             rng,
-            table,
-            number,
-            book: Book::new(WORKERS),
-            hints: Hints::new(now, bounds.hints, HINTS),
+            members,
+            instance_count,
+            endpoints: EndpointTable::new(WORKERS),
+            hints: HintTable::new(now, limits.hint_lifetime, HINTS),
             wanted: BTreeSet::new(),
             wanted_by: (0, Vec::new()),
             hinted: BTreeSet::new(),
@@ -221,7 +221,7 @@
             unheard: BTreeMap::new(),
             suspects: BTreeMap::new(),
             ticked: now,
-            changed: now,
+            members_changed_at: now,
             reached: (Time(0), 0.0),
             introduced: 0,
             watch_from: (None, if peers.is_empty() { now } else { alone }),
@@ -248,24 +248,24 @@
         }
     }
 
-    pub fn me(&self) -> MemberId {
+    pub fn own_id(&self) -> MemberId {
         self.me
     }
 
-    pub fn table(&self) -> &Table {
-        &self.table
+    pub fn members(&self) -> &MemberTable {
+        &self.members
     }
 
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn endpoints(&self) -> &EndpointTable {
+        &self.endpoints
     }
 
-    pub fn hints(&self) -> &Hints {
+    pub fn hints(&self) -> &HintTable {
         &self.hints
     }
 
-    pub fn number(&self) -> &Number {
-        &self.number
+    pub fn instance_count(&self) -> &InstanceCount {
+        &self.instance_count
     }
 
     pub fn is_watching(&self) -> bool {
@@ -280,12 +280,12 @@
     /// Those who come first in an order that all reckon alike, among those who live and are not suspect; `seeing`: and
     /// reach the list service.
     fn first(&self, seeing: bool) -> BTreeSet<MemberId> {
-        let unfit = |s: Standing| s.is_suspect() || (seeing && s.blind);
-        let fit = self.table.living().filter(|(_, m)| !unfit(m.standing)).map(|(id, _)| id);
+        let unfit = |s: MemberState| s.is_suspect() || (seeing && s.list_service_lost);
+        let fit = self.members.alive().filter(|(_, m)| !unfit(m.state)).map(|(id, _)| id);
         let mut first = BTreeSet::new();
         for id in fit {
-            first.insert((rank(SALT_WATCH, id), id));
-            if first.len() > self.bounds.watchers {
+            first.insert((order_key(WATCHER_SALT, id), id));
+            if first.len() > self.limits.watchers {
                 first.pop_last();
             }
         }
@@ -293,27 +293,27 @@
     }
 
     /// Links that are up.
-    pub fn links(&self) -> usize {
+    pub fn link_count(&self) -> usize {
         self.links.values().filter(|l| l.up).count()
     }
 
     /// Who is at the other end of each link.
-    pub fn peers(&self) -> impl Iterator<Item = (LinkId, MemberId)> + '_ {
+    pub fn peer_links(&self) -> impl Iterator<Item = (LinkId, MemberId)> + '_ {
         self.links.iter().filter_map(|(id, l)| Some((*id, l.peer?)))
     }
 
     /// Members that cannot be reached from here.
-    pub fn unheard(&self) -> usize {
+    pub fn unreachable_count(&self) -> usize {
         self.unheard.len()
     }
 
     /// Records, links and lists that were not taken.
-    pub fn refusals(&self) -> u64 {
+    pub fn refusal_count(&self) -> u64 {
         self.refusals
     }
 
     /// How long ago the list held was known to be the newest.
-    pub fn age(&self, now: Time) -> Option<Time> {
+    pub fn list_age(&self, now: Time) -> Option<Time> {
         self.fresh_at.map(|at| now - at)
     }
 
@@ -321,14 +321,14 @@
     ///
     /// Guards against one that was stopped and goes on with the workers of an old list. Harms for the time of one
     /// question and answer, after a pause that is none of its own.
-    pub fn holds(&self, now: Time) -> bool {
+    pub fn is_holding(&self, now: Time) -> bool {
         self.woke.is_some_and(|at| now - at < self.hold())
     }
 
     /// After standing still nothing new is sent until a peer or the list service has told of the list, for this time at
     /// most: half of the slack is left for the way of answers that are due meanwhile.
     fn hold(&self) -> Time {
-        Time(self.bounds.slack.0 / 2)
+        Time(self.limits.answer_slack.0 / 2)
     }
 
     /// When the clock is wanted next.
@@ -337,7 +337,7 @@
     }
 
     fn tick(&self) -> Time {
-        if self.book.held().is_none() {
+        if self.endpoints.held().is_none() {
             HASTE
         } else {
             TICK
@@ -345,7 +345,7 @@
     }
 
     /// Time has passed.
-    pub fn advance(&mut self, now: Time, out: &mut impl Outside) {
+    pub fn advance(&mut self, now: Time, out: &mut impl FleetDriver) {
         if now - self.ticked < self.tick() || self.left {
             return;
         }
@@ -362,15 +362,15 @@
         self.retry(now, out);
         self.doubt(now, out);
         self.judge(now);
-        self.table.sweep(now);
+        self.members.sweep(now);
         self.hints.sweep(now);
         let all: Vec<LinkId> =
             self.links.iter().filter(|(_, l)| l.peer.is_some()).map(|(id, _)| *id).collect();
         for link in all {
             let l = &self.links[&link];
-            let differs = l.digest.is_some_and(|d| d != self.table.digest());
-            if differs && now - self.changed >= SETTLED && now - l.synced >= SETTLED {
-                let rows: Vec<MemberId> = self.table.spoken_of().map(|(id, _)| id).collect();
+            let differs = l.digest.is_some_and(|d| d != self.members.digest());
+            if differs && now - self.members_changed_at >= SETTLED && now - l.synced >= SETTLED {
+                let rows: Vec<MemberId> = self.members.gossiped().map(|(id, _)| id).collect();
                 let l = self.links.get_mut(&link).expect("just listed");
                 l.synced = now;
                 l.untold.extend(rows);
@@ -390,16 +390,16 @@
         self.settle_watch(now, out);
         self.tell_of_members(out);
         // A peer to begin with of whom nobody knows may be behind a cut, with a fleet of its own.
-        let known = |p: &String| self.table.iter().any(|(_, m)| m.address == *p);
-        let alike = self.links.values().any(|l| l.digest == Some(self.table.digest()))
-            && (self.number.is_sure() || self.peers.iter().take(self.told_peers).all(known));
+        let known = |p: &String| self.members.iter().any(|(_, m)| m.address == *p);
+        let alike = self.links.values().any(|l| l.digest == Some(self.members.digest()))
+            && (self.instance_count.is_confirmed() || self.peers.iter().take(self.told_peers).all(known));
         let among_sure = self.among_sure(now);
-        if let Some(number) = self.number.look(now, &self.table, alike, among_sure) {
+        if let Some(number) = self.instance_count.update(now, &self.members, alike, among_sure) {
             out.log(&format!(
                 "fleet: {number} instances are reckoned with, {} live",
-                self.table.living().count()
+                self.members.alive().count()
             ));
-            out.instances(number);
+            out.set_instance_count(number);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/asks.rs
+++ b/crates/curlewpoint-fleet/src/fleet/asks.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::directory::frames;
-use crate::directory::{Directory, Round, Terms};
+use crate::directory::{CopyDirectory, DirectorySettings, Round};
 
 /// Links opened from here for the directory alone, and such links that peers have opened; beyond the first the one idle
 /// longest goes, beyond the second a peer is refused, and asks another.
@@ -157,7 +157,7 @@
 
 /// The directory and its links.
 pub(super) struct Asks {
-    pub directory: Directory,
+    pub directory: CopyDirectory,
     pub links: AskLinks,
     met: Met,
     /// What waits to go round the rings, by link, and when some of it last went.
@@ -179,15 +179,20 @@
 impl Fleet {
     /// Takes part in the directory of copies from here on, with so many bytes a second: see [`Directory`]. To be called
     /// once, before any link is up.
-    pub fn keep_directory(&mut self, now: Time, bytes: u64) {
-        self.keep_directory_on(now, bytes, true);
+    pub fn enable_directory(&mut self, now: Time, bytes: u64) {
+        self.enable_directory_with_gossip(now, bytes, true);
     }
 
     /// The same; `spreads`: what it leaves of the bytes is used to tell all, round the rings. Without, it can be looked at
     /// by itself.
-    pub fn keep_directory_on(&mut self, now: Time, bytes: u64, spreads: bool) {
-        let terms = Terms { bytes, keep: self.bounds.hints, hinted: self.bounds.hinted, spreads };
-        let directory = Directory::new(now, self.me, terms);
+    pub fn enable_directory_with_gossip(&mut self, now: Time, bytes: u64, spreads: bool) {
+        let terms = DirectorySettings {
+            bytes_per_second: bytes,
+            observation_lifetime: self.limits.hint_lifetime,
+            exchange_hints: self.limits.exchange_hints,
+            gossips: spreads,
+        };
+        let directory = CopyDirectory::new(now, self.me, terms);
         let dials = Meter::new(now, DIALS);
         self.asks = Some(Asks {
             directory,
@@ -204,39 +209,41 @@
     }
 
     /// This instance's part of the directory of copies; none: it takes none.
-    pub fn directory(&self) -> Option<&Directory> {
+    pub fn directory(&self) -> Option<&CopyDirectory> {
         self.asks.as_ref().map(|a| &a.directory)
     }
 
     /// Links that are open for the directory alone, from here and from peers.
-    pub fn ask_links(&self) -> usize {
+    pub fn directory_link_count(&self) -> usize {
         self.asks.as_ref().map_or(0, |a| a.links.len())
     }
 
     /// The link over which a member is told what waits for it; none: no link to it is up.
-    pub fn reaches(&self, member: MemberId) -> Option<LinkId> {
+    pub fn link_to(&self, member: MemberId) -> Option<LinkId> {
         let asks = self.asks.as_ref()?;
         asks.met.link_to(&self.links, &asks.links, member)
     }
 
     /// Who is at the other end of each link for the directory alone.
-    pub fn ask_peers(&self) -> impl Iterator<Item = (LinkId, MemberId)> + '_ {
+    pub fn directory_peers(&self) -> impl Iterator<Item = (LinkId, MemberId)> + '_ {
         let all = self.asks.iter().flat_map(|a| a.links.iter());
         all.filter_map(|(id, l)| Some((*id, l.peer?)))
     }
 
     /// The scheduler here has an RPC of a function: a copy of it is asked for where none is known. Nothing waits for it.
-    pub fn wanted(&mut self, now: Time, out: &mut impl Outside, function: FunctionId) {
+    pub fn function_requested(&mut self, now: Time, out: &mut impl FleetDriver, function: FunctionId) {
         self.reckon(now);
         let Some(asks) = &mut self.asks else { return };
-        asks.directory.wanted(now, function);
+        asks.directory.request(now, function);
         self.send_parcels(now, out);
     }
 
     // What peers say.
 
     /// A peer takes part; `only`: it has opened the link for nothing else.
-    pub fn takes_part(&mut self, now: Time, out: &mut impl Outside, link: LinkId, only: bool) {
+    pub fn peer_supports_directory(
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, only: bool,
+    ) {
         let Some(asks) = &mut self.asks else { return };
         if let Some(l) = asks.links.get_mut(&link) {
             l.takes = true;
@@ -244,7 +251,7 @@
         }
         let Some(l) = self.links.get_mut(&link) else { return };
         l.takes = true;
-        l.peer.into_iter().for_each(|peer| asks.directory.linked(peer));
+        l.peer.into_iter().for_each(|peer| asks.directory.link_up(peer));
         if !only || l.peer.is_some() || !matches!(l.purpose, Purpose::Theirs) {
             return;
         }
@@ -253,12 +260,12 @@
         }
         self.links.remove(&link);
         // This instance has said who it is by now.
-        asks.directory.spent(JOIN + self.fleet.len() + self.name.len() + self.address.len());
+        asks.directory.charge(JOIN + self.fleet.len() + self.name.len() + self.address.len());
         asks.links.insert(link, ask_link(now, None));
     }
 
     /// A peer that takes part says that it has just started.
-    pub fn just_started(&mut self, link: LinkId) {
+    pub fn peer_just_started(&mut self, link: LinkId) {
         let asks = self.asks.as_mut().and_then(|a| a.links.get_mut(&link));
         asks.into_iter().for_each(|l| l.starts = true);
         self.links.get_mut(&link).into_iter().for_each(|l| l.starts = true);
@@ -266,31 +273,31 @@
 
     /// Whether a link is one for the directory alone; if so, who is at its other end has been taken.
     pub(super) fn ask_joined(
-        &mut self, now: Time, out: &mut impl Outside, link: LinkId, id: MemberId, name: &str, address: &str,
-        standing: Standing,
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, id: MemberId, name: &str,
+        address: &str, state: MemberState,
     ) -> bool {
         if !self.asks.as_ref().is_some_and(|a| a.links.contains_key(&link)) {
             return false;
         }
-        if !self.learn(now, out, Some(link), id, name, address, standing) {
+        if !self.learn(now, out, Some(link), id, name, address, state) {
             return true;
         }
         let Some(asks) = &mut self.asks else { return true };
         let Some(l) = asks.links.get_mut(&link) else { return true };
         (l.peer, l.used) = (Some(id), now);
         asks.met.add(id, link);
-        asks.directory.linked(id);
+        asks.directory.link_up(id);
         let (other, takes) = (l.to.filter(|to| *to != id), l.takes);
         if l.starts {
-            asks.directory.newcomer(now, id);
+            asks.directory.push_to_newcomer(now, id);
         }
         if !takes {
             // An earlier release, or a configuration without it: it would not answer.
-            asks.directory.stranger(id);
+            asks.directory.mark_non_participant(id);
             asks.viewed = None;
         }
         // Where another run answers, the one that was looked for is not there any more.
-        other.into_iter().for_each(|to| asks.directory.missed(now, to));
+        other.into_iter().for_each(|to| asks.directory.unreachable(now, to));
         if !takes || other.is_some() {
             asks.links.remove(&link);
             out.close(link);
@@ -303,16 +310,16 @@
     pub(super) fn met(&mut self, now: Time, link: LinkId, id: MemberId, starts: bool) {
         let Some(asks) = &mut self.asks else { return };
         asks.met.add(id, link);
-        asks.directory.linked(id);
+        asks.directory.link_up(id);
         if starts {
-            asks.directory.newcomer(now, id);
+            asks.directory.push_to_newcomer(now, id);
         }
     }
 
     /// A neighbour has said who it is without saying that it takes part.
     pub(super) fn stranger(&mut self, id: MemberId) {
         if let Some(asks) = &mut self.asks {
-            if asks.directory.stranger(id) {
+            if asks.directory.mark_non_participant(id) {
                 asks.viewed = None;
             }
         }
@@ -340,45 +347,47 @@
         };
         let may = meter.take(now, INTAKE, n);
         if may < n {
-            asks.directory.passed_over(n - may);
+            asks.directory.count_ignored(n - may);
         }
         Some((peer, may))
     }
 
     /// A peer asks for what is known of functions.
-    pub fn copies_asked(
-        &mut self, now: Time, out: &mut impl Outside, link: LinkId, mut functions: Vec<FunctionId>,
+    pub fn copies_requested(
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, mut functions: Vec<FunctionId>,
     ) {
         let Some((peer, may)) = self.speaker(now, link, functions.len()) else { return };
         functions.truncate(may);
         self.reckon(now);
         if let Some(asks) = &mut self.asks {
-            asks.directory.asked(now, peer, &functions);
+            asks.directory.question_received(now, peer, &functions);
         }
         self.send_parcels(now, out);
     }
 
     /// A peer answers for some functions, and tells what it knows of them and of others that were asked for.
-    pub fn copies_told(
-        &mut self, now: Time, out: &mut impl Outside, link: LinkId, answered: Vec<FunctionId>,
-        mut rows: Vec<Seen>,
+    pub fn copies_received(
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, answered: Vec<FunctionId>,
+        mut rows: Vec<Observation>,
     ) {
         let Some((peer, may)) = self.speaker(now, link, rows.len()) else { return };
         rows.truncate(may);
         self.reckon(now);
         let Some(asks) = &mut self.asks else { return };
-        let news = asks.directory.told(now, peer, &answered, rows);
+        let news = asks.directory.answer_received(now, peer, &answered, rows);
         self.take_copies(now, out, &news);
         self.send_parcels(now, out);
     }
 
     /// A peer tells what was seen of functions that are held here, or for which this instance is the contact.
-    pub fn copies_sighted(&mut self, now: Time, out: &mut impl Outside, link: LinkId, mut rows: Vec<Seen>) {
+    pub fn observations_received(
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, mut rows: Vec<Observation>,
+    ) {
         let Some((peer, may)) = self.speaker(now, link, rows.len()) else { return };
         rows.truncate(may);
         self.reckon(now);
         let Some(asks) = &mut self.asks else { return };
-        let news = asks.directory.sighted(now, peer, rows);
+        let news = asks.directory.observations_received(now, peer, rows);
         self.take_copies(now, out, &news);
         self.send_parcels(now, out);
     }
@@ -386,13 +395,13 @@
     // Links.
 
     /// Tells that this instance takes part, before it tells who it is.
-    pub(super) fn tell_part(&mut self, now: Time, out: &mut impl Outside, link: LinkId) {
+    pub(super) fn tell_part(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
         let Some(asks) = &mut self.asks else { return };
         let own = asks.links.get(&link).is_some_and(|l| l.to.is_some());
         if own {
-            asks.directory.spent(JOIN + self.fleet.len() + self.name.len() + self.address.len());
+            asks.directory.charge(JOIN + self.fleet.len() + self.name.len() + self.address.len());
         }
-        out.directory(link, frames::part_frame(own, now - asks.began < STARTS));
+        out.send_directory_frame(link, frames::announce_frame(own, now - asks.began < STARTS));
     }
 
     /// A link for the directory alone has ended, or could not be opened; false: it is another.
@@ -400,8 +409,8 @@
         let Some(asks) = &mut self.asks else { return false };
         let Some(l) = asks.links.remove(&link) else { return false };
         match (l.to, l.peer) {
-            (_, Some(peer)) => asks.directory.lost(now, peer),
-            (Some(to), None) => asks.directory.missed(now, to),
+            (_, Some(peer)) => asks.directory.link_lost(now, peer),
+            (Some(to), None) => asks.directory.unreachable(now, to),
             (None, None) => {}
         }
         true
@@ -410,14 +419,14 @@
     /// A link of the rings has ended: what was asked over it goes to another.
     pub(super) fn ring_link_lost(&mut self, now: Time, peer: Option<MemberId>) {
         if let (Some(asks), Some(peer)) = (&mut self.asks, peer) {
-            asks.directory.lost(now, peer);
+            asks.directory.link_lost(now, peer);
         }
     }
 
     /// This instance stood still: what lies in these links may be old, and goes with them.
-    pub(super) fn drop_ask_links(&mut self, out: &mut impl Outside) {
+    pub(super) fn drop_ask_links(&mut self, out: &mut impl FleetDriver) {
         let Some(asks) = &mut self.asks else { return };
-        asks.directory.stood_still();
+        asks.directory.reset_after_stall();
         for link in std::mem::take(&mut asks.links).all.into_keys() {
             out.close(link);
         }
@@ -428,18 +437,18 @@
     /// Guards against what is seen in the moment after members met being told to those alone who were known before: nobody
     /// says it again. Harms nobody: how often is bounded by the number of members.
     pub(super) fn reckon(&mut self, now: Time) {
-        let (Some(asks), table) = (&mut self.asks, &self.table) else { return };
-        let pause = Time(RECKON_EACH.0 * table.len() as u64).min(TICK);
-        if asks.viewed == Some(table.digest()) || (asks.viewed.is_some() && now - asks.viewed_at < pause) {
+        let (Some(asks), members) = (&mut self.asks, &self.members) else { return };
+        let pause = Time(RECKON_EACH.0 * members.len() as u64).min(TICK);
+        if asks.viewed == Some(members.digest()) || (asks.viewed.is_some() && now - asks.viewed_at < pause) {
             return;
         }
-        (asks.viewed, asks.viewed_at) = (Some(table.digest()), now);
-        asks.directory.forget_strangers(|m| table.get(m).is_some_and(|m| m.standing.lives()));
-        asks.directory.members(self.me, table.living().map(|(id, _)| id));
+        (asks.viewed, asks.viewed_at) = (Some(members.digest()), now);
+        asks.directory.retain_non_participants(|m| members.get(m).is_some_and(|m| m.state.is_alive()));
+        asks.directory.update_members(self.me, members.alive().map(|(id, _)| id));
     }
 
     /// Looks at what time has changed.
-    pub(super) fn settle_asks(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn settle_asks(&mut self, now: Time, out: &mut impl FleetDriver) {
         self.reckon(now);
         let Some(asks) = &mut self.asks else { return };
         asks.directory.advance(now);
@@ -459,7 +468,7 @@
             asks.swept = now;
             asks.met.sweep(&self.links, &asks.links);
         }
-        for member in asks.directory.apart() {
+        for member in asks.directory.unlinked_members() {
             if !self.dial_to_ask(now, out, member) {
                 break;
             }
@@ -467,30 +476,30 @@
     }
 
     /// Sends what is due and the budget allows, and opens links to those for whom something waits.
-    pub(super) fn send_parcels(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn send_parcels(&mut self, now: Time, out: &mut impl FleetDriver) {
         let (Some(asks), of_rings) = (&mut self.asks, &self.links) else { return };
         if self.left {
             return;
         }
         let Asks { directory, links, met, .. } = asks;
-        let (parcels, unlinked) = directory.parcels(now, |m| met.link_to(of_rings, links, m).is_some());
+        let (parcels, unlinked) = directory.take_batches(now, |m| met.link_to(of_rings, links, m).is_some());
         for (to, parcel) in parcels {
             let Some(link) = met.link_to(of_rings, links, to) else { continue };
             if let Some(l) = links.get_mut(&link) {
                 l.used = now;
             }
             let mut send = |frame: Frame| {
-                directory.spent(HEAD_BYTES + frame.head().len());
-                out.directory(link, frame);
+                directory.charge(HEAD_BYTES + frame.head().len());
+                out.send_directory_frame(link, frame);
             };
             if !parcel.asked.is_empty() {
-                send(frames::ask_frame(&parcel.asked));
+                send(frames::copies_request_frame(&parcel.asked));
             }
             if !parcel.answered.is_empty() || !parcel.copies.is_empty() {
                 send(frames::copies_frame(now, &parcel.answered, &parcel.copies));
             }
-            if !parcel.sights.is_empty() {
-                send(frames::sights_frame(now, &parcel.sights));
+            if !parcel.observations.is_empty() {
+                send(frames::observations_frame(now, &parcel.observations));
             }
         }
         for member in unlinked {
@@ -499,12 +508,12 @@
     }
 
     /// Opens a link to a member for the directory alone; false: as many were opened as may be now.
-    fn dial_to_ask(&mut self, now: Time, out: &mut impl Outside, member: MemberId) -> bool {
+    fn dial_to_ask(&mut self, now: Time, out: &mut impl FleetDriver, member: MemberId) -> bool {
         let Some(asks) = &mut self.asks else { return false };
         if asks.links.opened.contains_key(&member) || asks.directory.is_avoided(now, member) {
             return true;
         }
-        let known = self.table.get(member).filter(|m| m.standing.lives()).map(|m| m.address.clone());
+        let known = self.members.get(member).filter(|m| m.state.is_alive()).map(|m| m.address.clone());
         let Some(address) = known else { return true };
         if asks.links.opened.len() >= ASK_LINKS {
             let idle = |l: &AskLink| l.to.is_some() && now - l.used >= ROOM;
--- a/crates/curlewpoint-fleet/src/fleet/beats.rs
+++ b/crates/curlewpoint-fleet/src/fleet/beats.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 impl Fleet {
-    pub(super) fn beat(&mut self, now: Time, out: &mut impl Outside, link: LinkId, answer: bool) {
-        let age = self.age(now);
-        let sure = self.number.is_sure() || self.links.values().any(|l| l.sure);
+    pub(super) fn beat(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, answer: bool) {
+        let age = self.list_age(now);
+        let sure = self.instance_count.is_confirmed() || self.links.values().any(|l| l.sure);
         let Some(l) = self.links.get_mut(&link).filter(|l| l.peer.is_some()) else { return };
         self.next_tag += 1;
         l.tags.push_back((self.next_tag, now));
@@ -13,13 +13,13 @@
             l.tags.pop_front();
         }
         l.beat_at = now;
-        let (digest, held) = (self.table.digest(), self.book.held());
-        out.beat(link, (self.next_tag, l.echo), digest, held, age, sure, answer);
+        let (digest, held) = (self.members.digest(), self.endpoints.held());
+        out.send_heartbeat(link, (self.next_tag, l.echo), digest, held, age, sure, answer);
     }
 
     /// A peer's beat.
-    pub fn beaten(
-        &mut self, now: Time, out: &mut impl Outside, link: LinkId, (tag, echo): (u64, u64), digest: u64,
+    pub fn heartbeat_received(
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, (tag, echo): (u64, u64), digest: u64,
         held: Option<(u64, u64)>, age: Option<Time>, sure: bool, answer: bool,
     ) {
         let Some(l) = self.links.get_mut(&link).filter(|l| l.peer.is_some()) else { return };
@@ -28,20 +28,20 @@
         let asked = l.tags.iter().find(|(t, _)| *t == echo).map(|(_, at)| *at);
         // It was written after my beat was read, so what it says held at that time or later, however long it lay.
         if let (Some(asked), Some(age)) = (asked, age) {
-            if held <= self.book.held() {
+            if held <= self.endpoints.held() {
                 self.fresh_at = self.fresh_at.max(Some(asked - age));
             }
         }
         // One that tells no age has not heard itself how old its list is. Guards against the word of one that stood still
         // as well. Harms where nobody knows: then the time for it runs out.
         l.answered |= age.is_some() && asked.is_some_and(|at| self.woke.is_some_and(|woke| at >= woke));
-        let (answered, behind, askable) = (l.answered, held > self.book.held(), l.ask_from <= now);
+        let (answered, behind, askable) = (l.answered, held > self.endpoints.held(), l.ask_from <= now);
         if !behind {
             self.has_none(link);
         }
         if behind && self.woke.is_some() && askable {
             // It sends nothing until it has heard: whoever answers first is the right one.
-            self.ask_list(now, out, link, self.book.held());
+            self.ask_list(now, out, link, self.endpoints.held());
         } else if behind {
             self.ask_next(now, out);
         }
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(super) fn awake(&mut self, out: &mut impl Outside, by: &str) {
+    pub(super) fn awake(&mut self, out: &mut impl FleetDriver, by: &str) {
         self.woke = None;
         out.log(&format!("fleet: going on after standing still: {by}"));
     }
@@ -71,7 +71,7 @@
     }
 
     /// Guards against judging others by one's own pause, and against going on with what was true before it.
-    pub(super) fn stood_still(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn stood_still(&mut self, now: Time, out: &mut impl FleetDriver) {
         let span = now - self.ticked;
         out.log(&format!("fleet: stood still for {:.0} ms", span.ms()));
         self.suspects.clear();
@@ -93,8 +93,8 @@
         if self.watching {
             // An answer to a question of before may lie in the connection; on a new one it cannot.
             self.service_down(now);
-            out.watch(false);
-            out.watch(true);
+            out.set_watching(false);
+            out.set_watching(true);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/links.rs
+++ b/crates/curlewpoint-fleet/src/fleet/links.rs
@@ -4,7 +4,7 @@
 
 impl Fleet {
     /// A link that was opened from here is up.
-    pub fn link_up(&mut self, now: Time, out: &mut impl Outside, link: LinkId) {
+    pub fn link_up(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
         if self.asks.as_ref().is_some_and(|a| a.links.contains_key(&link)) {
             return self.join(now, out, link);
         }
@@ -14,9 +14,9 @@
     }
 
     /// A peer has opened a link.
-    pub fn link_in(&mut self, now: Time, out: &mut impl Outside, link: LinkId) {
+    pub fn link_accepted(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
         let theirs = self.links.values().filter(|l| matches!(l.purpose, Purpose::Theirs)).count();
-        if theirs >= self.bounds.links {
+        if theirs >= self.limits.max_inbound_links {
             self.refusals += 1;
             return out.refuse(link, "as many peers are connected as are taken: try another");
         }
@@ -25,11 +25,11 @@
         self.join(now, out, link);
     }
 
-    pub(super) fn join(&mut self, now: Time, out: &mut impl Outside, link: LinkId) {
+    pub(super) fn join(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
         self.tell_part(now, out, link);
-        let known = self.table.len() as u64;
-        if let Some(me) = self.table.get(self.me) {
-            out.join(link, &self.fleet, self.me, me, known);
+        let known = self.members.len() as u64;
+        if let Some(me) = self.members.get(self.me) {
+            out.send_join(link, &self.fleet, self.me, me, known);
         }
         if known <= 1 && self.links.contains_key(&link) {
             self.begins_to_ask(now, link);
@@ -37,11 +37,11 @@
     }
 
     /// A link has ended, or could not be opened.
-    pub fn link_down(&mut self, now: Time, out: &mut impl Outside, link: LinkId) {
+    pub fn link_down(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
         if self.ask_link_down(now, link) {
             return;
         }
-        self.book.broke(link.0);
+        self.endpoints.abort(link.0);
         let Some(l) = self.links.remove(&link) else { return };
         self.ring_link_lost(now, l.peer);
         if matches!(l.purpose, Purpose::Meet) && l.peer.is_none() {
@@ -67,9 +67,9 @@
         u.retry_at = now + Time((pause.0 as f64 * (0.5 + 0.5 * chance)) as u64);
     }
 
-    pub(super) fn dial(&mut self, now: Time, out: &mut impl Outside, purpose: Purpose) {
+    pub(super) fn dial(&mut self, now: Time, out: &mut impl FleetDriver, purpose: Purpose) {
         let address = match &purpose {
-            Purpose::Ring(member) => self.table.get(*member).map(|m| m.address.clone()),
+            Purpose::Ring(member) => self.members.get(*member).map(|m| m.address.clone()),
             _ => self.someone(),
         };
         let Some(address) = address else { return };
@@ -94,9 +94,9 @@
 
     /// Where somebody may be whom this instance does not know as living: those given up, and peers to begin with.
     pub(super) fn unmet(&self) -> Vec<String> {
-        let living: BTreeSet<&str> = self.table.living().map(|(_, m)| m.address.as_str()).collect();
-        let dead = |m: &Member| m.standing.dead && !m.standing.left;
-        let dead = self.table.iter().filter(|(_, m)| dead(m)).map(|(_, m)| &m.address);
+        let living: BTreeSet<&str> = self.members.alive().map(|(_, m)| m.address.as_str()).collect();
+        let dead = |m: &Member| m.state.dead && !m.state.left;
+        let dead = self.members.iter().filter(|(_, m)| dead(m)).map(|(_, m)| &m.address);
         let all: BTreeSet<&String> =
             dead.chain(&self.peers).filter(|a| !living.contains(a.as_str())).collect();
         all.into_iter().cloned().collect()
@@ -122,16 +122,16 @@
         self.links.get_mut(&link).into_iter().for_each(|l| l.heard = now);
     }
 
-    pub(super) fn refuse(&mut self, out: &mut impl Outside, link: LinkId, why: &str) {
+    pub(super) fn refuse(&mut self, out: &mut impl FleetDriver, link: LinkId, why: &str) {
         self.refusals += 1;
         out.log(&format!("fleet: a peer is refused: {why}"));
-        self.book.broke(link.0);
+        self.endpoints.abort(link.0);
         self.links.remove(&link);
         self.asks.as_mut().and_then(|a| a.links.remove(&link));
         out.refuse(link, why);
     }
 
-    pub(super) fn give_up_links(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn give_up_links(&mut self, now: Time, out: &mut impl FleetDriver) {
         let silent = |l: &Link| l.up && now - l.heard >= SILENT;
         // One that met somebody whom no ring needs.
         let met = |l: &Link| matches!(l.purpose, Purpose::Meet) && l.up && now - l.since >= MET;
@@ -146,7 +146,7 @@
                 self.link_down(now, out, link);
             } else if joined > 1 {
                 out.close(link);
-                self.book.broke(link.0);
+                self.endpoints.abort(link.0);
                 self.links.remove(&link);
             }
         }
@@ -154,16 +154,16 @@
 
     /// Members that live and are not known to be out of reach from here.
     pub(super) fn heard_from(&self) -> impl Iterator<Item = MemberId> + '_ {
-        self.table.living().map(|(id, _)| id).filter(|id| !self.unheard.contains_key(id))
+        self.members.alive().map(|(id, _)| id).filter(|id| !self.unheard.contains_key(id))
     }
 
     /// Links to those whom this instance looks after, and to nobody else.
-    pub(super) fn settle_rings(&mut self, now: Time, out: &mut impl Outside) {
-        let by = (self.table.digest(), self.unheard.keys().copied().collect());
+    pub(super) fn settle_rings(&mut self, now: Time, out: &mut impl FleetDriver) {
+        let by = (self.members.digest(), self.unheard.keys().copied().collect());
         if by != self.wanted_by {
             let mut wanted = BTreeSet::new();
-            for ring in 0..RINGS {
-                wanted.extend(observed(ring, self.me, self.heard_from()));
+            for ring in 0..RING_COUNT {
+                wanted.extend(monitored_member(ring, self.me, self.heard_from()));
                 if ring + 1 == HINT_RINGS {
                     self.hinted.clone_from(&wanted);
                 }
@@ -191,7 +191,7 @@
         }
         for link in over {
             self.links.remove(&link);
-            self.book.broke(link.0);
+            self.endpoints.abort(link.0);
             out.close(link);
         }
         for member in wanted.difference(&linked).copied().collect::<Vec<_>>() {
@@ -200,9 +200,9 @@
     }
 
     /// Dials those anew that were not reached, and now and then somebody beyond.
-    pub(super) fn retry(&mut self, now: Time, out: &mut impl Outside) {
-        let table = &self.table;
-        self.unheard.retain(|id, _| table.get(*id).is_some_and(|m| m.standing.lives()));
+    pub(super) fn retry(&mut self, now: Time, out: &mut impl FleetDriver) {
+        let members = &self.members;
+        self.unheard.retain(|id, _| members.get(*id).is_some_and(|m| m.state.is_alive()));
         let due: Vec<MemberId> = self
             .unheard
             .iter_mut()
@@ -220,7 +220,7 @@
 
     /// Tries to meet somebody: at the start the peers to begin with, one after the other; later those who were given up
     /// and may be behind a cut; and while all is well, now and then, one of the peers.
-    pub(super) fn reach_out(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn reach_out(&mut self, now: Time, out: &mut impl FleetDriver) {
         if self.links.values().any(|l| matches!(l.purpose, Purpose::Meet) && l.peer.is_none()) {
             return;
         }
--- a/crates/curlewpoint-fleet/src/fleet/list.rs
+++ b/crates/curlewpoint-fleet/src/fleet/list.rs
@@ -1,6 +1,6 @@
 //! The list: what an earlier run has left on disk, and what goes from peer to peer.
 
-use std::collections::btree_map::Entry as Place;
+use std::collections::btree_map::Entry as MapEntry;
 use std::ops::Bound;
 use std::sync::Arc;
 
@@ -41,7 +41,7 @@
 
 struct Told {
     version: (u64, u64),
-    rows: Arc<BTreeMap<String, Entry>>,
+    rows: Arc<BTreeMap<String, EndpointEntry>>,
     /// The last row that it was told.
     after: String,
 }
@@ -66,27 +66,27 @@
 }
 
 /// Tells rows, in as few frames as the peer reads.
-fn tell_rows(out: &mut impl Outside, link: LinkId, many: bool, rows: &[(&str, &Entry)]) {
+fn tell_rows(out: &mut impl FleetDriver, link: LinkId, many: bool, rows: &[(&str, &EndpointEntry)]) {
     if !many || rows.len() == 1 {
-        return rows.iter().for_each(|(name, entry)| out.list_row(link, name, entry));
+        return rows.iter().for_each(|(name, entry)| out.send_list_entry(link, name, entry));
     }
     let (mut from, mut size) = (0, 0);
     for (no, (name, entry)) in rows.iter().enumerate() {
         let row = row_size(name, entry);
         if no > from && size + row > FRAME {
-            out.list_rows(link, &rows[from..no]);
+            out.send_list_entries(link, &rows[from..no]);
             (from, size) = (no, 0);
         }
         size += row;
     }
     if from < rows.len() {
-        out.list_rows(link, &rows[from..]);
+        out.send_list_entries(link, &rows[from..]);
     }
 }
 
 impl Fleet {
     /// Somebody lived there.
-    pub fn remember(&mut self, address: &str) {
+    pub fn remember_peer(&mut self, address: &str) {
         if self.peers.len() < REMEMBERED
             && address != self.address
             && !self.peers.iter().any(|p| p == address)
@@ -96,27 +96,27 @@
     }
 
     /// The list that was held begins.
-    pub fn remember_list(&mut self, now: Time, epoch: u64, version: u64) {
-        self.book.begins(DISK, epoch, version, None);
+    pub fn restore_list(&mut self, now: Time, epoch: u64, version: u64) {
+        self.endpoints.begin(DISK, epoch, version, None);
         self.remembered_at = Some(now + REMEMBER_AFTER);
     }
 
-    pub fn remember_row(&mut self, name: &str, entry: Entry) {
-        self.book.row(DISK, name, entry);
+    pub fn restore_entry(&mut self, name: &str, entry: EndpointEntry) {
+        self.endpoints.push_entry(DISK, name, entry);
     }
 
     /// Guards against a start while neither list service nor peers can be reached: what was held before is better than
     /// nothing. Harms where workers were replaced meanwhile: attempts to them fail to connect, which proves that they
     /// never ran. A drain that was not heard of cannot be known; the first list that anybody tells replaces it.
-    pub(super) fn use_remembered(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn use_remembered(&mut self, now: Time, out: &mut impl FleetDriver) {
         if self.remembered_at.is_none_or(|at| now < at) {
             return;
         }
         self.remembered_at = None;
-        if self.book.ends(DISK, Source::Disk) == Taken::New(None) {
+        if self.endpoints.finish(DISK, ListSource::Snapshot) == ListOutcome::Accepted(None) {
             out.log(&format!(
                 "fleet: nobody told a list: that of the snapshot is used, {} workers",
-                self.book.len()
+                self.endpoints.len()
             ));
             self.hand_over(out, None, None);
         }
@@ -125,12 +125,14 @@
     // Telling a list.
 
     /// A peer says that it reads rows of a list many to a frame.
-    pub fn reads_rows(&mut self, link: LinkId) {
+    pub fn peer_reads_list_rows(&mut self, link: LinkId) {
         self.links.get_mut(&link).into_iter().for_each(|l| l.reads_rows = true);
     }
 
     /// A peer asks for the list.
-    pub fn list_asked(&mut self, now: Time, out: &mut impl Outside, link: LinkId, held: Option<(u64, u64)>) {
+    pub fn list_requested(
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
+    ) {
         self.heard(now, link);
         if self.links.get(&link).is_none_or(|l| l.peer.is_none()) {
             return;
@@ -144,27 +146,27 @@
 
     /// Tells a peer what is newer than what it holds: changes at once, the whole in its turn.
     pub(super) fn tell_list(
-        &mut self, now: Time, out: &mut impl Outside, link: LinkId, held: Option<(u64, u64)>,
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
     ) {
-        let Some(version) = self.book.held().filter(|v| held.is_none_or(|h| h < *v)) else { return };
-        if !self.book.knows_since(held) {
+        let Some(version) = self.endpoints.held().filter(|v| held.is_none_or(|h| h < *v)) else { return };
+        if !self.endpoints.has_changes_since(held) {
             let no = self.tellings.values().map(|t| t.no + 1).max().unwrap_or(0);
-            if let Place::Vacant(place) = self.tellings.entry(link) {
-                place.insert(Telling { no, told: None, awaits: None });
+            if let MapEntry::Vacant(slot) = self.tellings.entry(link) {
+                slot.insert(Telling { no, told: None, awaits: None });
             }
             return self.tell_on(now, out);
         }
         let Some(l) = self.links.get_mut(&link) else { return };
         l.held = Some(version);
-        out.list_begins(link, version, held.map(|(_, v)| v));
-        tell_rows(out, link, l.reads_rows, &self.book.since(held));
-        out.list_ends(link);
+        out.send_list_begin(link, version, held.map(|(_, v)| v));
+        tell_rows(out, link, l.reads_rows, &self.endpoints.entries_since(held));
+        out.send_list_end(link);
     }
 
     /// A peer has a list: if it is no older than the one that it is being told, that is told no further.
     fn has_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
         let Some(t) = self.tellings.get(&link) else { return };
-        let version = t.told.as_ref().map(|t| t.version).or(self.book.held());
+        let version = t.told.as_ref().map(|t| t.version).or(self.endpoints.held());
         if held >= version {
             self.tellings.remove(&link);
         }
@@ -172,7 +174,7 @@
 
     /// A peer's beat tells what it has read and what it holds.
     pub(super) fn telling_read(
-        &mut self, now: Time, out: &mut impl Outside, link: LinkId, echo: u64, held: Option<(u64, u64)>,
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, echo: u64, held: Option<(u64, u64)>,
     ) {
         self.has_list(link, held);
         if let Some(t) = self.tellings.get_mut(&link) {
@@ -193,7 +195,7 @@
     /// Goes on telling whole lists, as far as peers read and the budget goes.
     ///
     /// Guards against a list that overruns a link: it would be cut and dialled anew without end. Harms nobody who reads.
-    fn tell_on(&mut self, now: Time, out: &mut impl Outside) {
+    fn tell_on(&mut self, now: Time, out: &mut impl FleetDriver) {
         let links = &self.links;
         self.tellings.retain(|link, _| links.contains_key(link));
         while self.list_budget.has(now) {
@@ -202,12 +204,12 @@
         }
     }
 
-    fn tell_list_part(&mut self, now: Time, out: &mut impl Outside, link: LinkId) {
+    fn tell_list_part(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
         let (Some(t), Some(l)) = (self.tellings.get_mut(&link), self.links.get_mut(&link)) else { return };
         let told = t.told.get_or_insert_with(|| {
-            let version = self.book.held().unwrap_or_default();
-            out.list_begins(link, version, None);
-            Told { version, rows: self.book.whole(), after: String::new() }
+            let version = self.endpoints.held().unwrap_or_default();
+            out.send_list_begin(link, version, None);
+            Told { version, rows: self.endpoints.entries(), after: String::new() }
         });
         let mut size = 0;
         let from =
@@ -229,7 +231,7 @@
             self.tellings.get_mut(&link).into_iter().for_each(|t| t.awaits = awaits);
             return;
         }
-        out.list_ends(link);
+        out.send_list_end(link);
         let version = Some(told.version);
         l.held = version;
         self.tellings.remove(&link);
@@ -238,7 +240,7 @@
     }
 
     /// Time has passed: goes on with lists that are told, and with the one that is on its way here.
-    pub(super) fn settle_list(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn settle_list(&mut self, now: Time, out: &mut impl FleetDriver) {
         self.tell_on(now, out);
         self.ask_next(now, out);
     }
@@ -246,11 +248,11 @@
     // Being told a list.
 
     pub(super) fn ask_list(
-        &mut self, now: Time, out: &mut impl Outside, link: LinkId, held: Option<(u64, u64)>,
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
     ) {
         if self.links.contains_key(&link) {
             self.awaits(now, link);
-            out.ask_list(link, held);
+            out.request_list(link, held);
         }
     }
 
@@ -265,7 +267,7 @@
 
     /// One that says that it knows nobody is told a list unasked, if the peer has one.
     pub(super) fn begins_to_ask(&mut self, now: Time, link: LinkId) {
-        if self.book.held().is_none() && !self.is_coming(now) {
+        if self.endpoints.held().is_none() && !self.is_coming(now) {
             self.awaits(now, link);
         }
     }
@@ -296,11 +298,11 @@
     ///
     /// Guards against being told a list as often as there are peers. Harms where the one asked stands still: the next is
     /// asked half a second and a tick later.
-    pub(super) fn ask_next(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn ask_next(&mut self, now: Time, out: &mut impl FleetDriver) {
         if self.is_coming(now) {
             return;
         }
-        let held = self.book.held();
+        let held = self.endpoints.held();
         let knows = |l: &Link| l.peer.is_some() && l.held > held && l.ask_from <= now;
         let who = self.links.iter().filter(|(_, l)| knows(l));
         let who = who.min_by_key(|(_, l)| (l.ask_from, std::cmp::Reverse(l.held))).map(|(link, _)| *link);
@@ -317,39 +319,39 @@
         }
     }
 
-    pub fn list_begins(
+    pub fn list_begin_received(
         &mut self, now: Time, on: Option<LinkId>, epoch: u64, version: u64, from: Option<u64>,
     ) {
-        self.book.begins(on.map_or(SERVICE, |l| l.0), epoch, version, from);
+        self.endpoints.begin(on.map_or(SERVICE, |l| l.0), epoch, version, from);
         self.comes(now, on);
     }
 
-    pub fn list_row(&mut self, now: Time, on: Option<LinkId>, name: &str, entry: Entry) {
-        self.book.row(on.map_or(SERVICE, |l| l.0), name, entry);
+    pub fn list_entry_received(&mut self, now: Time, on: Option<LinkId>, name: &str, entry: EndpointEntry) {
+        self.endpoints.push_entry(on.map_or(SERVICE, |l| l.0), name, entry);
         self.comes(now, on);
     }
 
     /// A list has come to its end, from a peer or (none) from the list service.
-    pub fn list_ends(&mut self, now: Time, out: &mut impl Outside, on: Option<LinkId>) {
+    pub fn list_end_received(&mut self, now: Time, out: &mut impl FleetDriver, on: Option<LinkId>) {
         if on.is_some() && self.coming.as_ref().is_some_and(|c| Some(c.link) == on) {
             self.coming = None;
         }
         let (on_book, by) = match on {
-            None => (SERVICE, Some(Source::Service)),
+            None => (SERVICE, Some(ListSource::Service)),
             Some(link) => {
                 self.heard(now, link);
-                (link.0, self.links.get(&link).and_then(|l| l.peer).map(|p| Source::Peer(p.instance)))
+                (link.0, self.links.get(&link).and_then(|l| l.peer).map(|p| ListSource::Peer(p.instance)))
             }
         };
-        let Some(by) = by else { return self.book.broke(on_book) };
-        let before = self.book.held();
-        let taken = self.book.ends(on_book, by);
+        let Some(by) = by else { return self.endpoints.abort(on_book) };
+        let before = self.endpoints.held();
+        let taken = self.endpoints.finish(on_book, by);
         if on.is_none() {
             self.service_told(now, out, taken);
         }
         match taken {
-            Taken::New(from) => {
-                let version = self.book.held().expect("just taken");
+            ListOutcome::Accepted(from) => {
+                let version = self.endpoints.held().expect("just taken");
                 // Another peer has vouched for it meanwhile.
                 self.look_at = self.look_at.filter(|(_, of)| *of > version);
                 self.hand_over(out, from, before);
@@ -359,12 +361,12 @@
                     self.awake(out, "the newest list has come");
                 }
             }
-            Taken::Gap => match on {
+            ListOutcome::Gap => match on {
                 Some(link) => self.ask_list(now, out, link, before),
-                None => out.ask_service(None),
+                None => out.request_service_list(None),
             },
-            Taken::Unvouched(epoch, version) => {
-                let most = LOOK_EACH.0 as f64 * self.table.living().count() as f64;
+            ListOutcome::Unconfirmed(epoch, version) => {
+                let most = LOOK_EACH.0 as f64 * self.members.alive().count() as f64;
                 let wait = OWN_LOOK + Time((most * self.rng.rand_float()) as u64);
                 let (_, of) = self.look_at.get_or_insert((now + wait, (epoch, version)));
                 *of = (*of).max((epoch, version));
@@ -373,23 +375,25 @@
                 let l = on.and_then(|link| self.links.get_mut(&link));
                 l.into_iter().for_each(|l| l.ask_from = now + VOUCH_AGAIN);
             }
-            Taken::Old | Taken::Stray => {}
+            ListOutcome::NotNewer | ListOutcome::Discarded => {}
         }
         self.ask_next(now, out);
     }
 
     /// Other whole lists that were on their way are not wanted any more: who tells them hears what is held.
-    fn stop_late(&mut self, out: &mut impl Outside) {
-        let late = self.book.late().into_iter().filter(|on| self.links.contains_key(&LinkId(*on)));
+    fn stop_late(&mut self, out: &mut impl FleetDriver) {
+        let late = self.endpoints.superseded().into_iter().filter(|on| self.links.contains_key(&LinkId(*on)));
         for on in late.collect::<Vec<_>>() {
-            self.book.broke(on);
-            out.ask_list(LinkId(on), self.book.held());
+            self.endpoints.abort(on);
+            out.request_list(LinkId(on), self.endpoints.held());
         }
     }
 
     /// As records: one way round the rings. Whoever needs the whole hears that there is one, and asks for it; and whoever
     /// is left behind by a cut asks at the next beat.
-    fn spread_list(&mut self, now: Time, out: &mut impl Outside, from: Option<LinkId>, version: (u64, u64)) {
+    fn spread_list(
+        &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, version: (u64, u64),
+    ) {
         let theirs = |l: &Link| matches!(l.purpose, Purpose::Theirs);
         let behind = |l: &Link| l.peer.is_some() && !theirs(l) && l.held.is_none_or(|h| h < version);
         let on = |(id, l): &(&LinkId, &Link)| Some(**id) != from && behind(l);
@@ -401,7 +405,7 @@
             let held = self.links[&link].held;
             if self.tellings.contains_key(&link) {
                 // It is told the rest behind the whole.
-            } else if self.book.knows_since(held) {
+            } else if self.endpoints.has_changes_since(held) {
                 self.tell_list(now, out, link, held);
             } else {
                 self.beat(now, out, link, false);
@@ -410,12 +414,14 @@
     }
 
     /// Hands the list that was just taken to the scheduler: the changes since `before`, or the whole.
-    pub(super) fn hand_over(&self, out: &mut impl Outside, from: Option<u64>, before: Option<(u64, u64)>) {
-        let Some(version) = self.book.held() else { return };
-        out.take_begins(version, from.and(before).map(|(_, v)| v));
-        for (name, entry) in self.book.since(from.and(before)) {
-            out.take_row(name, entry);
+    pub(super) fn hand_over(
+        &self, out: &mut impl FleetDriver, from: Option<u64>, before: Option<(u64, u64)>,
+    ) {
+        let Some(version) = self.endpoints.held() else { return };
+        out.deliver_list_begin(version, from.and(before).map(|(_, v)| v));
+        for (name, entry) in self.endpoints.entries_since(from.and(before)) {
+            out.deliver_list_entry(name, entry);
         }
-        out.take_ends();
+        out.deliver_list_end();
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/service.rs
+++ b/crates/curlewpoint-fleet/src/fleet/service.rs
@@ -6,12 +6,12 @@
     /// The list service has told a list. What it says when asked has no mark that tells it from what it says on its own,
     /// but only an answer can hold nothing new: that one counts, from the moment at which it was asked for. Guards against
     /// taking what has lain in a socket for what holds now.
-    pub(super) fn service_told(&mut self, now: Time, out: &mut impl Outside, taken: Taken) {
+    pub(super) fn service_told(&mut self, now: Time, out: &mut impl FleetDriver, taken: ListOutcome) {
         self.answered_service = now;
         // Whatever a peer said, this is the truth.
         self.look_at = None;
         match (taken, self.asked_service) {
-            (Taken::Old, Some(asked)) => {
+            (ListOutcome::NotNewer, Some(asked)) => {
                 self.asked_service = None;
                 self.fresh_at = self.fresh_at.max(Some(asked));
                 if self.woke.is_some_and(|woke| asked >= woke) {
@@ -19,17 +19,17 @@
                 }
             }
             // It may have been the answer: once more, that one with nothing new comes.
-            (Taken::New(_), Some(_)) => out.ask_service(self.book.held()),
+            (ListOutcome::Accepted(_), Some(_)) => out.request_service_list(self.endpoints.held()),
             _ => {}
         }
         self.see(now, out, true);
     }
 
     /// Whether this instance reaches the list service; it says so when that changes.
-    pub(super) fn see(&mut self, now: Time, out: &mut impl Outside, sees: bool) {
-        let mine = self.table.get(self.me).map(|m| m.standing).unwrap_or_default();
-        if mine.blind == sees {
-            let age = self.age(now).map_or(-1.0, Time::ms);
+    pub(super) fn see(&mut self, now: Time, out: &mut impl FleetDriver, sees: bool) {
+        let mine = self.members.get(self.me).map(|m| m.state).unwrap_or_default();
+        if mine.list_service_lost == sees {
+            let age = self.list_age(now).map_or(-1.0, Time::ms);
             out.log(&format!(
                 "fleet: the list service is {}, list {age:.0} ms old",
                 if sees { "seen" } else { "not seen" }
@@ -37,7 +37,13 @@
             self.speak(
                 now,
                 out,
-                Standing { incarnation: mine.incarnation + 1, blind: !sees, dead: false, doubts: 0, ..mine },
+                MemberState {
+                    incarnation: mine.incarnation + 1,
+                    list_service_lost: !sees,
+                    dead: false,
+                    suspicions: 0,
+                    ..mine
+                },
             );
         }
         if !sees {
@@ -45,18 +51,18 @@
         }
     }
 
-    pub fn service_up(&mut self, now: Time, out: &mut impl Outside) {
+    pub fn service_up(&mut self, now: Time, out: &mut impl FleetDriver) {
         self.service = Some(now);
         self.ask_service(now, out);
     }
 
-    pub(super) fn ask_service(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn ask_service(&mut self, now: Time, out: &mut impl FleetDriver) {
         self.asked_service = Some(now);
-        out.ask_service(self.book.held());
+        out.request_service_list(self.endpoints.held());
     }
 
     pub fn service_down(&mut self, now: Time) {
-        self.book.broke(SERVICE);
+        self.endpoints.abort(SERVICE);
         (self.service, self.asked_service, self.service_tried) = (None, None, now);
     }
 
@@ -72,12 +78,12 @@
         if linked.is_none_or(|at| now < at) {
             return false;
         }
-        let blind = self.table.get(self.me).is_some_and(|m| m.standing.blind);
+        let blind = self.members.get(self.me).is_some_and(|m| m.state.list_service_lost);
         let doubts = self.look_at.is_some_and(|(at, _)| now >= at);
         (doubts || self.first(!blind).contains(&self.me)) && (!blind || now >= self.try_again)
     }
 
-    pub(super) fn settle_watch(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn settle_watch(&mut self, now: Time, out: &mut impl FleetDriver) {
         let asked = !self.left && self.is_asked_to_watch(now);
         if asked {
             self.unasked_since = None;
@@ -86,12 +92,12 @@
         if asked && !self.watching {
             (self.watching, self.service_tried) = (true, now);
             out.log("fleet: watching the list from here on");
-            out.watch(true);
+            out.set_watching(true);
         } else if self.watching && (over || self.left) {
             self.watching = false;
             self.service_down(now);
             out.log("fleet: others watch the list from here on");
-            out.watch(false);
+            out.set_watching(false);
         }
         if !self.watching {
             return;
@@ -103,7 +109,7 @@
             if peers {
                 self.watching = false;
                 self.service_down(now);
-                out.watch(false);
+                out.set_watching(false);
             } else {
                 // Nobody else can tell: it goes on trying, and is said once.
                 (self.service_tried, self.asked_service) = (now, self.asked_service.and(Some(now)));
--- a/crates/curlewpoint-fleet/src/fleet/sights.rs
+++ b/crates/curlewpoint-fleet/src/fleet/sights.rs
@@ -11,53 +11,57 @@
 const WAYS: Time = Time(5_000);
 
 /// Whether what the scheduler here was told by one way tells it the same as what has come by the other.
-fn is_told(known: Option<&Seen>, s: &Seen) -> bool {
-    known.is_some_and(|k| (k.hint, k.held) == (s.hint, s.held) && s.at < k.at + WAYS)
+fn is_told(known: Option<&Observation>, s: &Observation) -> bool {
+    known.is_some_and(|k| {
+        (k.hint, k.held_rpcs) == (s.hint, s.held_rpcs) && s.observed_at < k.observed_at + WAYS
+    })
 }
 
 impl Fleet {
     /// Takes for the scheduler here what came over the directory, unless it has come round a ring.
-    pub(super) fn take_copies(&self, now: Time, out: &mut impl Outside, rows: &[Seen]) {
+    pub(super) fn take_copies(&self, now: Time, out: &mut impl FleetDriver, rows: &[Observation]) {
         for s in rows.iter().filter(|s| !is_told(self.hints.get(s.worker, s.function), s)) {
-            out.take_hint(s.worker, s.function, s.hint, s.held, now - s.at);
+            out.deliver_hint(s.worker, s.function, s.hint, s.held_rpcs, now - s.observed_at);
         }
     }
 
     /// The scheduler here has seen something; others are told where it is news.
-    pub fn saw(
-        &mut self, now: Time, out: &mut impl Outside, worker: WorkerId, function: FunctionId, hint: Hint,
+    pub fn observe(
+        &mut self, now: Time, out: &mut impl FleetDriver, worker: WorkerId, function: FunctionId, hint: Hint,
         held: u64,
     ) {
-        if !self.bounds.hinted {
+        if !self.limits.exchange_hints {
             return;
         }
         self.reckon(now);
         let news = self.hints.is_news(now, worker, function, hint, held);
         let changed = self.hints.get(worker, function).is_none_or(|k| k.hint != hint);
         let Some(asks) = &mut self.asks else {
-            if let Some(seen) = self.hints.saw(now, self.me.run, worker, function, hint, held) {
+            if let Some(seen) = self.hints.observe(now, self.me.run, worker, function, hint, held) {
                 self.spread_hints(now, out, None, &[seen]);
             }
             return;
         };
-        if !asks.directory.spreads() {
-            asks.directory.saw(now, worker, function, hint, held);
+        if !asks.directory.gossips() {
+            asks.directory.observe(now, worker, function, hint, held);
             return self.send_parcels(now, out);
         }
         if !news {
             // Whoever told it has told those who hold it.
             return;
         }
-        asks.directory.saw(now, worker, function, hint, held);
+        asks.directory.observe(now, worker, function, hint, held);
         self.send_parcels(now, out);
-        match self.hints.saw(now, self.me.run, worker, function, hint, held) {
+        match self.hints.observe(now, self.me.run, worker, function, hint, held) {
             Some(seen) => self.spread_in_budget(now, out, None, &[(Rank::of(&seen, changed, true), seen)]),
-            None => self.asks.iter_mut().for_each(|a| a.directory.not_spread(1)),
+            None => self.asks.iter_mut().for_each(|a| a.directory.count_not_gossiped(1)),
         }
     }
 
     /// A peer tells what some instances have seen.
-    pub fn hinted(&mut self, now: Time, out: &mut impl Outside, link: LinkId, all: Vec<Seen>) {
+    pub fn hints_received(
+        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, all: Vec<Observation>,
+    ) {
         if self.links.get(&link).is_none_or(|l| l.peer.is_none()) {
             return;
         }
@@ -65,23 +69,23 @@
         let mut new = Vec::new();
         for s in all.into_iter().filter(|s| s.run != self.me.run) {
             let changed = self.hints.get(s.worker, s.function).is_none_or(|k| k.hint != s.hint);
-            if self.hints.told(now, s) {
+            if self.hints.receive(now, s) {
                 new.push((Rank::of(&s, changed, false), s));
             }
         }
         for (_, s) in &new {
             let copy = self.asks.as_mut().and_then(|a| {
-                a.directory.heard_round(now, s);
+                a.directory.gossip_received(now, s);
                 a.directory.copy(s.function, s.worker)
             });
-            if self.bounds.hinted && !is_told(copy, s) {
-                out.take_hint(s.worker, s.function, s.hint, s.held, now - s.at);
+            if self.limits.exchange_hints && !is_told(copy, s) {
+                out.deliver_hint(s.worker, s.function, s.hint, s.held_rpcs, now - s.observed_at);
             }
         }
         if self.asks.is_some() {
             return self.spread_in_budget(now, out, Some(link), &new);
         }
-        let new: Vec<Seen> = new.into_iter().map(|(_, s)| s).collect();
+        let new: Vec<Observation> = new.into_iter().map(|(_, s)| s).collect();
         self.spread_hints(now, out, Some(link), &new);
     }
 
@@ -92,7 +96,9 @@
         self.links.iter().filter(on).map(|(id, _)| *id).collect()
     }
 
-    fn spread_hints(&mut self, now: Time, out: &mut impl Outside, from: Option<LinkId>, new: &[Seen]) {
+    fn spread_hints(
+        &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, new: &[Observation],
+    ) {
         for link in self.onward(from) {
             let l = self.links.get_mut(&link).expect("just listed");
             new.iter().for_each(|seen| l.hints.push(*seen));
@@ -103,34 +109,34 @@
     }
 
     /// What waits on a link leaves; where a directory is kept it waits on, for room.
-    pub(super) fn flush_hints(&mut self, now: Time, out: &mut impl Outside, link: LinkId) {
+    pub(super) fn flush_hints(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
         let Some(l) = self.links.get_mut(&link).filter(|l| !l.hints.is_empty()) else { return };
         let Some(asks) = &mut self.asks else {
             l.hinted_at = now;
-            return out.hints(link, &l.hints.take());
+            return out.send_hints(link, &l.hints.take());
         };
-        if !asks.directory.spreads() {
+        if !asks.directory.gossips() {
             return drop(l.hints.take());
         }
         // All that is known, for one that has just started.
         let round = asks.rounds.entry(link).or_default();
         while !l.hints.is_empty() {
             for seen in l.hints.take() {
-                asks.directory.not_spread(round.push(now, Rank::of(&seen, true, false), seen));
+                asks.directory.count_not_gossiped(round.push(now, Rank::of(&seen, true, false), seen));
             }
         }
     }
 
     /// Rows go on round the rings, as far as the directory leaves room.
     fn spread_in_budget(
-        &mut self, now: Time, out: &mut impl Outside, from: Option<LinkId>, new: &[(Rank, Seen)],
+        &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, new: &[(Rank, Observation)],
     ) {
         let to = self.onward(from);
-        let Some(asks) = self.asks.as_mut().filter(|a| a.directory.spreads()) else { return };
+        let Some(asks) = self.asks.as_mut().filter(|a| a.directory.gossips()) else { return };
         for link in to {
             let round = asks.rounds.entry(link).or_default();
             for (rank, seen) in new {
-                asks.directory.not_spread(round.push(now, *rank, *seen));
+                asks.directory.count_not_gossiped(round.push(now, *rank, *seen));
             }
         }
         self.send_rounds(now, out);
@@ -138,7 +144,7 @@
 
     /// What waits to go round the rings leaves, once in a while, as far as the directory leaves room: to neighbours that take
     /// no part first, for they hear of it by no other way; then to all in equal parts.
-    pub(super) fn send_rounds(&mut self, now: Time, out: &mut impl Outside) {
+    pub(super) fn send_rounds(&mut self, now: Time, out: &mut impl FleetDriver) {
         let (Some(asks), links) = (&mut self.asks, &self.links) else { return };
         if asks.rounds.is_empty() || self.left || now - asks.rounded < TICK {
             return;
@@ -147,7 +153,7 @@
         asks.rounds.retain(|link, round| !round.is_empty() && links.contains_key(link));
         let mut to: Vec<LinkId> = asks.rounds.keys().copied().collect();
         to.sort_by_key(|link| links.get(link).is_some_and(|l| l.takes));
-        let mut spare = asks.directory.spare(now);
+        let mut spare = asks.directory.gossip_allowance(now);
         let mut left = to.len();
         for link in to {
             let takes = links.get(&link).is_some_and(|l| l.takes);
@@ -155,15 +161,15 @@
             left -= 1;
             let Some(round) = asks.rounds.get_mut(&link) else { continue };
             let (rows, left_out) = round.take(now, share);
-            asks.directory.not_spread(left_out);
+            asks.directory.count_not_gossiped(left_out);
             if rows.is_empty() {
                 continue;
             }
             let frame = hints_frame(now, &rows);
             let bytes = HEAD_BYTES + frame.head().len();
-            asks.directory.spent(bytes);
+            asks.directory.charge(bytes);
             spare = spare.saturating_sub(bytes);
-            out.directory(link, frame);
+            out.send_directory_frame(link, frame);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/hints.rs
+++ b/crates/curlewpoint-fleet/src/hints.rs
@@ -6,17 +6,17 @@
 
 /// What some instance has seen of a function at a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Observation {
     pub worker: WorkerId,
     pub function: FunctionId,
     pub hint: Hint,
     /// RPCs of the function that were there.
-    pub held: u64,
+    pub held_rpcs: u64,
     /// When it was seen, on the clock here; the time on links is not counted in, some milliseconds each.
-    pub at: Time,
+    pub observed_at: Time,
     /// Who saw it, and its number for it: one run counts up.
     pub run: Run,
-    pub no: u64,
+    pub seq: u64,
 }
 
 /// The same again is told no sooner than this; what has changed, but for a copy that has come up, no sooner than the
@@ -59,10 +59,10 @@
 ///
 /// The later sight holds, whoever tells it and however often: any order, grouping and repeats end alike. What has come
 /// from a run before is known by its number, for the ages of two copies of one row differ by what their ways took.
-pub struct Hints {
+pub struct HintTable {
     keep: Time,
     most: usize,
-    all: BTreeMap<(WorkerId, FunctionId), Seen>,
+    all: BTreeMap<(WorkerId, FunctionId), Observation>,
     /// The numbers that came from each run, and when the last of them did.
     heard: BTreeMap<Run, (Numbers, Time)>,
     next: u64,
@@ -70,11 +70,11 @@
     swept: Time,
 }
 
-impl Hints {
+impl HintTable {
     /// What is older than `keep` is forgotten; `most`: rows that are kept.
-    pub fn new(now: Time, keep: Time, most: usize) -> Hints {
+    pub fn new(now: Time, keep: Time, most: usize) -> HintTable {
         let (all, heard) = Default::default();
-        Hints { keep, most, all, heard, next: 0, may: (BURST, now), swept: now }
+        HintTable { keep, most, all, heard, next: 0, may: (BURST, now), swept: now }
     }
 
     pub fn len(&self) -> usize {
@@ -86,14 +86,14 @@
     }
 
     /// What a newcomer is told, each run's in its order: nothing that it hears later from that run is taken for old.
-    pub fn whole(&self) -> Vec<Seen> {
-        let mut all: Vec<Seen> = self.all.values().copied().collect();
-        all.sort_by_key(|s| (s.run, s.no));
+    pub fn ordered(&self) -> Vec<Observation> {
+        let mut all: Vec<Observation> = self.all.values().copied().collect();
+        all.sort_by_key(|s| (s.run, s.seq));
         all
     }
 
     /// The latest of a function at a worker.
-    pub fn get(&self, worker: WorkerId, function: FunctionId) -> Option<&Seen> {
+    pub fn get(&self, worker: WorkerId, function: FunctionId) -> Option<&Observation> {
         self.all.get(&(worker, function))
     }
 
@@ -101,16 +101,16 @@
     pub fn is_news(&self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) -> bool {
         // That nothing is there is news only to those who think that something is.
         self.get(worker, function).map_or(hint != Hint::Gone, |k| {
-            let (age, far) = (now - k.at, held.abs_diff(k.held) >= 2 + k.held / 2);
+            let (age, far) = (now - k.observed_at, held.abs_diff(k.held_rpcs) >= 2 + k.held_rpcs / 2);
             let differs = k.hint != hint && (hint == Hint::Warm || age >= MOVED);
             differs || age >= AGAIN || (far && age >= MOVED)
         })
     }
 
     /// This instance has seen something; the row, if others are to be told.
-    pub fn saw(
+    pub fn observe(
         &mut self, now: Time, run: Run, worker: WorkerId, function: FunctionId, hint: Hint, held: u64,
-    ) -> Option<Seen> {
+    ) -> Option<Observation> {
         let news = self.is_news(now, worker, function, hint, held);
         let (left, since) = self.may;
         self.may = ((left + RATE * (now - since).ms() / 1000.0).min(BURST), now);
@@ -119,13 +119,14 @@
         }
         self.may.0 -= 1.0;
         self.next += 1;
-        let seen = Seen { worker, function, hint, held, at: now, run, no: self.next };
+        let seen =
+            Observation { worker, function, hint, held_rpcs: held, observed_at: now, run, seq: self.next };
         self.put(seen).then_some(seen)
     }
 
     /// A peer tells what somebody has seen; whether it is new here, and to be handed on.
-    pub fn told(&mut self, now: Time, seen: Seen) -> bool {
-        if now - seen.at >= self.keep {
+    pub fn receive(&mut self, now: Time, seen: Observation) -> bool {
+        if now - seen.observed_at >= self.keep {
             return false;
         }
         if self.heard.len() >= self.most && !self.heard.contains_key(&seen.run) {
@@ -133,16 +134,16 @@
         }
         // Where there is little room the newest go first, so the earlier may come behind them.
         let (numbers, at) = self.heard.entry(seen.run).or_default();
-        if !numbers.add(seen.no) {
+        if !numbers.add(seen.seq) {
             return false;
         }
         *at = now;
         self.put(seen)
     }
 
-    fn put(&mut self, seen: Seen) -> bool {
+    fn put(&mut self, seen: Observation) -> bool {
         let key = (seen.worker, seen.function);
-        let stamp = |s: &Seen| (s.at, s.run, s.no);
+        let stamp = |s: &Observation| (s.observed_at, s.run, s.seq);
         let newer = self.all.get(&key).is_none_or(|k| stamp(k) < stamp(&seen));
         let fits = self.all.len() < self.most || self.all.contains_key(&key);
         if newer && fits {
@@ -158,7 +159,7 @@
         }
         self.swept = now;
         let keep = self.keep;
-        self.all.retain(|_, s| now - s.at < keep);
+        self.all.retain(|_, s| now - s.observed_at < keep);
         // A row of a run lives no longer than this on any way, so an old number cannot come back.
         self.heard.retain(|_, (_, at)| now - *at < Time(4 * keep.0));
     }
@@ -166,14 +167,14 @@
 
 /// Rows that wait to be told on a link, in their order; beyond the bound the oldest is lost.
 #[derive(Default)]
-pub struct Untold(VecDeque<Seen>);
+pub struct Untold(VecDeque<Observation>);
 
 /// Rows that wait on a link at most, and that leave at a time: one frame, 32 kB at most.
 const WAITING: usize = 8192;
 const AT_A_TIME: usize = 512;
 
 impl Untold {
-    pub fn push(&mut self, seen: Seen) {
+    pub fn push(&mut self, seen: Observation) {
         if self.0.len() >= WAITING {
             self.0.pop_front();
         }
@@ -185,7 +186,7 @@
     }
 
     /// The next that leave.
-    pub fn take(&mut self) -> Vec<Seen> {
+    pub fn take(&mut self) -> Vec<Observation> {
         let n = self.0.len().min(AT_A_TIME);
         self.0.drain(..n).collect()
     }
--- a/crates/curlewpoint-fleet/src/lib.rs
+++ b/crates/curlewpoint-fleet/src/lib.rs
@@ -23,11 +23,11 @@
 mod outside;
 mod rings;
 
-pub use book::{Book, Entry, Source, Taken};
-pub use directory::{frames as directory_frames, Counts, Directory, Terms};
+pub use book::{EndpointEntry, EndpointTable, ListOutcome, ListSource};
+pub use directory::{frames as directory_frames, CopyDirectory, DirectoryCounts, DirectorySettings};
 pub use fleet::Fleet;
-pub use hints::{Hints, Seen};
-pub use members::{InstanceId, Member, MemberId, Refused, Run, Standing, Table};
-pub use number::Number;
-pub use outside::{Bounds, LinkId, Outside};
-pub use rings::{observed, rank, RINGS, SALT_WATCH};
+pub use hints::{HintTable, Observation};
+pub use members::{InstanceId, Member, MemberId, MemberState, MemberTable, RecordError, Run};
+pub use number::InstanceCount;
+pub use outside::{FleetDriver, FleetLimits, LinkId};
+pub use rings::{monitored_member, order_key, RING_COUNT, WATCHER_SALT};
--- a/crates/curlewpoint-fleet/src/members.rs
+++ b/crates/curlewpoint-fleet/src/members.rs
@@ -26,43 +26,43 @@
 
 /// What is believed of a member. A member alone raises its incarnation, and does so to refute what others believe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct MemberState {
     pub incarnation: u64,
     /// It has said goodbye: nothing of this run comes any more. Nothing overrides it.
     pub left: bool,
     /// Others have given it up in this incarnation.
     pub dead: bool,
     /// It cannot reach the list service, by its own word.
-    pub blind: bool,
+    pub list_service_lost: bool,
     /// The rings on which whoever looks after it hears nothing, a bit each.
-    pub doubts: u8,
+    pub suspicions: u8,
 }
 
-impl Standing {
+impl MemberState {
     /// The one merge: a goodbye above all, then the later incarnation, and within one the graver belief. It is the join
     /// of a lattice, so neither order nor grouping nor repeats matter.
-    pub fn merge(self, other: Standing) -> Standing {
-        let key = |s: &Standing| (s.left, s.incarnation);
+    pub fn merge(self, other: MemberState) -> MemberState {
+        let key = |s: &MemberState| (s.left, s.incarnation);
         match key(&self).cmp(&key(&other)) {
             std::cmp::Ordering::Less => other,
             std::cmp::Ordering::Greater => self,
-            std::cmp::Ordering::Equal => Standing {
+            std::cmp::Ordering::Equal => MemberState {
                 dead: self.dead || other.dead,
-                blind: self.blind || other.blind,
-                doubts: self.doubts | other.doubts,
+                list_service_lost: self.list_service_lost || other.list_service_lost,
+                suspicions: self.suspicions | other.suspicions,
                 ..self
             },
         }
     }
 
     /// Neither has it left nor is it given up.
-    pub fn lives(&self) -> bool {
+    pub fn is_alive(&self) -> bool {
         !self.left && !self.dead
     }
 
     /// Enough of those who look after it hear nothing. Two have to agree, as one of them may be cut off itself.
     pub fn is_suspect(&self) -> bool {
-        self.doubts.count_ones() >= 2
+        self.suspicions.count_ones() >= 2
     }
 }
 
@@ -72,17 +72,17 @@
     pub name: String,
     /// Where its peers reach it.
     pub address: String,
-    pub standing: Standing,
+    pub state: MemberState,
     /// When its record last changed here.
-    pub changed: Time,
+    pub changed_at: Time,
     /// It ended so long ago that nobody speaks of it any more; it is still counted until it is forgotten.
-    pub hushed: bool,
+    pub retired: bool,
 }
 
 impl Member {
     fn digest(&self, id: MemberId) -> u64 {
-        let s = &self.standing;
-        let flags = [u8::from(s.left), u8::from(s.dead), u8::from(s.blind), s.doubts];
+        let s = &self.state;
+        let flags = [u8::from(s.left), u8::from(s.dead), u8::from(s.list_service_lost), s.suspicions];
         let mut bytes = Vec::with_capacity(28);
         for part in [id.instance.0, id.run.0, s.incarnation] {
             bytes.extend_from_slice(&part.to_be_bytes());
@@ -94,11 +94,11 @@
 
 /// Why a record was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum RecordError {
     /// As many members are known as are kept.
-    TooMany,
+    TableFull,
     /// The name does not belong to the id, or is too long, or there is none.
-    BadName,
+    Invalid,
 }
 
 /// The longest name and the longest address, in bytes.
@@ -111,49 +111,49 @@
 const SPOKEN_OF: (Time, Time) = (Time(600_000), Time(3_000_000));
 
 /// All members known, bounded in number.
-pub struct Table {
+pub struct MemberTable {
     members: BTreeMap<MemberId, Member>,
     most: usize,
     digest: u64,
 }
 
-impl Table {
-    pub fn new(most: usize) -> Table {
-        Table { members: BTreeMap::new(), most, digest: 0 }
+impl MemberTable {
+    pub fn new(most: usize) -> MemberTable {
+        MemberTable { members: BTreeMap::new(), most, digest: 0 }
     }
 
     /// Takes a record; true: it told something new.
     pub fn merge(
-        &mut self, now: Time, id: MemberId, name: &str, address: &str, standing: Standing,
-    ) -> Result<bool, Refused> {
+        &mut self, now: Time, id: MemberId, name: &str, address: &str, state: MemberState,
+    ) -> Result<bool, RecordError> {
         let long = name.len() > MOST_TEXT || address.len() > MOST_TEXT;
         if name.is_empty() || long || InstanceId::of(name) != id.instance {
-            return Err(Refused::BadName);
+            return Err(RecordError::Invalid);
         }
         let full = self.members.len() >= self.most;
         match self.members.get_mut(&id) {
             Some(known) => {
-                if standing.incarnation > known.standing.incarnation.saturating_add(MOST_STEP) {
-                    return Err(Refused::BadName);
+                if state.incarnation > known.state.incarnation.saturating_add(MOST_STEP) {
+                    return Err(RecordError::Invalid);
                 }
                 // One run has one address; of two that are told the greater is kept, everywhere alike.
-                let (merged, moved) = (known.standing.merge(standing), address > known.address.as_str());
-                if merged == known.standing && !moved {
+                let (merged, moved) = (known.state.merge(state), address > known.address.as_str());
+                if merged == known.state && !moved {
                     return Ok(false);
                 }
-                if !std::mem::take(&mut known.hushed) {
+                if !std::mem::take(&mut known.retired) {
                     self.digest ^= known.digest(id);
                 }
-                (known.standing, known.changed) = (merged, now);
+                (known.state, known.changed_at) = (merged, now);
                 if moved {
                     known.address = address.to_owned();
                 }
                 self.digest ^= known.digest(id);
             }
-            None if full => return Err(Refused::TooMany),
+            None if full => return Err(RecordError::TableFull),
             None => {
                 let (name, address) = (name.to_owned(), address.to_owned());
-                let new = Member { name, address, standing, changed: now, hushed: false };
+                let new = Member { name, address, state, changed_at: now, retired: false };
                 self.digest ^= new.digest(id);
                 self.members.insert(id, new);
             }
@@ -165,11 +165,11 @@
     pub fn sweep(&mut self, now: Time) {
         let digest = &mut self.digest;
         self.members.retain(|id, m| {
-            let span = if m.standing.left { SPOKEN_OF.0 } else { SPOKEN_OF.1 };
-            let ended = if m.standing.lives() { Time(0) } else { now - m.changed };
-            if ended >= span && !m.hushed {
+            let span = if m.state.left { SPOKEN_OF.0 } else { SPOKEN_OF.1 };
+            let ended = if m.state.is_alive() { Time(0) } else { now - m.changed_at };
+            if ended >= span && !m.retired {
                 *digest ^= m.digest(*id);
-                m.hushed = true;
+                m.retired = true;
             }
             ended < Time(2 * span.0)
         });
@@ -184,13 +184,13 @@
     }
 
     /// Members that have neither left nor been given up.
-    pub fn living(&self) -> impl Iterator<Item = (MemberId, &Member)> {
-        self.iter().filter(|(_, m)| m.standing.lives())
+    pub fn alive(&self) -> impl Iterator<Item = (MemberId, &Member)> {
+        self.iter().filter(|(_, m)| m.state.is_alive())
     }
 
     /// Members that are still spoken of.
-    pub fn spoken_of(&self) -> impl Iterator<Item = (MemberId, &Member)> {
-        self.iter().filter(|(_, m)| !m.hushed)
+    pub fn gossiped(&self) -> impl Iterator<Item = (MemberId, &Member)> {
+        self.iter().filter(|(_, m)| !m.retired)
     }
 
     pub fn len(&self) -> usize {
--- a/crates/curlewpoint-fleet/src/number.rs
+++ b/crates/curlewpoint-fleet/src/number.rs
@@ -2,7 +2,7 @@
 
 use curlewpoint::types::Time;
 
-use crate::members::{InstanceId, Table};
+use crate::members::{InstanceId, MemberTable};
 
 /// How long a lower count has to hold before it is acted on: what one that left had sent still weighs on cold workers.
 const LOWER_AFTER: Time = Time(100_000);
@@ -27,7 +27,7 @@
 /// Guards against a number in the file that is too small, and spares what a too large one costs. Harms for ten seconds
 /// after a goodbye, in which a cold worker gets a little less than it could bear, and for the second after a join.
 #[derive(Debug)]
-pub struct Number {
+pub struct InstanceCount {
     told: u64,
     /// Since when there has been a link.
     linked: Option<Time>,
@@ -36,35 +36,37 @@
     lower_since: Option<Time>,
 }
 
-impl Number {
+impl InstanceCount {
     /// `told`: the number in the file; `peers`: whether there are any to begin with.
-    pub fn new(told: u64, peers: bool) -> Number {
+    pub fn new(told: u64, peers: bool) -> InstanceCount {
         let acted = if peers { NOTHING } else { told.max(1) };
-        Number { told, linked: None, sure: false, acted, lower_since: None }
+        InstanceCount { told, linked: None, sure: false, acted, lower_since: None }
     }
 
-    pub fn acted(&self) -> u64 {
+    pub fn effective(&self) -> u64 {
         self.acted
     }
 
     /// The number in the file.
-    pub fn told(&self) -> u64 {
+    pub fn configured(&self) -> u64 {
         self.told.max(1)
     }
 
-    pub fn is_sure(&self) -> bool {
+    pub fn is_confirmed(&self) -> bool {
         self.sure
     }
 
     /// A first link is up.
-    pub fn linked(&mut self, now: Time) {
+    pub fn link_established(&mut self, now: Time) {
         self.linked.get_or_insert(now);
     }
 
     /// Looks at what is known. `alike`: a peer holds the same records, and all peers to begin with have been heard of. `among_sure`: whether a peer is sure, or knows one
     /// that is; none: no peer has said, and some may yet. Returns the number if it has changed.
-    pub fn look(&mut self, now: Time, table: &Table, alike: bool, among_sure: Option<bool>) -> Option<u64> {
-        let counted = count(table);
+    pub fn update(
+        &mut self, now: Time, members: &MemberTable, alike: bool, among_sure: Option<bool>,
+    ) -> Option<u64> {
+        let counted = count(members);
         let admitted = self.linked.is_some_and(|at| now - at >= ADMITTED_AFTER);
         self.sure |= admitted && alike;
         let wanted = match (self.sure, among_sure) {
@@ -84,11 +86,11 @@
 }
 
 /// All that may send: runs that live, and for each name of which none does, one if any did not say goodbye.
-fn count(table: &Table) -> u64 {
+fn count(members: &MemberTable) -> u64 {
     let mut names: BTreeMap<InstanceId, (u64, bool)> = BTreeMap::new();
-    for (id, member) in table.iter().filter(|(_, m)| !m.standing.left) {
+    for (id, member) in members.iter().filter(|(_, m)| !m.state.left) {
         let (living, any) = names.entry(id.instance).or_default();
-        *living += u64::from(member.standing.lives());
+        *living += u64::from(member.state.is_alive());
         *any = true;
     }
     names.values().map(|(living, any)| (*living).max(u64::from(*any))).sum::<u64>().max(1)
--- a/crates/curlewpoint-fleet/tests/common/mod.rs
+++ b/crates/curlewpoint-fleet/tests/common/mod.rs
@@ -5,9 +5,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use curlewpoint::types::{FunctionId, Hint, Standing as Ready, Time, WorkerId};
+use curlewpoint::types::{FunctionId, Hint, Standing as Lifecycle, Time, WorkerId};
 use curlewpoint_fleet::{
-    frames, Bounds, Entry, Fleet, LinkId, Member, MemberId, Outside, Run, Seen, Standing,
+    frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, MemberState,
+    Observation, Run,
 };
 use curlewpoint_wire::{Frame, Kind, HEAD_BYTES};
 use oorandom::Rand64;
@@ -63,7 +64,7 @@
         self.list_sent.push((self.now, size));
         self.say(link, move |f, now, out, l| {
             assert!(!out.old || frame.kind != Kind::LIST_ROWS, "it was not said that such are read");
-            if frames::read_list(f, now, out, Some(l), &frame).is_err() {
+            if frames::dispatch_list(f, now, out, Some(l), &frame).is_err() {
                 out.refuse(l, "spoilt");
                 f.link_down(now, out, l);
             }
@@ -75,7 +76,7 @@
     }
 }
 
-impl Outside for Acts {
+impl FleetDriver for Acts {
     fn dial(&mut self, link: LinkId, address: &str) {
         self.acts.push(Act::Dial(link, address.to_owned()));
     }
@@ -86,79 +87,86 @@
         self.refused.push(why.to_owned());
         self.acts.push(Act::Close(link));
     }
-    fn join(&mut self, link: LinkId, fleet: &str, me: MemberId, m: &Member, known: u64) {
+    fn send_join(&mut self, link: LinkId, fleet: &str, me: MemberId, m: &Member, known: u64) {
         let (fleet, m, old) = (fleet.to_owned(), m.clone(), self.old);
         self.say(link, move |f, now, out, l| {
             if !old && !out.old {
-                f.reads_rows(l);
+                f.peer_reads_list_rows(l);
             }
-            f.joined(now, out, l, &fleet, me, &m.name, &m.address, m.standing, known)
+            f.join_received(now, out, l, &fleet, me, &m.name, &m.address, m.state, known)
         });
     }
-    fn member(&mut self, link: LinkId, id: MemberId, m: &Member) {
+    fn send_member(&mut self, link: LinkId, id: MemberId, m: &Member) {
         let m = m.clone();
-        self.say(link, move |f, now, out, l| f.member(now, out, l, id, &m.name, &m.address, m.standing));
+        self.say(link, move |f, now, out, l| {
+            f.member_received(now, out, l, id, &m.name, &m.address, m.state)
+        });
     }
-    fn beat(
+    fn send_heartbeat(
         &mut self, link: LinkId, tags: (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>,
         sure: bool, answer: bool,
     ) {
-        self.say(link, move |f, now, out, l| f.beaten(now, out, l, tags, digest, held, age, sure, answer));
+        self.say(link, move |f, now, out, l| {
+            f.heartbeat_received(now, out, l, tags, digest, held, age, sure, answer)
+        });
     }
-    fn ask_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
+    fn request_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
         self.list_asked.push(link);
-        self.say(link, move |f, now, out, l| f.list_asked(now, out, l, held));
+        self.say(link, move |f, now, out, l| f.list_requested(now, out, l, held));
     }
-    fn list_begins(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
+    fn send_list_begin(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
         self.lists += 1;
         self.wholes += usize::from(from.is_none());
-        self.say_list(link, frames::list_frame(version, from));
+        self.say_list(link, frames::list_begin_frame(version, from));
     }
-    fn list_row(&mut self, link: LinkId, name: &str, entry: &Entry) {
+    fn send_list_entry(&mut self, link: LinkId, name: &str, entry: &EndpointEntry) {
         self.say_list(link, frames::entry_frame(self.now, name, entry));
     }
-    fn list_rows(&mut self, link: LinkId, rows: &[(&str, &Entry)]) {
-        self.say_list(link, frames::rows_frame(self.now, rows));
+    fn send_list_entries(&mut self, link: LinkId, rows: &[(&str, &EndpointEntry)]) {
+        self.say_list(link, frames::entries_frame(self.now, rows));
     }
-    fn list_ends(&mut self, link: LinkId) {
+    fn send_list_end(&mut self, link: LinkId) {
         self.say_list(link, frames::list_end_frame());
     }
-    fn watch(&mut self, on: bool) {
+    fn set_watching(&mut self, on: bool) {
         self.acts.push(Act::Watch(on));
     }
-    fn ask_service(&mut self, held: Option<(u64, u64)>) {
+    fn request_service_list(&mut self, held: Option<(u64, u64)>) {
         self.acts.push(Act::AskService(held));
     }
-    fn take_begins(&mut self, version: (u64, u64), _: Option<u64>) {
+    fn deliver_list_begin(&mut self, version: (u64, u64), _: Option<u64>) {
         assert!(self.list.is_none_or(|held| held < version), "an older list over a newer one");
         self.list = Some(version);
     }
-    fn take_row(&mut self, _: &str, _: &Entry) {}
-    fn take_ends(&mut self) {}
-    fn hints(&mut self, link: LinkId, seen: &[Seen]) {
+    fn deliver_list_entry(&mut self, _: &str, _: &EndpointEntry) {}
+    fn deliver_list_end(&mut self) {}
+    fn send_hints(&mut self, link: LinkId, seen: &[Observation]) {
         self.rows += seen.len();
         // Ages travel, and the time on the way is not counted: each hop makes a sight look younger.
         let sent = seen.to_vec();
         let way = Time(2 + link.0 % 30);
         self.say(link, move |f, now, out, l| {
-            let all = sent.into_iter().map(|s| Seen { at: (s.at + way).min(now), ..s }).collect();
-            f.hinted(now, out, l, all);
+            let all = sent
+                .into_iter()
+                .map(|s| Observation { observed_at: (s.observed_at + way).min(now), ..s })
+                .collect();
+            f.hints_received(now, out, l, all);
         });
     }
-    fn directory(&mut self, link: LinkId, frame: Frame) {
+    fn send_directory_frame(&mut self, link: LinkId, frame: Frame) {
         self.sent.push((self.now, HEAD_BYTES + frame.head().len()));
         *self.kinds.entry(frame.kind).or_default() += 1;
         self.say(link, move |f, now, out, l| {
-            if frames::read(f, now, out, l, &frame).is_err() {
+            if frames::dispatch(f, now, out, l, &frame).is_err() {
                 out.refuse(l, "spoilt");
                 f.link_down(now, out, l);
             }
         });
     }
-    fn take_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, _: Time) {
+    fn deliver_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, _: Time) {
         self.hints.push((worker, function, hint, held));
     }
-    fn instances(&mut self, number: u64) {
+    fn set_instance_count(&mut self, number: u64) {
         self.instances = Some(number);
     }
     fn log(&mut self, line: &str) {
@@ -215,7 +223,7 @@
     pub torn: Vec<u64>,
     /// Links that were cut as too many frames were under way on them.
     pub overrun: usize,
-    pub bounds: Bounds,
+    pub bounds: FleetLimits,
     pub told: u64,
     /// Connections to the list service, by when they came.
     pub service_dials: Vec<Time>,
@@ -248,13 +256,13 @@
             gone: (0, 0),
             torn: Vec::new(),
             overrun: 0,
-            bounds: Bounds {
-                instances: 1024,
-                links: 512,
+            bounds: FleetLimits {
+                max_instances: 1024,
+                max_inbound_links: 512,
                 watchers: 3,
-                slack: Time(1_500),
-                hints: Time(80_000),
-                hinted: true,
+                answer_slack: Time(1_500),
+                hint_lifetime: Time(80_000),
+                exchange_hints: true,
             },
             told,
             service_dials: Vec::new(),
@@ -289,7 +297,9 @@
             self.bounds,
             seed,
         );
-        self.directory.into_iter().for_each(|bytes| fleet.keep_directory_on(self.now, bytes, self.spreads));
+        self.directory
+            .into_iter()
+            .for_each(|bytes| fleet.enable_directory_with_gossip(self.now, bytes, self.spreads));
         let acts = Acts { old: self.old, ..Acts::default() };
         let (paused_until, links) = (Time(0), BTreeMap::new());
         let node = Node {
@@ -347,10 +357,10 @@
         node.acts.now = now;
         what(&mut node.fleet, now, &mut node.acts);
         if node.acts.list.is_some() && node.acts.known == 0 {
-            node.acts.known = node.fleet.table().len();
+            node.acts.known = node.fleet.members().len();
         }
         let name = node.name;
-        let held = node.fleet.book().held();
+        let held = node.fleet.endpoints().held();
         if self.rows > 1 && std::mem::replace(&mut node.held, held) != held && !self.holds_whole(id) {
             self.torn.push(id);
         }
@@ -413,12 +423,12 @@
 
     /// An instance's scheduler sees something of a function at a worker.
     pub fn saw(&mut self, id: u64, worker: WorkerId, function: FunctionId, hint: Hint) {
-        self.call(id, |f, now, out| f.saw(now, out, worker, function, hint, 0));
+        self.call(id, |f, now, out| f.observe(now, out, worker, function, hint, 0));
     }
 
     /// An instance's scheduler has an RPC of a function.
     pub fn wanted(&mut self, id: u64, function: FunctionId) {
-        self.call(id, |f, now, out| f.wanted(now, out, function));
+        self.call(id, |f, now, out| f.function_requested(now, out, function));
     }
 
     /// A frame of the directory comes to `to` from `from`, as if that one had sent it on a link that is up between them.
@@ -426,7 +436,7 @@
         let at = self.nodes[&to].links.iter().find(|(_, (peer, _))| *peer == from).map(|(l, _)| *l);
         let link = at.expect("a link is up between them");
         self.call(to, |f, now, out| {
-            if frames::read(f, now, out, link, frame).is_err() {
+            if frames::dispatch(f, now, out, link, frame).is_err() {
                 out.refuse(link, "spoilt");
                 f.link_down(now, out, link);
             }
@@ -466,13 +476,13 @@
             Some((_, from)) => (from + 1..=version).map(|v| self.rows - 1 - v as usize % self.rows).collect(),
             None => (0..self.rows).collect::<BTreeSet<usize>>(),
         };
-        let all: Vec<(String, Entry)> =
+        let all: Vec<(String, EndpointEntry)> =
             rows.into_iter().map(|row| (self.name_of(row), self.entry(row, self.version))).collect();
         self.nodes.get_mut(&id).into_iter().for_each(|n| n.told = Some((epoch, version)));
         self.call(id, |f, now, out| {
-            f.list_begins(now, None, epoch, version, from.map(|(_, v)| v));
-            all.into_iter().for_each(|(name, entry)| f.list_row(now, None, &name, entry));
-            f.list_ends(now, out, None);
+            f.list_begin_received(now, None, epoch, version, from.map(|(_, v)| v));
+            all.into_iter().for_each(|(name, entry)| f.list_entry_received(now, None, &name, entry));
+            f.list_end_received(now, out, None);
         });
     }
 
@@ -492,12 +502,12 @@
         epoch << 32 | last
     }
 
-    fn entry(&self, row: usize, version: (u64, u64)) -> Entry {
-        Entry {
+    fn entry(&self, row: usize, version: (u64, u64)) -> EndpointEntry {
+        EndpointEntry {
             address: "127.0.0.1:1".into(),
-            standing: Ready::Ready,
+            lifecycle: Lifecycle::Ready,
             start: self.start_of(row, version),
-            since: None,
+            started_at: None,
             zone: String::new(),
             cell: String::new(),
             size: 1.0,
@@ -506,9 +516,9 @@
 
     /// Whether what an instance holds is the list that it says, whole and of one version.
     pub fn holds_whole(&self, id: u64) -> bool {
-        let book = self.nodes[&id].fleet.book();
+        let book = self.nodes[&id].fleet.endpoints();
         let Some(version) = book.held() else { return book.is_empty() };
-        let whole = book.whole();
+        let whole = book.entries();
         whole.len() == self.rows
             && whole.values().enumerate().all(|(row, e)| e.start == self.start_of(row, version))
     }
@@ -551,7 +561,8 @@
             What::Tick(id) => {
                 self.call(id, |f, now, out| f.advance(now, out));
                 self.plan(Time(1_000), What::Tick(id));
-                let sum: f64 = self.nodes.values().map(|n| 1.0 / n.fleet.number().acted() as f64).sum();
+                let sum: f64 =
+                    self.nodes.values().map(|n| 1.0 / n.fleet.instance_count().effective() as f64).sum();
                 self.worst_sum = self.worst_sum.max(sum);
             }
             What::Up(id, link, address) => self.connect(id, link, &address),
@@ -586,7 +597,7 @@
         let far = LinkId((1 << 63) | far_node.serial);
         far_node.links.insert(far, (id, link));
         self.nodes.get_mut(&id).expect("it dials").links.insert(link, (peer, far));
-        self.call(peer, |f, now, out| f.link_in(now, out, far));
+        self.call(peer, |f, now, out| f.link_accepted(now, out, far));
         self.call(id, |f, now, out| f.link_up(now, out, link));
     }
 
@@ -600,8 +611,8 @@
 
     /// Whether all believe the same of all who live.
     pub fn alike(&self) -> bool {
-        let of = |n: &Node| -> Vec<(MemberId, Standing)> {
-            n.fleet.table().living().map(|(id, m)| (id, m.standing)).collect()
+        let of = |n: &Node| -> Vec<(MemberId, MemberState)> {
+            n.fleet.members().alive().map(|(id, m)| (id, m.state)).collect()
         };
         let mut all = self.nodes.values().map(of);
         let first = all.next();
@@ -613,16 +624,17 @@
         let of = |n: &Node| {
             let rows: Vec<String> = n
                 .fleet
-                .table()
+                .members()
                 .iter()
                 .map(|(id, m)| {
-                    let s = m.standing;
-                    let marks = [(s.left, 'l'), (s.dead, 'd'), (s.blind, 'b'), (m.hushed, 'h')];
+                    let s = m.state;
+                    let marks = [(s.left, 'l'), (s.dead, 'd'), (s.list_service_lost, 'b'), (m.retired, 'h')];
                     let marks: String = marks.iter().filter(|(on, _)| *on).map(|(_, c)| *c).collect();
-                    format!("{}.{:04x}:{}{marks}/{:x}", m.name, id.run.0 as u16, s.incarnation, s.doubts)
+                    format!("{}.{:04x}:{}{marks}/{:x}", m.name, id.run.0 as u16, s.incarnation, s.suspicions)
                 })
                 .collect();
-            let (acted, sure) = (n.fleet.number().acted(), n.fleet.number().is_sure());
+            let (acted, sure) =
+                (n.fleet.instance_count().effective(), n.fleet.instance_count().is_confirmed());
             format!("n{} acts {acted} sure {sure} list {:?}: {}\n", n.name, n.acts.list, rows.join(" "))
         };
         self.nodes.values().map(of).collect()
@@ -630,14 +642,14 @@
 
     /// How many each counts as living.
     pub fn counts(&self) -> BTreeSet<usize> {
-        self.nodes.values().map(|n| n.fleet.table().living().count()).collect()
+        self.nodes.values().map(|n| n.fleet.members().alive().count()).collect()
     }
 
     pub fn lists(&self) -> BTreeSet<Option<(u64, u64)>> {
         self.nodes.values().map(|n| n.acts.list).collect()
     }
 
-    pub fn acted(&self) -> BTreeSet<u64> {
-        self.nodes.values().map(|n| n.fleet.number().acted()).collect()
+    pub fn instance_counts(&self) -> BTreeSet<u64> {
+        self.nodes.values().map(|n| n.fleet.instance_count().effective()).collect()
     }
 }
--- a/crates/curlewpoint-fleet/tests/directory.rs
+++ b/crates/curlewpoint-fleet/tests/directory.rs
@@ -8,7 +8,8 @@
 use common::Net;
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
 use curlewpoint_fleet::{
-    directory_frames, frames, Directory, InstanceId, LinkId, MemberId, Run, Seen, Terms,
+    directory_frames, frames, CopyDirectory, DirectorySettings, InstanceId, LinkId, MemberId, Observation,
+    Run,
 };
 use curlewpoint_wire::{Field, Frame, Kind};
 use proptest::prelude::*;
@@ -33,12 +34,13 @@
 }
 
 fn member(net: &Net, id: u64) -> MemberId {
-    net.nodes[&id].fleet.me()
+    net.nodes[&id].fleet.own_id()
 }
 
 /// Who holds a function, as one of its column says.
 fn holders(net: &Net, function: FunctionId) -> Vec<u64> {
-    let by_member: BTreeMap<MemberId, u64> = net.nodes.iter().map(|(id, n)| (n.fleet.me(), *id)).collect();
+    let by_member: BTreeMap<MemberId, u64> =
+        net.nodes.iter().map(|(id, n)| (n.fleet.own_id(), *id)).collect();
     let all: BTreeSet<Vec<MemberId>> =
         net.nodes.values().filter_map(|n| n.fleet.directory()?.holders(function)).collect();
     assert_eq!(all.len(), 1, "all of the column reckon alike");
@@ -124,12 +126,12 @@
     // It is asked for once it is not told of any more.
     net.run(4_000);
     net.wanted(ids[0], F);
-    assert!(net.nodes[&ids[0]].fleet.directory().is_some_and(|d| d.asked_for(F).is_some()));
+    assert!(net.nodes[&ids[0]].fleet.directory().is_some_and(|d| d.asked_member(F).is_some()));
     assert!(ids.iter().all(|id| not_spread(&net, *id) == 0));
 }
 
 fn not_spread(net: &Net, id: u64) -> u64 {
-    net.nodes[&id].fleet.directory().map_or(0, |d| d.counts().not_spread)
+    net.nodes[&id].fleet.directory().map_or(0, |d| d.counts().not_gossiped)
 }
 
 /// Each sees three new loads a second and calls the function of another: the share of the others that are told of a load
@@ -175,8 +177,8 @@
     let (mut net, ids) = fleet_with(41, 12, 2_000, true);
     let (to, from) = (ids[0], *ids[1..].iter().find(|id| net.linked(ids[0], **id)).expect("neighbours"));
     let copy = |k: u64| row(k, 1_000 + k, 1_600 - 10 * k, k, net.now);
-    let load = |k: u64| Seen { hint: Hint::Loading, ..row(k, 2_000 + k, 1_700, 200 + k, net.now) };
-    let rows: Vec<Seen> = (1..=150).map(copy).chain((1..=8).map(load)).collect();
+    let load = |k: u64| Observation { hint: Hint::Loading, ..row(k, 2_000 + k, 1_700, 200 + k, net.now) };
+    let rows: Vec<Observation> = (1..=150).map(copy).chain((1..=8).map(load)).collect();
     let frame = frames::hints_frame(net.now, &rows);
     net.forge(from, to, &frame);
     let of = |net: &Net, id: u64, hint: Hint| -> Vec<u64> {
@@ -205,11 +207,11 @@
 fn what_is_handed_on_goes_before_what_is_seen_here() {
     let (mut net, ids) = fleet_with(42, 12, 4_000, true);
     let (to, from) = (ids[0], *ids[1..].iter().find(|id| net.linked(ids[0], **id)).expect("neighbours"));
-    let load = |net: &Net, k: u64| Seen { hint: Hint::Loading, ..row(k, 2_000 + k, 50, k, net.now) };
+    let load = |net: &Net, k: u64| Observation { hint: Hint::Loading, ..row(k, 2_000 + k, 50, k, net.now) };
     let first = frames::hints_frame(net.now, &[load(&net, 1)]);
     net.forge(from, to, &first);
     (1..=20).for_each(|k| net.saw(to, WorkerId(k), FunctionId(3_000 + k), Hint::Loading));
-    let rows: Vec<Seen> = (2..=21).map(|k| load(&net, k)).collect();
+    let rows: Vec<Observation> = (2..=21).map(|k| load(&net, k)).collect();
     let frame = frames::hints_frame(net.now, &rows);
     net.forge(from, to, &frame);
     net.run(115);
@@ -240,7 +242,7 @@
         let from = *ids.iter().find(|id| **id != old && net.linked(*to, **id)).expect("it has neighbours");
         forget_figures(&mut net);
         let load = |k: u64| row(k, 50_000 + k, 0, k + 100 * no as u64, net.now);
-        let frame = frames::hints_frame(net.now, &(1..=100).map(load).collect::<Vec<Seen>>());
+        let frame = frames::hints_frame(net.now, &(1..=100).map(load).collect::<Vec<Observation>>());
         net.forge(from, *to, &frame);
         // The longest way of one step.
         net.run(4);
@@ -300,7 +302,7 @@
     // Another function of the column opens the link.
     let other = (10..).map(FunctionId).find(|f| {
         let d = net.nodes[&asker].fleet.directory().expect("it takes part");
-        d.towards(*f) == d.towards(F)
+        d.contacts_for(*f) == d.contacts_for(F)
     });
     net.wanted(asker, other.expect("there are many"));
     net.run(1_000);
@@ -324,7 +326,7 @@
     net.run(300);
     assert_eq!(net.nodes[&asker].acts.kinds.get(&Kind::ASK), Some(&1));
     let d = net.nodes[&asker].fleet.directory().expect("it takes part");
-    assert_eq!((d.counts().questions, d.counts().answers, d.open_questions()), (1, 1, 0));
+    assert_eq!((d.counts().questions, d.counts().answers, d.open_question_count()), (1, 1, 0));
 }
 
 /// A question for a copy that somebody has seen, over a link that is up: who asks, for what, and whom.
@@ -336,7 +338,7 @@
         let held = holders(net, f);
         let asker = *ids[1..].iter().find(|id| !held.contains(id)).expect("some do not hold it");
         net.wanted(asker, f);
-        let asked = net.nodes[&asker].fleet.directory().and_then(|d| d.asked_for(f)).expect("it asks");
+        let asked = net.nodes[&asker].fleet.directory().and_then(|d| d.asked_member(f)).expect("it asks");
         let asked = *ids.iter().find(|id| member(net, **id) == asked).expect("it lives");
         if asked != ids[0] && net.linked(asker, asked) {
             return (asker, f, asked);
@@ -412,7 +414,7 @@
         (ids[0], *ids[1..].iter().find(|id| net.linked(ids[0], **id)).expect("it has neighbours"));
     net.pause(to, 2_000);
     net.run(1_900);
-    let frame = directory_frames::sights_frame(net.now, &[row(1, F.0, 5, 1, net.now)]);
+    let frame = directory_frames::observations_frame(net.now, &[row(1, F.0, 5, 1, net.now)]);
     net.forge(from, to, &frame);
     assert_eq!(net.nodes[&to].fleet.directory().map(|d| d.len()), Some(0));
 }
@@ -496,7 +498,12 @@
     assert!(told >= 140, "{told} of 150 were told of it");
     for id in &ids {
         let d = net.nodes[id].fleet.directory().expect("it takes part");
-        assert!(d.len() <= 64 && d.subscribers() <= 128, "{} rows, {} subscribers", d.len(), d.subscribers());
+        assert!(
+            d.len() <= 64 && d.subscriber_count() <= 128,
+            "{} rows, {} subscribers",
+            d.len(),
+            d.subscriber_count()
+        );
     }
 }
 
@@ -579,10 +586,10 @@
     assert!(spreads || (many <= 1.6 * few && many < BUDGET as f64), "{told}");
 }
 
-fn row(worker: u64, function: u64, age_ms: u64, no: u64, now: Time) -> Seen {
+fn row(worker: u64, function: u64, age_ms: u64, no: u64, now: Time) -> Observation {
     let at = now - Time(age_ms * 10);
     let (worker, function) = (WorkerId(worker), FunctionId(function));
-    Seen { worker, function, hint: Hint::Warm, held: 0, at, run: Run(77), no }
+    Observation { worker, function, hint: Hint::Warm, held_rpcs: 0, observed_at: at, run: Run(77), seq: no }
 }
 
 #[test]
@@ -593,15 +600,15 @@
     for second in 0..10_u64 {
         for frame in 0..100 {
             let no = |k: u64| 1 + k + frame * 500 + second * 50_000;
-            let rows: Vec<Seen> = (0..500).map(|k| row(no(k), no(k), 0, no(k), net.now)).collect();
-            let frame = directory_frames::sights_frame(net.now, &rows);
+            let rows: Vec<Observation> = (0..500).map(|k| row(no(k), no(k), 0, no(k), net.now)).collect();
+            let frame = directory_frames::observations_frame(net.now, &rows);
             net.forge(from, to, &frame);
         }
         net.run(1_000);
     }
     let d = net.nodes[&to].fleet.directory().expect("it takes part");
     assert!(d.len() <= 6_000, "{} rows of half a million", d.len());
-    assert!(d.counts().passed_over >= 490_000, "{:?}", d.counts());
+    assert!(d.counts().ignored >= 490_000, "{:?}", d.counts());
     assert!(worst_second(&net) <= MOST, "{}", worst_second(&net));
     assert!(net.linked(from, to), "what it tells as a member is still heard");
 }
@@ -614,9 +621,9 @@
     let to = held[0];
     let from = *ids.iter().find(|id| **id != to && net.linked(to, **id)).expect("it has neighbours");
     for second in 0..20_u64 {
-        let rows: Vec<Seen> =
+        let rows: Vec<Observation> =
             (0..400).map(|k| row(1_000 + second * 400 + k, F.0, 0, 1 + second * 400 + k, net.now)).collect();
-        let frame = directory_frames::sights_frame(net.now, &rows);
+        let frame = directory_frames::observations_frame(net.now, &rows);
         net.forge(from, to, &frame);
         net.run(200);
     }
@@ -641,9 +648,9 @@
         (ids[0], *ids[1..].iter().find(|id| net.linked(ids[0], **id)).expect("it has neighbours"));
     let others =
         |net: &Net| ids.iter().filter(|id| **id != to && **id != from && net.linked(to, **id)).count();
-    let before = (net.nodes[&to].fleet.links(), others(&net));
+    let before = (net.nodes[&to].fleet.link_count(), others(&net));
     net.forge(from, to, &frame);
-    assert_eq!((net.nodes[&to].fleet.links(), others(&net)), (before.0 - 1, before.1));
+    assert_eq!((net.nodes[&to].fleet.link_count(), others(&net)), (before.0 - 1, before.1));
     net.run(5_000);
     assert!(net.linked(from, to) && net.alike(), "the link is opened anew, as nobody died");
 }
@@ -675,7 +682,7 @@
     (0..50).for_each(|f| net.wanted(new, FunctionId(f)));
     net.run(5_000);
     assert!(net.alike());
-    assert_eq!(net.nodes[&new].fleet.ask_links(), 0, "nobody to ask");
+    assert_eq!(net.nodes[&new].fleet.directory_link_count(), 0, "nobody to ask");
     assert_eq!(net.nodes[&new].acts.kinds.get(&Kind::ASK), None);
 }
 
@@ -708,10 +715,10 @@
     let (mut net, ids) = fleet(19, 60);
     (0..200).for_each(|f| net.wanted(ids[7], FunctionId(f)));
     net.run(5_000);
-    let open = net.nodes[&ids[7]].fleet.ask_links();
+    let open = net.nodes[&ids[7]].fleet.directory_link_count();
     assert!((1..=30).contains(&open), "{open} links to ask 59 others by");
     net.run(160_000);
-    let left: usize = ids.iter().map(|id| net.nodes[id].fleet.ask_links()).sum();
+    let left: usize = ids.iter().map(|id| net.nodes[id].fleet.directory_link_count()).sum();
     assert_eq!((left, net.counts()), (0, BTreeSet::from([60])));
 }
 
@@ -740,14 +747,14 @@
             net.saw(id, WorkerId(round), f, Hint::Warm);
         }
         net.run(700);
-        let all: Vec<MemberId> = net.nodes.values().map(|n| n.fleet.me()).collect();
+        let all: Vec<MemberId> = net.nodes.values().map(|n| n.fleet.own_id()).collect();
         for node in net.nodes.values() {
             let mut stand: BTreeMap<MemberId, BTreeSet<LinkId>> = BTreeMap::new();
-            for (link, member) in node.fleet.peers().chain(node.fleet.ask_peers()) {
+            for (link, member) in node.fleet.peer_links().chain(node.fleet.directory_peers()) {
                 stand.entry(member).or_default().insert(link);
             }
             for member in &all {
-                let kept = node.fleet.reaches(*member);
+                let kept = node.fleet.link_to(*member);
                 let there = stand.get(member);
                 assert_eq!(kept.is_some(), there.is_some(), "round {round}: {kept:?} of {there:?}");
                 assert!(kept.is_none_or(|link| there.is_some_and(|all| all.contains(&link))));
@@ -763,9 +770,9 @@
     let mut net = Net::new(20, 3);
     net.directory = Some(BUDGET);
     let one = net.start(0, &[0, 1, 2]);
-    net.bounds.hinted = false;
+    net.bounds.exchange_hints = false;
     let out_of_it = net.start(1, &[0, 1, 2]);
-    net.bounds.hinted = true;
+    net.bounds.exchange_hints = true;
     let two = net.start(2, &[0, 1, 2]);
     net.run(6_000);
     net.saw(one, W, F, Hint::Warm);
@@ -798,44 +805,49 @@
     assert!(knows(&net, asker, Hint::Loading), "it did not wait behind 500 copies");
     net.run(5_000);
     let counts = net.nodes[&ids[0]].fleet.directory().expect("it takes part").counts();
-    assert!(counts.left_out > 0 && counts.bytes <= 1_000 * 13, "{counts:?}");
+    assert!(counts.dropped > 0 && counts.bytes <= 1_000 * 13, "{counts:?}");
 }
 
 // The state machine alone.
 
-fn alone(n: u64) -> (Directory, Vec<MemberId>) {
+fn alone(n: u64) -> (CopyDirectory, Vec<MemberId>) {
     alone_with(n, 1 << 20)
 }
 
-fn alone_with(n: u64, bytes: u64) -> (Directory, Vec<MemberId>) {
+fn alone_with(n: u64, bytes: u64) -> (CopyDirectory, Vec<MemberId>) {
     let id = |no: u64| MemberId { instance: InstanceId::of(&format!("n{no}")), run: Run(no << 48) };
     let all: Vec<MemberId> = (1..=n).map(id).collect();
-    let terms = Terms { bytes, keep: Time(80_000), hinted: true, spreads: false };
-    let mut d = Directory::new(Time(1_000_000), all[0], terms);
-    d.members(all[0], all.iter().copied());
+    let terms = DirectorySettings {
+        bytes_per_second: bytes,
+        observation_lifetime: Time(80_000),
+        exchange_hints: true,
+        gossips: false,
+    };
+    let mut d = CopyDirectory::new(Time(1_000_000), all[0], terms);
+    d.update_members(all[0], all.iter().copied());
     (d, all)
 }
 
 /// What it would send now to whom it is linked with.
-fn sent(d: &mut Directory, now: Time) -> Vec<(MemberId, Vec<Seen>, Vec<Seen>)> {
-    let (parcels, _) = d.parcels(now, |_| true);
-    parcels.into_iter().map(|(to, p)| (to, p.copies, p.sights)).collect()
+fn sent(d: &mut CopyDirectory, now: Time) -> Vec<(MemberId, Vec<Observation>, Vec<Observation>)> {
+    let (parcels, _) = d.take_batches(now, |_| true);
+    parcels.into_iter().map(|(to, p)| (to, p.copies, p.observations)).collect()
 }
 
 #[test]
 fn those_who_are_told_of_changes_are_bounded_and_forgotten() {
     let (mut d, all) = alone(400);
     let now = Time(1_000_000);
-    all[1..].iter().for_each(|m| d.asked(now, *m, &[F]));
-    assert_eq!(d.subscribers(), 128, "of 399");
+    all[1..].iter().for_each(|m| d.question_received(now, *m, &[F]));
+    assert_eq!(d.subscriber_count(), 128, "of 399");
     for k in 0..1_000 {
         let many: Vec<FunctionId> = (0..100).map(|f| FunctionId(k * 100 + f)).collect();
-        d.asked(now, all[1], &many);
+        d.question_received(now, all[1], &many);
     }
-    assert_eq!(d.subscribers(), 16_384, "of a hundred thousand");
-    assert!(d.open_questions() <= 256);
+    assert_eq!(d.subscriber_count(), 16_384, "of a hundred thousand");
+    assert!(d.open_question_count() <= 256);
     d.advance(now + Time(310_000));
-    assert_eq!(d.subscribers(), 0);
+    assert_eq!(d.subscriber_count(), 0);
 }
 
 #[test]
@@ -843,8 +855,8 @@
     let (mut d, all) = alone(3);
     let now = Time(1_000_000);
     let rows = (0..40).map(|k| row(k, F.0, 4_000 - 100 * k, k + 1, now)).collect();
-    d.sighted(now, all[1], rows);
-    d.asked(now, all[2], &[F]);
+    d.observations_received(now, all[1], rows);
+    d.question_received(now, all[2], &[F]);
     let told = sent(&mut d, now).into_iter().find(|(to, ..)| *to == all[2]).expect("an answer").1;
     let workers: Vec<u64> = told.iter().map(|s| s.worker.0).collect();
     assert_eq!(workers, (32..40).rev().collect::<Vec<u64>>());
@@ -855,10 +867,10 @@
 fn a_row_that_comes_again_is_not_told_again() {
     let (mut d, all) = alone(3);
     let now = Time(1_000_000);
-    d.asked(now, all[2], &[F]);
-    d.sighted(now, all[1], vec![row(1, F.0, 50, 7, now)]);
+    d.question_received(now, all[2], &[F]);
+    d.observations_received(now, all[1], vec![row(1, F.0, 50, 7, now)]);
     assert!(!sent(&mut d, now).is_empty());
-    d.sighted(now, all[1], vec![row(1, F.0, 20, 7, now)]);
+    d.observations_received(now, all[1], vec![row(1, F.0, 20, 7, now)]);
     assert!(sent(&mut d, now).is_empty());
 }
 
@@ -872,18 +884,18 @@
         looks.set(looks.get() + 1);
         false
     };
-    (0..2_000).for_each(|f| d.saw(now, W, FunctionId(f), Hint::Warm, 0));
-    let (_, unlinked) = d.parcels(now, far);
+    (0..2_000).for_each(|f| d.observe(now, W, FunctionId(f), Hint::Warm, 0));
+    let (_, unlinked) = d.take_batches(now, far);
     let first = looks.replace(0);
     assert!(first <= 100 && unlinked.len() == first, "{first} members are spoken to, each looked for once");
-    assert_eq!(d.apart().iter().collect::<BTreeSet<_>>(), unlinked.iter().collect());
+    assert_eq!(d.unlinked_members().iter().collect::<BTreeSet<_>>(), unlinked.iter().collect());
     for _ in 0..500 {
         now = now + Time(10);
-        d.parcels(now, far);
+        d.take_batches(now, far);
     }
     assert_eq!(looks.get(), 0, "nothing has changed");
-    d.linked(unlinked[0]);
-    let (parcels, _) = d.parcels(now + Time(300), |m| m == unlinked[0]);
+    d.link_up(unlinked[0]);
+    let (parcels, _) = d.take_batches(now + Time(300), |m| m == unlinked[0]);
     assert_eq!(parcels.into_keys().collect::<Vec<_>>(), [unlinked[0]]);
 }
 
@@ -894,11 +906,11 @@
     let (mut now, mut frames, mut rows) = (Time(1_000_000), 0, 0);
     for call in 0..2_000_u64 {
         now = now + Time(50);
-        d.saw(now, W, FunctionId(call), Hint::Warm, 0);
+        d.observe(now, W, FunctionId(call), Hint::Warm, 0);
         for (to, _, sights) in sent(&mut d, now) {
             assert!(all[1..].contains(&to));
             (frames, rows) = (frames + 1, rows + sights.len());
-            d.spent(16 + 32 * sights.len());
+            d.charge(16 + 32 * sights.len());
         }
     }
     // Ten seconds: ten times at two members, and a frame more as it begins.
@@ -912,23 +924,23 @@
 fn what_nobody_waits_for_is_gathered() {
     let (mut d, all) = alone(3);
     let t0 = Time(1_000_000);
-    d.saw(t0, W, F, Hint::Loading, 0);
+    d.observe(t0, W, F, Hint::Loading, 0);
     assert_eq!(sent(&mut d, t0).len(), 2, "the first after a while goes at once");
     let row_of = |worker: u64, now: Time| row(worker, F.0, 0, worker, now);
-    (2..5).for_each(|w| d.saw(t0 + Time(w * 100), WorkerId(w), F, Hint::Loading, 0));
+    (2..5).for_each(|w| d.observe(t0 + Time(w * 100), WorkerId(w), F, Hint::Loading, 0));
     assert!(sent(&mut d, t0 + Time(900)).is_empty());
     assert_eq!(sent(&mut d, t0 + Time(1_000)).iter().map(|(.., s)| s.len()).collect::<Vec<_>>(), [3, 3]);
-    d.saw(t0 + Time(1_100), WorkerId(6), F, Hint::Loading, 0);
-    d.sighted(t0 + Time(1_100), all[1], vec![row_of(7, t0 + Time(1_100))]);
-    d.asked(t0 + Time(1_100), all[2], &[F]);
+    d.observe(t0 + Time(1_100), WorkerId(6), F, Hint::Loading, 0);
+    d.observations_received(t0 + Time(1_100), all[1], vec![row_of(7, t0 + Time(1_100))]);
+    d.question_received(t0 + Time(1_100), all[2], &[F]);
     let told = sent(&mut d, t0 + Time(1_100));
     assert_eq!(told.len(), 1, "one that asked is answered at once, another not told for it");
     assert_eq!((told[0].0, told[0].2.len()), (all[2], 1), "and what waits goes along");
     // The same again, two seconds on.
     let t1 = t0 + Time(30_000);
-    d.saw(t1, WorkerId(6), F, Hint::Loading, 0);
+    d.observe(t1, WorkerId(6), F, Hint::Loading, 0);
     assert!(!sent(&mut d, t1).is_empty());
-    d.saw(t1 + Time(100), WorkerId(4), F, Hint::Loading, 0);
+    d.observe(t1 + Time(100), WorkerId(4), F, Hint::Loading, 0);
     assert!(sent(&mut d, t1 + Time(2_900)).is_empty());
     assert!(!sent(&mut d, t1 + Time(3_000)).is_empty());
 }
@@ -938,14 +950,14 @@
 fn what_becomes_news_while_it_waits_leaves_as_news() {
     let (mut d, _) = alone(3);
     let t0 = Time(1_000_000);
-    (1..3).for_each(|w| d.saw(t0, WorkerId(w), F, Hint::Loading, 0));
+    (1..3).for_each(|w| d.observe(t0, WorkerId(w), F, Hint::Loading, 0));
     assert!(!sent(&mut d, t0).is_empty());
     let t1 = t0 + Time(20_000);
-    d.saw(t1, WorkerId(2), F, Hint::Loading, 0);
+    d.observe(t1, WorkerId(2), F, Hint::Loading, 0);
     assert!(!sent(&mut d, t1).is_empty());
-    d.saw(t1 + Time(10), WorkerId(1), F, Hint::Loading, 0);
+    d.observe(t1 + Time(10), WorkerId(1), F, Hint::Loading, 0);
     assert!(sent(&mut d, t1 + Time(10)).is_empty(), "it waits for more of the kind");
-    d.saw(t1 + Time(20), WorkerId(1), F, Hint::Warm, 0);
+    d.observe(t1 + Time(20), WorkerId(1), F, Hint::Warm, 0);
     let told = sent(&mut d, t1 + Time(20));
     assert!(told.iter().all(|(.., s)| s.len() == 1 && s[0].hint == Hint::Warm) && told.len() == 2);
     assert!(sent(&mut d, t1 + Time(9_000)).is_empty(), "once");
@@ -956,22 +968,22 @@
 fn what_goes_round_the_rings_leaves_a_reserve_to_the_directory() {
     let (mut d, all) = alone_with(3, 3_000);
     let now = Time(1_000_000);
-    assert_eq!(d.spare(now), 1_500);
-    d.spent(1_500);
-    assert_eq!(d.spare(now), 0);
-    d.asked(now, all[1], &[F]);
+    assert_eq!(d.gossip_allowance(now), 1_500);
+    d.charge(1_500);
+    assert_eq!(d.gossip_allowance(now), 0);
+    d.question_received(now, all[1], &[F]);
     assert_eq!(sent(&mut d, now).len(), 1);
-    d.spent(600);
-    assert_eq!(d.spare(now + Time(2_000)), 0, "what the directory has used comes first");
-    assert_eq!(d.spare(now + Time(3_000)), 300);
+    d.charge(600);
+    assert_eq!(d.gossip_allowance(now + Time(2_000)), 0, "what the directory has used comes first");
+    assert_eq!(d.gossip_allowance(now + Time(3_000)), 300);
 }
 
 #[test]
 fn one_that_takes_no_part_is_neither_asked_nor_told() {
     let (mut d, all) = alone(3);
-    assert!(d.stranger(all[1]));
-    d.members(all[0], all.iter().copied());
-    assert_eq!(d.towards(F), [all[2]]);
+    assert!(d.mark_non_participant(all[1]));
+    d.update_members(all[0], all.iter().copied());
+    assert_eq!(d.contacts_for(F), [all[2]]);
     assert_eq!(d.holders(F).map(|h| h.len()), Some(2));
 }
 
@@ -983,12 +995,12 @@
     ) {
         let now = Time(1_000_000);
         // Each of a run of its own: the numbers of one run come in its order.
-        let seen = |(no, (w, f, age)): (usize, (u64, u64, u64))| Seen { run: Run(100 + no as u64), ..row(w, f, age, 1, now) };
-        let mut numbered: Vec<Seen> = rows.into_iter().enumerate().map(seen).collect();
-        let told = |order: &[Seen]| {
+        let seen = |(no, (w, f, age)): (usize, (u64, u64, u64))| Observation { run: Run(100 + no as u64), ..row(w, f, age, 1, now) };
+        let mut numbered: Vec<Observation> = rows.into_iter().enumerate().map(seen).collect();
+        let told = |order: &[Observation]| {
             let (mut d, all) = alone(3);
-            order.iter().for_each(|s| drop(d.sighted(now, all[1], vec![*s, *s])));
-            d.asked(now, all[2], &[FunctionId(0), FunctionId(1), FunctionId(2)]);
+            order.iter().for_each(|s| drop(d.observations_received(now, all[1], vec![*s, *s])));
+            d.question_received(now, all[2], &[FunctionId(0), FunctionId(1), FunctionId(2)]);
             let mut all: Vec<(WorkerId, FunctionId, Time)> = sent(&mut d, now).into_iter().filter(|(to, ..)| *to == all[2])
                 .flat_map(|(_, copies, _)| copies).map(|s| (s.worker, s.function, s.at)).collect();
             all.sort();
--- a/crates/curlewpoint-fleet/tests/lists.rs
+++ b/crates/curlewpoint-fleet/tests/lists.rs
@@ -6,8 +6,10 @@
 use std::collections::BTreeSet;
 
 use common::{Acts, Net, MS};
-use curlewpoint::types::{Standing as Ready, Time};
-use curlewpoint_fleet::{frames, Bounds, Entry, Fleet, InstanceId, LinkId, MemberId, Run, Source, Taken};
+use curlewpoint::types::{Standing as Lifecycle, Time};
+use curlewpoint_fleet::{
+    frames, EndpointEntry, Fleet, FleetLimits, InstanceId, LinkId, ListOutcome, ListSource, MemberId, Run,
+};
 use curlewpoint_wire::{Field, Frame, Kind, HEAD_BYTES};
 use proptest::prelude::*;
 use test_case::test_case;
@@ -187,8 +189,14 @@
 
 // One instance alone, and peers that are played.
 
-const BOUNDS: Bounds =
-    Bounds { instances: 100, links: 100, watchers: 3, slack: Time(1_500), hints: Time(80_000), hinted: true };
+const BOUNDS: FleetLimits = FleetLimits {
+    max_instances: 100,
+    max_inbound_links: 100,
+    watchers: 3,
+    answer_slack: Time(1_500),
+    hint_lifetime: Time(80_000),
+    exchange_hints: true,
+};
 
 struct Alone {
     now: Time,
@@ -218,14 +226,24 @@
     fn peer_on(&mut self, link: u64, no: u64) -> LinkId {
         let (link, name) = (LinkId(1 << 63 | link), format!("peer-{no}"));
         let id = MemberId { instance: InstanceId::of(&name), run: Run(9) };
-        self.fleet.link_in(self.now, &mut self.acts, link);
-        self.fleet.reads_rows(link);
-        self.fleet.joined(self.now, &mut self.acts, link, "f", id, &name, &name, Default::default(), 5);
+        self.fleet.link_accepted(self.now, &mut self.acts, link);
+        self.fleet.peer_reads_list_rows(link);
+        self.fleet.join_received(
+            self.now,
+            &mut self.acts,
+            link,
+            "f",
+            id,
+            &name,
+            &name,
+            Default::default(),
+            5,
+        );
         link
     }
 
     fn beat(&mut self, link: LinkId, held: Option<(u64, u64)>) {
-        self.fleet.beaten(self.now, &mut self.acts, link, (1, 0), 7, held, None, true, false);
+        self.fleet.heartbeat_received(self.now, &mut self.acts, link, (1, 0), 7, held, None, true, false);
     }
 
     fn pass(&mut self, ms: u64) {
@@ -234,7 +252,7 @@
     }
 
     fn read(&mut self, link: LinkId, frame: &Frame) -> bool {
-        frames::read(&mut self.fleet, self.now, &mut self.acts, link, frame).is_ok()
+        frames::dispatch(&mut self.fleet, self.now, &mut self.acts, link, frame).is_ok()
     }
 }
 
@@ -246,7 +264,7 @@
     me.beat(slow, Some((3, 3)));
     me.beat(other, Some((3, 3)));
     assert_eq!(me.acts.list_asked, [slow]);
-    assert!(me.read(slow, &frames::list_frame((3, 3), None)));
+    assert!(me.read(slow, &frames::list_begin_frame((3, 3), None)));
     for no in 0..49 {
         me.pass(100);
         assert!(me.read(slow, &frames::entry_frame(me.now, &format!("w-{no}"), &entry("a"))));
@@ -256,13 +274,13 @@
     }
     me.pass(100);
     assert_eq!(me.acts.list_asked, [slow, other]);
-    for frame in [frames::list_frame((3, 3), None), frames::list_end_frame()] {
+    for frame in [frames::list_begin_frame((3, 3), None), frames::list_end_frame()] {
         assert!(me.read(other, &frame));
     }
-    assert_eq!(me.fleet.book().held(), Some((3, 3)));
+    assert_eq!(me.fleet.endpoints().held(), Some((3, 3)));
     assert_eq!(me.acts.list_asked, [slow, other, slow], "the slow one hears that it is not wanted any more");
     assert!(me.read(slow, &frames::list_end_frame()));
-    assert!(me.fleet.book().is_empty(), "what it told was never whole");
+    assert!(me.fleet.endpoints().is_empty(), "what it told was never whole");
 }
 
 /// Guards against being told the whole by all who hear of one that starts before its introducer has told it.
@@ -297,22 +315,23 @@
     let (one, two) = (me.peer(1), me.peer(2));
     let tell = |me: &mut Alone, link: LinkId, version| {
         assert!(
-            me.read(link, &frames::list_frame(version, None)) && me.read(link, &frames::list_end_frame())
+            me.read(link, &frames::list_begin_frame(version, None))
+                && me.read(link, &frames::list_end_frame())
         );
     };
     tell(&mut me, one, (1, 1));
     for _ in 0..6 {
         me.beat(one, Some((5, 1)));
-        if me.acts.list_asked.len() == 1 && me.fleet.refusals() == 0 {
+        if me.acts.list_asked.len() == 1 && me.fleet.refusal_count() == 0 {
             tell(&mut me, one, (5, 1));
         }
         me.beat(two, Some((1, 1)));
         me.pass(300);
     }
-    assert_eq!((me.fleet.book().held(), &me.acts.list_asked[..]), (Some((1, 1)), &[one][..]));
+    assert_eq!((me.fleet.endpoints().held(), &me.acts.list_asked[..]), (Some((1, 1)), &[one][..]));
     me.beat(two, Some((5, 1)));
     tell(&mut me, two, (5, 1));
-    assert_eq!(me.fleet.book().held(), Some((5, 1)));
+    assert_eq!(me.fleet.endpoints().held(), Some((5, 1)));
     assert_eq!(me.acts.list_asked, [one, two]);
 }
 
@@ -321,20 +340,22 @@
 fn whoever_asks_again_while_it_is_told_is_told_once() {
     let mut me = Alone::new();
     let now = me.now;
-    me.fleet.list_begins(now, None, 1, 1, None);
-    (0..MANY).for_each(|no| me.fleet.list_row(now, None, &format!("worker-{no:06}"), entry("127.0.0.1:1")));
-    me.fleet.list_ends(now, &mut me.acts, None);
+    me.fleet.list_begin_received(now, None, 1, 1, None);
+    (0..MANY).for_each(|no| {
+        me.fleet.list_entry_received(now, None, &format!("worker-{no:06}"), entry("127.0.0.1:1"))
+    });
+    me.fleet.list_end_received(now, &mut me.acts, None);
     let link = me.peer(1);
     for _ in 0..5 {
         me.pass(300);
-        me.fleet.list_asked(me.now, &mut me.acts, link, None);
+        me.fleet.list_requested(me.now, &mut me.acts, link, None);
     }
     assert_eq!(me.acts.wholes, 1);
     let part = me.acts.list_bytes;
     assert!(part < 256 << 10, "{part} bytes without a sign that any were read");
     // It has got one from elsewhere: it is told no further.
-    me.fleet.list_asked(me.now, &mut me.acts, link, Some((1, 1)));
-    me.fleet.beaten(me.now, &mut me.acts, link, (9, u64::MAX), 7, None, None, true, false);
+    me.fleet.list_requested(me.now, &mut me.acts, link, Some((1, 1)));
+    me.fleet.heartbeat_received(me.now, &mut me.acts, link, (9, u64::MAX), 7, None, None, true, false);
     assert_eq!((me.acts.wholes, me.acts.list_bytes), (1, part));
 }
 
@@ -344,11 +365,11 @@
 fn changes_wait_for_the_end_of_the_whole() {
     let mut me = Alone::new();
     let told = |me: &mut Alone, version, from: Option<u64>, rows: usize| {
-        me.fleet.list_begins(me.now, None, 1, version, from);
+        me.fleet.list_begin_received(me.now, None, 1, version, from);
         for no in 0..rows {
-            me.fleet.list_row(me.now, None, &format!("worker-{no:06}"), entry("127.0.0.1:1"));
+            me.fleet.list_entry_received(me.now, None, &format!("worker-{no:06}"), entry("127.0.0.1:1"));
         }
-        me.fleet.list_ends(me.now, &mut me.acts, None);
+        me.fleet.list_end_received(me.now, &mut me.acts, None);
     };
     told(&mut me, 1, None, MANY);
     told(&mut me, 2, Some(1), 1);
@@ -356,15 +377,25 @@
     let (link, id) = (LinkId(1), MemberId { instance: InstanceId::of("old"), run: Run(9) });
     me.pass(100);
     me.fleet.link_up(me.now, &mut me.acts, link);
-    me.fleet.joined(me.now, &mut me.acts, link, "f", id, "old", "old", Default::default(), 5);
+    me.fleet.join_received(me.now, &mut me.acts, link, "f", id, "old", "old", Default::default(), 5);
     me.beat(link, Some((1, 1)));
-    me.fleet.list_asked(me.now, &mut me.acts, link, None);
+    me.fleet.list_requested(me.now, &mut me.acts, link, None);
     assert_eq!((me.acts.lists, me.acts.wholes), (1, 1));
     told(&mut me, 3, Some(2), 1);
     assert_eq!(me.acts.lists, 1, "in its midst");
     for _ in 0..60 {
         me.pass(100);
-        me.fleet.beaten(me.now, &mut me.acts, link, (9, u64::MAX), 7, Some((1, 1)), None, true, false);
+        me.fleet.heartbeat_received(
+            me.now,
+            &mut me.acts,
+            link,
+            (9, u64::MAX),
+            7,
+            Some((1, 1)),
+            None,
+            true,
+            false,
+        );
     }
     assert_eq!((me.acts.lists, me.acts.wholes), (2, 1), "behind it");
 }
@@ -372,43 +403,49 @@
 /// One that has been told more meanwhile takes the changes since an earlier version: no whole list is needed.
 #[test]
 fn changes_since_before_what_is_held_are_taken() {
-    let mut book = curlewpoint_fleet::Book::new(10);
-    let by = Source::Peer(InstanceId(1));
-    let tell = |book: &mut curlewpoint_fleet::Book, version, from, rows: &[(&str, u64)]| {
-        book.begins(1, 1, version, from);
-        rows.iter().for_each(|(name, start)| book.row(1, name, Entry { start: *start, ..entry("a") }));
-        book.ends(1, by)
+    let mut book = curlewpoint_fleet::EndpointTable::new(10);
+    let by = ListSource::Peer(InstanceId(1));
+    let tell = |book: &mut curlewpoint_fleet::EndpointTable, version, from, rows: &[(&str, u64)]| {
+        book.begin(1, 1, version, from);
+        rows.iter().for_each(|(name, start)| {
+            book.push_entry(1, name, EndpointEntry { start: *start, ..entry("a") })
+        });
+        book.finish(1, by)
     };
-    assert_eq!(tell(&mut book, 1, None, &[("v", 1), ("w", 1)]), Taken::New(None));
-    assert_eq!(tell(&mut book, 2, Some(1), &[("v", 2)]), Taken::New(Some(1)));
-    assert_eq!(tell(&mut book, 3, Some(1), &[("v", 2), ("w", 3)]), Taken::New(Some(1)));
-    assert_eq!(tell(&mut book, 9, Some(4), &[("w", 9)]), Taken::Gap, "what changed with 4 is not known");
-    let starts: Vec<u64> = book.whole().values().map(|e| e.start).collect();
+    assert_eq!(tell(&mut book, 1, None, &[("v", 1), ("w", 1)]), ListOutcome::Accepted(None));
+    assert_eq!(tell(&mut book, 2, Some(1), &[("v", 2)]), ListOutcome::Accepted(Some(1)));
+    assert_eq!(tell(&mut book, 3, Some(1), &[("v", 2), ("w", 3)]), ListOutcome::Accepted(Some(1)));
+    assert_eq!(
+        tell(&mut book, 9, Some(4), &[("w", 9)]),
+        ListOutcome::Gap,
+        "what changed with 4 is not known"
+    );
+    let starts: Vec<u64> = book.entries().values().map(|e| e.start).collect();
     assert_eq!((book.held(), starts), (Some((1, 3)), vec![2, 3]));
 }
 
 // Frames.
 
-fn entry(address: &str) -> Entry {
+fn entry(address: &str) -> EndpointEntry {
     let (zone, cell) = ("zone-03".to_owned(), "cell-0007".to_owned());
-    Entry {
+    EndpointEntry {
         address: address.into(),
-        standing: Ready::Draining,
+        lifecycle: Lifecycle::Draining,
         start: 1 << 40,
-        since: None,
+        started_at: None,
         zone,
         cell,
         size: 0.5,
     }
 }
 
-fn rows(of: &[(String, String)]) -> Vec<(String, Entry)> {
+fn rows(of: &[(String, String)]) -> Vec<(String, EndpointEntry)> {
     of.iter().map(|(name, address)| (name.clone(), entry(address))).collect()
 }
 
-fn frame_of(rows: &[(String, Entry)]) -> Frame {
-    let rows: Vec<(&str, &Entry)> = rows.iter().map(|(n, e)| (n.as_str(), e)).collect();
-    frames::rows_frame(Time(900_000_000), &rows)
+fn frame_of(rows: &[(String, EndpointEntry)]) -> Frame {
+    let rows: Vec<(&str, &EndpointEntry)> = rows.iter().map(|(n, e)| (n.as_str(), e)).collect();
+    frames::entries_frame(Time(900_000_000), &rows)
 }
 
 /// However long names are, a frame keeps within what a peer reads, and all is read again. [`Acts`] asserts the bound.
@@ -418,14 +455,16 @@
 fn a_whole_list_keeps_within_frames_that_peers_read(length: usize) {
     let mut me = Alone::new();
     let now = me.now;
-    me.fleet.list_begins(now, None, 1, 1, None);
-    (0..300).for_each(|no| me.fleet.list_row(now, None, &format!("{no:0length$}"), entry("127.0.0.1:1")));
-    me.fleet.list_ends(now, &mut me.acts, None);
+    me.fleet.list_begin_received(now, None, 1, 1, None);
+    (0..300).for_each(|no| {
+        me.fleet.list_entry_received(now, None, &format!("{no:0length$}"), entry("127.0.0.1:1"))
+    });
+    me.fleet.list_end_received(now, &mut me.acts, None);
     let link = me.peer(1);
-    me.fleet.list_asked(now, &mut me.acts, link, None);
+    me.fleet.list_requested(now, &mut me.acts, link, None);
     for _ in 0..100 {
         me.pass(1_000);
-        me.fleet.beaten(me.now, &mut me.acts, link, (9, u64::MAX), 7, None, None, true, false);
+        me.fleet.heartbeat_received(me.now, &mut me.acts, link, (9, u64::MAX), 7, None, None, true, false);
     }
     assert_eq!(me.acts.wholes, 1);
     assert!(me.acts.list_bytes >= 300 * length, "{} bytes", me.acts.list_bytes);
@@ -433,9 +472,10 @@
 
 #[test]
 fn more_rows_than_a_frame_may_have_are_spoilt() {
-    let named = |n: usize| -> Vec<(String, Entry)> { (0..n).map(|no| (no.to_string(), entry(""))).collect() };
-    assert_eq!(frames::read_rows(Time(900_000_000), &frame_of(&named(1_024))).map(|r| r.len()), Ok(1_024));
-    assert!(frames::read_rows(Time(900_000_000), &frame_of(&named(1_025))).is_err());
+    let named =
+        |n: usize| -> Vec<(String, EndpointEntry)> { (0..n).map(|no| (no.to_string(), entry(""))).collect() };
+    assert_eq!(frames::read_entries(Time(900_000_000), &frame_of(&named(1_024))).map(|r| r.len()), Ok(1_024));
+    assert!(frames::read_entries(Time(900_000_000), &frame_of(&named(1_025))).is_err());
 }
 
 /// Nothing of it is taken, and neither is what came before it on that link; others go on.
@@ -446,21 +486,21 @@
     let whole = frame_of(&rows(&[("v".into(), "a".into()), ("w".into(), "b".into())]));
     let spoilt = Frame::new(Kind::LIST_ROWS).body(whole.body.slice(..whole.body.len() - 1));
     let no_name = Frame::new(Kind::LIST_ROWS).body(vec![0, 0]);
-    assert!(me.read(bad, &frames::list_frame((1, 1), None)) && me.read(bad, &whole));
+    assert!(me.read(bad, &frames::list_begin_frame((1, 1), None)) && me.read(bad, &whole));
     assert!(!me.read(bad, &no_name) && !me.read(bad, &spoilt));
     me.fleet.link_down(me.now, &mut me.acts, bad);
     assert!(me.read(bad, &frames::list_end_frame()));
-    assert_eq!(me.fleet.book().held(), None);
-    for frame in [frames::list_frame((1, 1), None), whole, frames::list_end_frame()] {
+    assert_eq!(me.fleet.endpoints().held(), None);
+    for frame in [frames::list_begin_frame((1, 1), None), whole, frames::list_end_frame()] {
         assert!(me.read(good, &frame));
     }
-    assert_eq!((me.fleet.book().held(), me.fleet.book().len()), (Some((1, 1)), 2));
+    assert_eq!((me.fleet.endpoints().held(), me.fleet.endpoints().len()), (Some((1, 1)), 2));
 }
 
 #[test]
 fn whoever_joins_says_that_it_reads_rows_and_others_pass_that_over() {
     let mut me = Alone::new();
-    let member = me.fleet.table().get(me.fleet.me()).expect("itself").clone();
+    let member = me.fleet.members().get(me.fleet.own_id()).expect("itself").clone();
     let id = MemberId { instance: InstanceId::of("me"), run: Run(9) };
     let join = frames::join_frame("f", id, &member, 5);
     assert_eq!(join.get_int(Field::READS_ROWS), Ok(1));
@@ -478,9 +518,9 @@
     ) {
         let now = Time(1 << 41);
         let since = age.map(|a| now - Time(a));
-        let all: Vec<(String, Entry)> = rows(&of).into_iter().map(|(n, e)| (n, Entry { since, ..e })).collect();
-        let refs: Vec<(&str, &Entry)> = all.iter().map(|(n, e)| (n.as_str(), e)).collect();
-        prop_assert_eq!(frames::read_rows(now, &frames::rows_frame(now, &refs)), Ok(all));
+        let all: Vec<(String, EndpointEntry)> = rows(&of).into_iter().map(|(n, e)| (n, EndpointEntry { started_at: since, ..e })).collect();
+        let refs: Vec<(&str, &EndpointEntry)> = all.iter().map(|(n, e)| (n.as_str(), e)).collect();
+        prop_assert_eq!(frames::read_entries(now, &frames::entries_frame(now, &refs)), Ok(all));
     }
 
     /// A frame that is cut anywhere is spoilt, but between two rows; one with any byte changed is never a panic.
@@ -494,10 +534,10 @@
         let ends: Vec<usize> = (0..=all.len()).map(|n| frame_of(&all[..n]).body.len()).collect();
         let at = at.index(whole.body.len());
         let cut = Frame::new(Kind::LIST_ROWS).body(whole.body.slice(..at));
-        prop_assert_eq!(frames::read_rows(now, &cut).is_ok(), ends.contains(&at));
+        prop_assert_eq!(frames::read_entries(now, &cut).is_ok(), ends.contains(&at));
         let mut bytes = whole.body.to_vec();
         bytes[at] = with;
-        let _ = frames::read_rows(now, &Frame::new(Kind::LIST_ROWS).body(bytes));
+        let _ = frames::read_entries(now, &Frame::new(Kind::LIST_ROWS).body(bytes));
     }
 }
 
--- a/crates/curlewpoint-fleet/tests/properties.rs
+++ b/crates/curlewpoint-fleet/tests/properties.rs
@@ -5,19 +5,35 @@
 use std::collections::BTreeSet;
 
 use common::Net;
-use curlewpoint::types::{FunctionId, Hint, Standing as Ready, Time, WorkerId};
-use curlewpoint_fleet::{Book, Entry, Hints, InstanceId, Run, Seen, Source, Standing};
+use curlewpoint::types::{FunctionId, Hint, Standing as Lifecycle, Time, WorkerId};
+use curlewpoint_fleet::{
+    EndpointEntry, EndpointTable, HintTable, InstanceId, ListSource, MemberState, Observation, Run,
+};
 use proptest::prelude::*;
 
-fn standing() -> impl Strategy<Value = Standing> {
+fn standing() -> impl Strategy<Value = MemberState> {
     (0u64..4, any::<bool>(), any::<bool>(), any::<bool>(), 0u8..16).prop_map(
-        |(incarnation, left, dead, blind, doubts)| Standing { incarnation, left, dead, blind, doubts },
+        |(incarnation, left, dead, blind, doubts)| MemberState {
+            incarnation,
+            left,
+            dead,
+            list_service_lost: blind,
+            suspicions: doubts,
+        },
     )
 }
 
-fn entry(start: u64) -> Entry {
+fn entry(start: u64) -> EndpointEntry {
     let (zone, cell) = Default::default();
-    Entry { address: "a".into(), standing: Ready::Ready, start, since: None, zone, cell, size: 1.0 }
+    EndpointEntry {
+        address: "a".into(),
+        lifecycle: Lifecycle::Ready,
+        start,
+        started_at: None,
+        zone,
+        cell,
+        size: 1.0,
+    }
 }
 
 proptest! {
@@ -35,39 +51,39 @@
     fn a_list_never_goes_back(
         told in proptest::collection::vec((0u64..3, 1u64..6, proptest::option::of(0u64..6), 0u64..4, any::<bool>()), 1..40)
     ) {
-        let mut book = Book::new(10);
+        let mut book = EndpointTable::new(10);
         let mut held = None;
         for (epoch, version, from, peer, cut) in told {
-            book.begins(peer, epoch, version, from);
-            book.row(peer, "w", entry(version));
+            book.begin(peer, epoch, version, from);
+            book.push_entry(peer, "w", entry(version));
             if cut {
-                book.broke(peer);
+                book.abort(peer);
             }
-            let by = if peer == 0 { Source::Service } else { Source::Peer(InstanceId(peer)) };
-            book.ends(peer, by);
+            let by = if peer == 0 { ListSource::Service } else { ListSource::Peer(InstanceId(peer)) };
+            book.finish(peer, by);
             prop_assert!(book.held() >= held);
             held = book.held();
         }
-        book.begins(0, 3, 1, None);
-        book.row(0, "w", entry(9));
-        book.ends(0, Source::Service);
+        book.begin(0, 3, 1, None);
+        book.push_entry(0, "w", entry(9));
+        book.finish(0, ListSource::Service);
         prop_assert_eq!(book.held(), Some((3, 1)));
-        let whole: Vec<_> = book.since(None).into_iter().map(|(n, e)| (n.to_owned(), e.clone())).collect();
+        let whole: Vec<_> = book.entries_since(None).into_iter().map(|(n, e)| (n.to_owned(), e.clone())).collect();
         prop_assert_eq!(whole, vec![("w".to_owned(), entry(9))]);
     }
 }
 
-fn sight() -> impl Strategy<Value = Seen> {
+fn sight() -> impl Strategy<Value = Observation> {
     let hint = prop_oneof![Just(Hint::Gone), Just(Hint::Full), Just(Hint::Loading), Just(Hint::Warm)];
     (0u64..3, 0u64..3, hint, 0u64..4, 0u64..9, 0u64..4).prop_map(|(worker, function, hint, held, at, run)| {
-        Seen {
+        Observation {
             worker: WorkerId(worker),
             function: FunctionId(function),
             hint,
-            held,
-            at: Time(1_000 + at),
+            held_rpcs: held,
+            observed_at: Time(1_000 + at),
             run: Run(run),
-            no: 0,
+            seq: 0,
         }
     })
 }
@@ -76,32 +92,32 @@
     /// Each run's sights come in its order on every way and later ones are no older; runs interleave, and rows repeat.
     #[test]
     fn sights_end_alike_whatever_way_they_came(all in proptest::collection::vec(sight(), 1..40), picks in proptest::collection::vec(0usize..4, 200), repeats in proptest::collection::vec(any::<bool>(), 200)) {
-        let mut queues: Vec<Vec<Seen>> = (0..4).map(|r| {
-            let mut of: Vec<Seen> = all.iter().filter(|s| s.run == Run(r)).copied().collect();
-            of.sort_by_key(|s| s.at);
-            of.iter_mut().enumerate().for_each(|(no, s)| s.no = no as u64 + 1);
+        let mut queues: Vec<Vec<Observation>> = (0..4).map(|r| {
+            let mut of: Vec<Observation> = all.iter().filter(|s| s.run == Run(r)).copied().collect();
+            of.sort_by_key(|s| s.observed_at);
+            of.iter_mut().enumerate().for_each(|(no, s)| s.seq = no as u64 + 1);
             of
         }).collect();
         let (now, keep) = (Time(2_000), Time(80_000));
-        let mut plain = Hints::new(now, keep, 100);
+        let mut plain = HintTable::new(now, keep, 100);
         for s in queues.iter().flatten() {
-            plain.told(now, *s);
+            plain.receive(now, *s);
         }
-        let mut mixed = Hints::new(now, keep, 100);
+        let mut mixed = HintTable::new(now, keep, 100);
         queues.iter_mut().for_each(|q| q.reverse());
-        let mut came: Vec<Seen> = Vec::new();
+        let mut came: Vec<Observation> = Vec::new();
         for (pick, again) in picks.into_iter().zip(repeats) {
             let Some(s) = queues[pick].pop() else { continue };
-            mixed.told(now, s);
+            mixed.receive(now, s);
             came.push(s);
             if again {
-                prop_assert!(!mixed.told(now, came[came.len() / 2]), "known by its number");
+                prop_assert!(!mixed.receive(now, came[came.len() / 2]), "known by its number");
             }
         }
         for s in queues.into_iter().flat_map(|q| q.into_iter().rev()) {
-            mixed.told(now, s);
+            mixed.receive(now, s);
         }
-        prop_assert_eq!(mixed.whole(), plain.whole());
+        prop_assert_eq!(mixed.ordered(), plain.ordered());
     }
 }
 
@@ -112,20 +128,20 @@
         mut order in Just((1u64..=100).collect::<Vec<u64>>()).prop_shuffle(), from in 0u64..1_000, again in 0usize..100
     ) {
         let (now, keep) = (Time(1_000_000), Time(80_000));
-        let seen = |no: u64| Seen {
-            worker: WorkerId(no % 7), function: FunctionId(no % 5), hint: Hint::Warm, held: 0,
-            at: now - Time(1_000 - no), run: Run(1), no: from + no,
+        let seen = |no: u64| Observation {
+            worker: WorkerId(no % 7), function: FunctionId(no % 5), hint: Hint::Warm, held_rpcs: 0,
+            observed_at: now - Time(1_000 - no), run: Run(1), seq: from + no,
         };
-        let (mut plain, mut mixed) = (Hints::new(now, keep, 100), Hints::new(now, keep, 100));
+        let (mut plain, mut mixed) = (HintTable::new(now, keep, 100), HintTable::new(now, keep, 100));
         for (in_order, no) in (1..=100).zip(&order) {
-            plain.told(now, seen(in_order));
-            mixed.told(now, seen(*no));
+            plain.receive(now, seen(in_order));
+            mixed.receive(now, seen(*no));
         }
-        prop_assert_eq!(mixed.whole(), plain.whole());
+        prop_assert_eq!(mixed.ordered(), plain.ordered());
         // Known by their numbers, also where they look younger by now.
         order.rotate_left(again);
         for no in order {
-            prop_assert!(!mixed.told(now, Seen { at: now, ..seen(no) }), "{}", no);
+            prop_assert!(!mixed.receive(now, Observation { observed_at: now, ..seen(no) }), "{}", no);
         }
     }
 }
@@ -213,7 +229,7 @@
         prop_assert_eq!(net.counts(), BTreeSet::from([living]));
         prop_assert_eq!(net.lists(), BTreeSet::from([Some(net.version)]));
         prop_assert_eq!(net.watchers(), living.min(3));
-        prop_assert!(net.acted().iter().all(|a| *a >= living as u64));
+        prop_assert!(net.instance_counts().iter().all(|a| *a >= living as u64));
     }
 
     /// Rule 4's claim: with joins, losses and restarts that are heard of, and one of the peers to begin
