--- a/crates/curlewpoint-fleet/tests/stories.rs
+++ b/crates/curlewpoint-fleet/tests/stories.rs
@@ -25,7 +25,7 @@
     assert!(net.alike(), "{:?}", net.counts());
     assert_eq!(net.counts(), BTreeSet::from([n]));
     assert_eq!(net.lists(), BTreeSet::from([Some((1, 1))]));
-    assert_eq!(net.acted(), BTreeSet::from([n as u64]));
+    assert_eq!(net.instance_counts(), BTreeSet::from([n as u64]));
     assert!(net.service_dials.len() <= 12, "{} dials", net.service_dials.len());
     net.run(4_000);
     assert_eq!(net.watchers(), n.min(3));
@@ -49,7 +49,11 @@
     dead.iter().for_each(|no| net.kill(ids[*no]));
     net.run(8_000);
     assert_eq!(net.counts(), BTreeSet::from([12]));
-    assert_eq!(net.acted(), BTreeSet::from([40]), "those given up may be behind a cut, and count on");
+    assert_eq!(
+        net.instance_counts(),
+        BTreeSet::from([40]),
+        "those given up may be behind a cut, and count on"
+    );
     assert_eq!(net.watchers(), 3);
     for no in &dead {
         net.start(*no, &[0, 30, 35]);
@@ -57,7 +61,7 @@
     net.change();
     net.run(8_000);
     assert_eq!(net.counts(), BTreeSet::from([40]));
-    assert_eq!(net.acted(), BTreeSet::from([40]));
+    assert_eq!(net.instance_counts(), BTreeSet::from([40]));
     assert_eq!(net.lists(), BTreeSet::from([Some((1, 2))]));
     assert!(net.worst_sum <= 1.0 + 1e-6, "{}", net.worst_sum);
 }
@@ -68,9 +72,9 @@
     net.run(6_000);
     net.leave(ids[3]);
     net.run(2_000);
-    assert_eq!((net.counts(), net.acted()), (BTreeSet::from([9]), BTreeSet::from([10])));
+    assert_eq!((net.counts(), net.instance_counts()), (BTreeSet::from([9]), BTreeSet::from([10])));
     net.run(12_000);
-    assert_eq!(net.acted(), BTreeSet::from([9]));
+    assert_eq!(net.instance_counts(), BTreeSet::from([9]));
 }
 
 #[test]
@@ -82,7 +86,7 @@
     net.change();
     net.run(15_000);
     assert_eq!(net.counts(), BTreeSet::from([10, 14]));
-    assert_eq!(net.acted(), BTreeSet::from([24]), "each side counts the other on");
+    assert_eq!(net.instance_counts(), BTreeSet::from([24]), "each side counts the other on");
     assert_eq!(net.lists(), BTreeSet::from([Some((1, 2))]), "each side has found its watchers");
     net.cut.clear();
     net.run(15_000);
@@ -129,14 +133,14 @@
         net.run(5_000);
         net.change();
         net.run(4_999);
-        let others = |net: &Net| net.nodes[&ids[5]].fleet.table().living().count();
+        let others = |net: &Net| net.nodes[&ids[5]].fleet.members().alive().count();
         assert_eq!(others(&net), 11);
         // It wakes with the old list: from its first step on it holds, until it has heard, and no longer than it may.
         let (mut held, mut knew) = (0, 0);
         for _ in 0..200 {
             net.run(1);
             let node = &net.nodes[&ids[4]];
-            if node.fleet.holds(net.now) {
+            if node.fleet.is_holding(net.now) {
                 held += 1;
                 knew += u64::from(node.acts.list != Some((1, 1)));
             }
@@ -146,7 +150,7 @@
         net.run(5_000);
         assert_eq!(net.lists(), BTreeSet::from([Some((1, 2))]));
         assert_eq!(net.counts(), BTreeSet::from([12]));
-        assert!(!net.nodes[&ids[4]].fleet.holds(net.now));
+        assert!(!net.nodes[&ids[4]].fleet.is_holding(net.now));
     }
 }
 
@@ -184,12 +188,12 @@
     net.run(6_000);
     let again = net.start(3, &[0, 1]);
     net.run(1_500);
-    assert!(net.nodes[&ids[0]].fleet.number().acted() >= 9);
+    assert!(net.nodes[&ids[0]].fleet.instance_count().effective() >= 9);
     net.kill(ids[3]);
     net.run(14_000);
-    let table = net.nodes[&again].fleet.table();
-    assert_eq!(table.living().count(), 8);
-    assert_eq!(net.acted(), BTreeSet::from([8]));
+    let table = net.nodes[&again].fleet.members();
+    assert_eq!(table.alive().count(), 8);
+    assert_eq!(net.instance_counts(), BTreeSet::from([8]));
 }
 
 #[test]
@@ -199,12 +203,12 @@
     let now = net.now;
     let node = net.nodes.get_mut(&ids[0]).expect("it lives");
     let mut out = std::mem::take(&mut node.acts);
-    let link = node.fleet.peers().next().expect("it has peers").0;
+    let link = node.fleet.peer_links().next().expect("it has peers").0;
     for epoch in [u64::MAX, 900] {
-        node.fleet.list_begins(now, Some(link), epoch, 1, None);
-        node.fleet.list_ends(now, &mut out, Some(link));
+        node.fleet.list_begin_received(now, Some(link), epoch, 1, None);
+        node.fleet.list_end_received(now, &mut out, Some(link));
     }
-    assert_eq!(node.fleet.book().held(), Some((1, 1)));
+    assert_eq!(node.fleet.endpoints().held(), Some((1, 1)));
     assert!(out.log.iter().any(|l| l.contains("far on")), "{:?}", out.log);
     node.acts = out;
     net.change();
@@ -215,20 +219,20 @@
 #[test]
 fn a_million_members_are_refused_in_one_line() {
     let mut net = Net::new(29, 3);
-    net.bounds.instances = 16;
+    net.bounds.max_instances = 16;
     let id = net.start(9, &[]);
     net.run(500);
     let now = net.now;
     let node = net.nodes.get_mut(&id).expect("it lives");
     let (mut out, link) = (std::mem::take(&mut node.acts), LinkId(1 << 62));
     let of = |name: &str| MemberId { instance: InstanceId::of(name), run: Run(1) };
-    node.fleet.link_in(now, &mut out, link);
-    node.fleet.joined(now, &mut out, link, "f", of("forger"), "forger", "a8", Default::default(), 1);
+    node.fleet.link_accepted(now, &mut out, link);
+    node.fleet.join_received(now, &mut out, link, "f", of("forger"), "forger", "a8", Default::default(), 1);
     for no in 0..1_000 {
         let name = format!("forged-{no}");
-        node.fleet.member(now, &mut out, link, of(&name), &name, "a", Default::default());
+        node.fleet.member_received(now, &mut out, link, of(&name), &name, "a", Default::default());
     }
-    assert_eq!((node.fleet.table().len(), node.fleet.refusals()), (64, 1));
+    assert_eq!((node.fleet.members().len(), node.fleet.refusal_count()), (64, 1));
     assert_eq!(out.refused, ["more members than are kept"]);
 }
 
@@ -247,7 +251,7 @@
     assert_eq!(net.worst_sum > 1.0 + 1e-6, broken, "{}", net.worst_sum);
     net.cut.clear();
     net.run(15_000);
-    assert_eq!((net.counts(), net.acted()), (BTreeSet::from([12]), BTreeSet::from([12])));
+    assert_eq!((net.counts(), net.instance_counts()), (BTreeSet::from([12]), BTreeSet::from([12])));
 }
 
 #[test]
@@ -258,9 +262,9 @@
     let node = net.nodes.get_mut(&ids[0]).expect("it lives");
     let mut out = std::mem::take(&mut node.acts);
     let link = LinkId(1 << 62);
-    node.fleet.link_in(now, &mut out, link);
-    let me = node.fleet.me();
-    node.fleet.joined(now, &mut out, link, "other", me, "x", "a9", Default::default(), 1);
+    node.fleet.link_accepted(now, &mut out, link);
+    let me = node.fleet.own_id();
+    node.fleet.join_received(now, &mut out, link, "other", me, "x", "a9", Default::default(), 1);
     assert_eq!(out.refused, ["this is fleet 'f', not 'other'"]);
 }
 
@@ -272,8 +276,8 @@
     let id = net.start(0, &[1]);
     let now = net.now;
     let node = net.nodes.get_mut(&id).expect("it lives");
-    node.fleet.remember_list(now, 9, 9);
-    node.fleet.remember("a5");
+    node.fleet.restore_list(now, 9, 9);
+    node.fleet.remember_peer("a5");
     net.run(1_900);
     assert_eq!(net.nodes[&id].acts.list, None);
     net.run(300);
@@ -293,7 +297,7 @@
     let mut net = Net::new(43, 2);
     let id = net.start(0, &[]);
     let now = net.now;
-    net.nodes.get_mut(&id).expect("it lives").fleet.remember_list(now, 9, 9);
+    net.nodes.get_mut(&id).expect("it lives").fleet.restore_list(now, 9, 9);
     net.run(5_000);
     assert_eq!(net.nodes[&id].acts.list, Some((1, 1)));
 }
@@ -322,10 +326,10 @@
         net.run(16_000);
         let late = net.start(9, &[0, 1, 2]);
         let node = net.nodes.get_mut(&late).expect("it lives");
-        (0..12).for_each(|no| node.fleet.remember(&format!("gone-{no}")));
+        (0..12).for_each(|no| node.fleet.remember_peer(&format!("gone-{no}")));
         net.run(14_000);
         assert!(net.worst_sum <= 1.0 + 1e-6, "seed {seed}: {}", net.worst_sum);
-        assert_eq!(net.acted(), BTreeSet::from([5]), "seed {seed}");
+        assert_eq!(net.instance_counts(), BTreeSet::from([5]), "seed {seed}");
     }
 }
 
@@ -394,9 +398,9 @@
 fn one_that_keeps_out_of_it_hands_hints_on_and_takes_and_tells_none() {
     let mut net = Net::new(4, 3);
     let one = net.start(0, &[0, 1, 2]);
-    net.bounds.hinted = false;
+    net.bounds.exchange_hints = false;
     let out_of_it = net.start(1, &[0, 1, 2]);
-    net.bounds.hinted = true;
+    net.bounds.exchange_hints = true;
     let two = net.start(2, &[0, 1, 2]);
     net.run(6_000);
     // Whichever way the rings go, one of these two comes to the other by the third alone.
--- a/crates/curlewpoint-gateway/src/codes.rs
+++ b/crates/curlewpoint-gateway/src/codes.rs
@@ -2,8 +2,8 @@
 
 use curlewpoint::types::{Copy, Outcome};
 use curlewpoint_engine::{Answer, Refusal};
-pub(crate) use curlewpoint_fleet::frames::read_standing as standing;
-pub use curlewpoint_fleet::frames::standing_code;
+pub use curlewpoint_fleet::frames::lifecycle_code as standing_code;
+pub(crate) use curlewpoint_fleet::frames::read_lifecycle as standing;
 use curlewpoint_wire::{Field, Frame, WireError};
 
 fn code<T: std::marker::Copy + PartialEq>(all: &[T], of: T) -> u64 {
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -10,7 +10,7 @@
 use curlewpoint_config::Config;
 use curlewpoint_engine::Engine;
 use curlewpoint_fleet::{
-    frames, Bounds as FleetBounds, Entry, Fleet, LinkId, Member, MemberId, Outside as Others, Run, Seen,
+    frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, Observation, Run,
 };
 use curlewpoint_link::{open, Bounds, Link, LinkError, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
@@ -171,7 +171,7 @@
     Run(oorandom::Rand64::new(mixed).rand_u64())
 }
 
-impl Others for Hands<'_> {
+impl FleetDriver for Hands<'_> {
     fn dial(&mut self, link: LinkId, address: &str) {
         let door = self.peers.door.clone();
         let task = self.peers.door.tasks.spawn(door.dial(link, address.to_owned()));
@@ -190,42 +190,42 @@
         self.close(link);
     }
 
-    fn join(&mut self, link: LinkId, fleet: &str, me: MemberId, member: &Member, known: u64) {
+    fn send_join(&mut self, link: LinkId, fleet: &str, me: MemberId, member: &Member, known: u64) {
         self.send(link, frames::join_frame(fleet, me, member, known));
     }
 
-    fn member(&mut self, link: LinkId, id: MemberId, member: &Member) {
+    fn send_member(&mut self, link: LinkId, id: MemberId, member: &Member) {
         self.send(link, frames::member_frame(id, member));
     }
 
-    fn beat(
+    fn send_heartbeat(
         &mut self, link: LinkId, tags: (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>,
         sure: bool, answer: bool,
     ) {
-        self.send(link, frames::beat_frame(tags, digest, held, age, sure, answer));
+        self.send(link, frames::heartbeat_frame(tags, digest, held, age, sure, answer));
     }
 
-    fn ask_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
-        self.send(link, frames::ask_list_frame(held));
+    fn request_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
+        self.send(link, frames::list_request_frame(held));
     }
 
-    fn list_begins(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
-        self.send(link, frames::list_frame(version, from));
+    fn send_list_begin(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
+        self.send(link, frames::list_begin_frame(version, from));
     }
 
-    fn list_row(&mut self, link: LinkId, name: &str, e: &Entry) {
+    fn send_list_entry(&mut self, link: LinkId, name: &str, e: &EndpointEntry) {
         self.send(link, frames::entry_frame(self.now, name, e));
     }
 
-    fn list_rows(&mut self, link: LinkId, rows: &[(&str, &Entry)]) {
-        self.send(link, frames::rows_frame(self.now, rows));
+    fn send_list_entries(&mut self, link: LinkId, rows: &[(&str, &EndpointEntry)]) {
+        self.send(link, frames::entries_frame(self.now, rows));
     }
 
-    fn list_ends(&mut self, link: LinkId) {
+    fn send_list_end(&mut self, link: LinkId) {
         self.send(link, frames::list_end_frame());
     }
 
-    fn watch(&mut self, on: bool) {
+    fn set_watching(&mut self, on: bool) {
         self.peers.watched += 1;
         self.peers.watch.send_replace(on.then_some(self.peers.watched));
         if !on {
@@ -233,39 +233,39 @@
         }
     }
 
-    fn ask_service(&mut self, held: Option<(u64, u64)>) {
+    fn request_service_list(&mut self, held: Option<(u64, u64)>) {
         if let Some(outbox) = &self.engine.world().list {
-            let _ = outbox.send(frames::ask_list_frame(held), None);
+            let _ = outbox.send(frames::list_request_frame(held), None);
         }
     }
 
-    fn take_begins(&mut self, (epoch, version): (u64, u64), from: Option<u64>) {
+    fn deliver_list_begin(&mut self, (epoch, version): (u64, u64), from: Option<u64>) {
         self.engine.list_begins(epoch, version, from);
     }
 
-    fn take_row(&mut self, name: &str, e: &Entry) {
-        let age = e.since.map(|since| self.now - since);
+    fn deliver_list_entry(&mut self, name: &str, e: &EndpointEntry) {
+        let age = e.started_at.map(|since| self.now - since);
         let (address, zone, cell) = (&e.address, &e.zone, &e.cell);
-        self.engine.list_row(self.now, name, address, e.standing, e.start, age, zone, cell, e.size);
+        self.engine.list_row(self.now, name, address, e.lifecycle, e.start, age, zone, cell, e.size);
     }
 
-    fn take_ends(&mut self) {
+    fn deliver_list_end(&mut self) {
         self.engine.list_ends(self.now);
     }
 
-    fn hints(&mut self, link: LinkId, seen: &[Seen]) {
+    fn send_hints(&mut self, link: LinkId, seen: &[Observation]) {
         self.send(link, frames::hints_frame(self.now, seen));
     }
 
-    fn directory(&mut self, link: LinkId, frame: Frame) {
+    fn send_directory_frame(&mut self, link: LinkId, frame: Frame) {
         self.send(link, frame);
     }
 
-    fn take_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time) {
+    fn deliver_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time) {
         self.engine.hinted(self.now, worker, function, hint, held, age);
     }
 
-    fn instances(&mut self, number: u64) {
+    fn set_instance_count(&mut self, number: u64) {
         self.engine.instances(number);
     }
 
@@ -286,20 +286,20 @@
         let at = listener.local_addr()?.to_string();
         let address = config.value("fleet", "reached-at").unwrap_or(&at);
         let of = |name| config.number("fleet", name) as usize;
-        let limits = FleetBounds {
-            instances: of("most-instances"),
-            links: of("most-links"),
+        let limits = FleetLimits {
+            max_instances: of("most-instances"),
+            max_inbound_links: of("most-links"),
             watchers: of("watchers"),
-            slack: Time::from_ms(config.number("rpcs", "answer-slack")),
-            hints: Time::from_ms(config.number("workers", "keep-alive")),
-            hinted: config.value("fleet", "hints").is_some_and(|h| h == "yes"),
+            answer_slack: Time::from_ms(config.number("rpcs", "answer-slack")),
+            hint_lifetime: Time::from_ms(config.number("workers", "keep-alive")),
+            exchange_hints: config.value("fleet", "hints").is_some_and(|h| h == "yes"),
         };
         let (fleet, name) = (config.value("fleet", "name").unwrap_or(""), config.text("name"));
         let (peers, told) = (config.all("fleet", "peers").to_vec(), config.number("", "instances") as u64);
         let fleet_name = fleet.to_owned();
         let mut fleet = Fleet::start(now, fleet, (name, this_run()), address, peers, told, limits, seed);
         if config.value("fleet", "directory").is_some() {
-            fleet.keep_directory(now, config.number("fleet", "directory") as u64);
+            fleet.enable_directory(now, config.number("fleet", "directory") as u64);
         }
         let kept = config.value("fleet", "snapshot").map(|file| {
             let path = config.path(file);
@@ -309,7 +309,7 @@
             }
             Kept { path, fleet: fleet_name, written: (None, 0, Instant::now()), writing: None, failed: false }
         });
-        info!(address = at, run = format!("{:016x}", fleet.me().run.0), "fleet: peers may come");
+        info!(address = at, run = format!("{:016x}", fleet.own_id().run.0), "fleet: peers may come");
         let bounds = Bounds {
             frame: MOST_FRAME,
             outbox: (16 << 10, 4 << 20),
@@ -323,7 +323,7 @@
             notes: notes.clone(),
             tasks: tasks.clone(),
         };
-        let accepting = tokio::spawn(door.clone().accept(listener, limits.links)).abort_handle();
+        let accepting = tokio::spawn(door.clone().accept(listener, limits.max_inbound_links)).abort_handle();
         let (outboxes, dials) = Default::default();
         let peers = Peers { door, outboxes, dials, watch, watched: 0 };
         Ok(Some((Mesh { fleet, peers, kept }, accepting)))
@@ -334,7 +334,7 @@
     }
 
     pub fn holds(&self, now: Time) -> bool {
-        self.fleet.holds(now)
+        self.fleet.is_holding(now)
     }
 
     /// Lets the fleet act: on links to peers and on the scheduler here.
@@ -351,7 +351,7 @@
 
     pub fn link_in(&mut self, now: Time, engine: &mut Engine<Outside>, link: LinkId, outbox: Outbox) {
         self.peers.outboxes.insert(link, outbox);
-        self.call(now, engine, |fleet, hands| fleet.link_in(now, hands, link));
+        self.call(now, engine, |fleet, hands| fleet.link_accepted(now, hands, link));
     }
 
     pub fn link_up(&mut self, now: Time, engine: &mut Engine<Outside>, link: LinkId, outbox: Outbox) {
@@ -392,7 +392,7 @@
                 self.call(now, engine, |_, hands| hands.send(link, told));
             }
             _ => {
-                self.call(now, engine, |me, hands| frames::read(me, now, hands, link, f))?;
+                self.call(now, engine, |me, hands| frames::dispatch(me, now, hands, link, f))?;
             }
         }
         Ok(())
@@ -402,7 +402,7 @@
     pub fn list(
         &mut self, now: Time, engine: &mut Engine<Outside>, on: Option<LinkId>, f: &Frame,
     ) -> Result<(), WireError> {
-        self.call(now, engine, |me, hands| frames::read_list(me, now, hands, on, f)).map(drop)
+        self.call(now, engine, |me, hands| frames::dispatch_list(me, now, hands, on, f)).map(drop)
     }
 
     /// The module has seen something of functions at workers, and RPCs of functions came in.
@@ -410,13 +410,13 @@
         &mut self, now: Time, engine: &mut Engine<Outside>, seen: Vec<(WorkerId, FunctionId, Hint, u64)>,
     ) {
         for (worker, function, hint, held) in seen {
-            self.call(now, engine, |me, hands| me.saw(now, hands, worker, function, hint, held));
+            self.call(now, engine, |me, hands| me.observe(now, hands, worker, function, hint, held));
         }
         if self.fleet.directory().is_none() {
             return;
         }
         for function in engine.world().wanted.replace(BTreeSet::new()).into_iter().flatten() {
-            self.call(now, engine, |me, hands| me.wanted(now, hands, function));
+            self.call(now, engine, |me, hands| me.function_requested(now, hands, function));
         }
     }
 
@@ -431,7 +431,7 @@
     /// Writes a snapshot where there is something new, beside all else and one at a time.
     pub fn keep(&mut self, now: Time) {
         let Some(kept) = &mut self.kept else { return };
-        let (held, digest) = (self.fleet.book().held(), self.fleet.table().digest());
+        let (held, digest) = (self.fleet.endpoints().held(), self.fleet.members().digest());
         if kept.writing.as_ref().is_some_and(|w| !w.is_finished()) {
             return;
         }
@@ -473,23 +473,24 @@
     /// How the fleet stands as seen from here, a line each.
     fn status(&self, now: Time) -> String {
         let (fleet, mut out) = (&self.fleet, String::new());
-        let (table, number) = (fleet.table(), fleet.number());
+        let (table, number) = (fleet.members(), fleet.instance_count());
         // Writing to a String cannot fail.
         let _ = writeln!(
             out,
             "{} run {:016x}: {} live, {} known, reckons with {} ({}), {} links, {} not reached, {} refused",
             self.peers.door.name,
-            fleet.me().run.0,
-            table.living().count(),
+            fleet.own_id().run.0,
+            table.alive().count(),
             table.len(),
-            number.acted(),
-            if number.is_sure() { "sure" } else { "unsure" },
-            fleet.links(),
-            fleet.unheard(),
-            fleet.refusals(),
+            number.effective(),
+            if number.is_confirmed() { "sure" } else { "unsure" },
+            fleet.link_count(),
+            fleet.unreachable_count(),
+            fleet.refusal_count(),
         );
-        let (epoch, version) = fleet.book().held().unwrap_or_default();
-        let age = fleet.age(now).map_or("of unknown age".to_owned(), |a| format!("{:.0} ms old", a.ms()));
+        let (epoch, version) = fleet.endpoints().held().unwrap_or_default();
+        let age =
+            fleet.list_age(now).map_or("of unknown age".to_owned(), |a| format!("{:.0} ms old", a.ms()));
         let _ = writeln!(out, "{} hints of functions at workers", fleet.hints().len());
         if let Some(d) = fleet.directory() {
             let c = d.counts();
@@ -498,21 +499,22 @@
                 "directory: {} rows held, {} subscribers, {} links, {} questions, {} answers, {} unanswered, \
                  {} bytes sent, {} left out, {} passed over",
                 d.len(),
-                d.subscribers(),
-                fleet.ask_links(),
+                d.subscriber_count(),
+                fleet.directory_link_count(),
                 c.questions,
                 c.answers,
                 c.unanswered,
                 c.bytes,
-                c.left_out,
-                c.passed_over,
+                c.dropped,
+                c.ignored,
             );
         }
         let watching = if fleet.is_watching() { "watched from here" } else { "heard from peers" };
-        let _ = writeln!(out, "list {epoch}.{version}: {} workers, {age}, {watching}", fleet.book().len());
+        let _ =
+            writeln!(out, "list {epoch}.{version}: {} workers, {age}, {watching}", fleet.endpoints().len());
         let watchers = fleet.watchers();
         for (id, m) in table.iter() {
-            let s = m.standing;
+            let s = m.state;
             let standing = match (s.left, s.dead, s.is_suspect()) {
                 (true, ..) => "left",
                 (_, true, _) => "given-up",
@@ -520,8 +522,8 @@
                 _ => "lives",
             };
             let watches = if watchers.contains(&id) { " watches" } else { "" };
-            let blind = if s.blind { " blind" } else { "" };
-            let since = (now - m.changed).ms() / 1000.0;
+            let blind = if s.list_service_lost { " blind" } else { "" };
+            let since = (now - m.changed_at).ms() / 1000.0;
             let _ = writeln!(
                 out,
                 "{} run {:016x} at {}: {standing}{watches}{blind}, incarnation {}, for {since:.1} s",
--- a/crates/curlewpoint-gateway/src/snapshot.rs
+++ b/crates/curlewpoint-gateway/src/snapshot.rs
@@ -7,7 +7,7 @@
 use bytes::{BufMut, BytesMut};
 use curlewpoint::types::Time;
 use curlewpoint_fleet::frames::{entry_frame, read_entry};
-use curlewpoint_fleet::{Entry, Fleet};
+use curlewpoint_fleet::{EndpointEntry, Fleet};
 use curlewpoint_wire::{Codec, Field, Frame, Kind, WireError};
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder};
@@ -41,15 +41,15 @@
 
 /// What is to be written now; none: no list is held yet.
 pub fn draw(fleet_name: &str, fleet: &Fleet, now: Time) -> Option<BytesMut> {
-    let (epoch, version) = fleet.book().held()?;
+    let (epoch, version) = fleet.endpoints().held()?;
     let mut out = BytesMut::from(FIRST_LINE);
     let mut put = |frame: Frame| CODEC.clone().encode(frame, &mut out).ok();
     let head = Frame::new(Kind::SNAPSHOT).text(Field::FLEET, fleet_name).int(Field::WALL, wall());
     put(head.int(Field::EPOCH, epoch).int(Field::LIST_VERSION, version))?;
-    for (name, entry) in fleet.book().since(None) {
+    for (name, entry) in fleet.endpoints().entries_since(None) {
         put(entry_frame(now, name, entry))?;
     }
-    for (_, member) in fleet.table().living() {
+    for (_, member) in fleet.members().alive() {
         put(Frame::new(Kind::MEMBER).text(Field::ADDRESS, &member.address))?;
     }
     let sum = xxh3_64(&out);
@@ -98,17 +98,17 @@
             Kind::CHANGE => {
                 let (name, entry) = read_entry(now, &frame)?;
                 // It has grown older while it lay.
-                let since = entry.since.map(|since| since - Time(age.as_millis() as u64 * 10));
-                rows.push((name.to_owned(), Entry { since, ..entry }));
+                let since = entry.started_at.map(|since| since - Time(age.as_millis() as u64 * 10));
+                rows.push((name.to_owned(), EndpointEntry { started_at: since, ..entry }));
             }
             Kind::MEMBER => addresses.push(frame.get_text(Field::ADDRESS)?.to_owned()),
             _ => {}
         }
     }
     // Only now, that all of it has been read.
-    fleet.remember_list(now, epoch, version);
-    rows.into_iter().for_each(|(name, entry)| fleet.remember_row(&name, entry));
-    addresses.iter().for_each(|address| fleet.remember(address));
+    fleet.restore_list(now, epoch, version);
+    rows.into_iter().for_each(|(name, entry)| fleet.restore_entry(&name, entry));
+    addresses.iter().for_each(|address| fleet.remember_peer(address));
     Ok(age)
 }
 
--- a/crates/curlewpoint-gateway/src/snapshot/tests.rs
+++ b/crates/curlewpoint-gateway/src/snapshot/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 use curlewpoint::types::Standing;
-use curlewpoint_fleet::{Bounds, Run};
+use curlewpoint_fleet::{FleetLimits, Run};
 
 const NOW: Time = Time(864_000_000);
 
 fn fleet() -> Fleet {
-    let bounds = Bounds {
-        instances: 10,
-        links: 10,
+    let bounds = FleetLimits {
+        max_instances: 10,
+        max_inbound_links: 10,
         watchers: 3,
-        slack: Time(1_500),
-        hints: Time(80_000),
-        hinted: true,
+        answer_slack: Time(1_500),
+        hint_lifetime: Time(80_000),
+        exchange_hints: true,
     };
     Fleet::start(NOW, "f", ("n", Run(1)), "a", vec!["b".into()], 1, bounds, 1)
 }
@@ -22,8 +22,15 @@
     let head = head.int(Field::EPOCH, 3).int(Field::LIST_VERSION, 9);
     let (zone, cell) = Default::default();
     let since = Some(NOW - Time(50_000));
-    let row =
-        Entry { address: "w".into(), standing: Standing::Draining, start: 7, since, zone, cell, size: 1.0 };
+    let row = EndpointEntry {
+        address: "w".into(),
+        lifecycle: Standing::Draining,
+        start: 7,
+        started_at: since,
+        zone,
+        cell,
+        size: 1.0,
+    };
     for frame in [head, entry_frame(NOW, "w-1", &row), Frame::new(Kind::MEMBER).text(Field::ADDRESS, "c")] {
         CODEC.clone().encode(frame, &mut out).unwrap();
     }
--- a/crates/curlewpoint-rig/src/relay.rs
+++ b/crates/curlewpoint-rig/src/relay.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 use curlewpoint::types::Time;
-use curlewpoint_fleet::frames::read_rows;
+use curlewpoint_fleet::frames::read_entries;
 use curlewpoint_lab::{Record, Seen};
 use curlewpoint_wire::{Codec, Field, Frame, Kind};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -173,8 +173,8 @@
                 }
             }
             Kind::LIST_ROWS => {
-                let rows = read_rows(Time(0), f).unwrap_or_default();
-                passing.rows.extend(rows.into_iter().map(|(worker, entry)| (worker, entry.standing)));
+                let rows = read_entries(Time(0), f).unwrap_or_default();
+                passing.rows.extend(rows.into_iter().map(|(worker, entry)| (worker, entry.lifecycle)));
             }
             Kind::LIST_END => {
                 let Passing { version: Some(version), rows } = std::mem::take(passing) else { return };
--- a/crates/curlewpoint-rig/src/scale/fleet_part.rs
+++ b/crates/curlewpoint-rig/src/scale/fleet_part.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
-use curlewpoint_fleet::{Book, Source};
+use curlewpoint_fleet::{EndpointTable, ListSource};
 use oorandom::Rand64;
 
 use crate::figures::most;
@@ -31,15 +31,15 @@
 pub fn book_bytes(rows: usize) -> Option<f64> {
     const BOOKS: usize = 10;
     let before = resident()?;
-    let books: Vec<Book> = (0..BOOKS)
+    let books: Vec<EndpointTable> = (0..BOOKS)
         .map(|_| {
-            let mut book = Book::new(rows);
-            book.begins(0, 1, 1, None);
+            let mut book = EndpointTable::new(rows);
+            book.begin(0, 1, 1, None);
             (0..rows).for_each(|no| {
                 let (name, entry) = row_of(no, 1);
-                book.row(0, &name, entry);
+                book.push_entry(0, &name, entry);
             });
-            book.ends(0, Source::Service);
+            book.finish(0, ListSource::Service);
             book
         })
         .collect();
--- a/crates/curlewpoint-rig/src/scale/steps.rs
+++ b/crates/curlewpoint-rig/src/scale/steps.rs
@@ -100,7 +100,7 @@
         });
         row("links at a peer to begin with, all starting", MOST_LINKS, "", &|o| Some(o.schedulers as f64));
         row("rows of hints kept, 0.3 seen a second each", HINTS_KEPT, "", &|o| {
-            Some(plan::SEEN[1] * o.schedulers as f64 * BOUNDS.hints.ms() / 1000.0)
+            Some(plan::SEEN[1] * o.schedulers as f64 * BOUNDS.hint_lifetime.ms() / 1000.0)
         });
         Table { sizes, rows }
     }
--- a/crates/curlewpoint-rig/src/scale/worker_part.rs
+++ b/crates/curlewpoint-rig/src/scale/worker_part.rs
@@ -8,7 +8,7 @@
 use curlewpoint_engine::{
     id_of, Answer, ClientId, ConnId, Engine, Pool, PoolLimits, RequestId, UpstreamRequest, Wires, World,
 };
-use curlewpoint_fleet::{Hints, Run};
+use curlewpoint_fleet::{HintTable, Run};
 use curlewpoint_wire::{Codec, Field, Frame, Kind};
 use oorandom::Rand64;
 use serde_json::json;
@@ -186,7 +186,7 @@
 
 struct Scheduler {
     engine: Engine<Desk>,
-    hints: Hints,
+    hints: HintTable,
     run: Run,
     tag: u64,
     conns: BTreeMap<ConnId, WorkerId>,
@@ -315,7 +315,7 @@
                 engine.list_row(play.now, &name, &address, Standing::Ready, 1, None, "", "", 1.0);
             }
             engine.list_ends(play.now);
-            let (hints, run) = (Hints::new(play.now, BOUNDS.hints, usize::MAX), Run(no as u64));
+            let (hints, run) = (HintTable::new(play.now, BOUNDS.hint_lifetime, usize::MAX), Run(no as u64));
             let (conns, wake) = (BTreeMap::new(), None);
             play.schedulers.push(Scheduler { engine, hints, run, tag: 0, conns, wake });
             let (first, sweep) = (play.rng.rand_range(0..TICK.0), play.rng.rand_range(0..TICK.0));
@@ -341,7 +341,8 @@
     fn settle(&mut self, no: usize) {
         let s = &mut self.schedulers[no];
         for (worker, function, hint, held) in std::mem::take(&mut s.engine.world().seen) {
-            self.sights += u64::from(s.hints.saw(self.now, s.run, worker, function, hint, held).is_some());
+            self.sights +=
+                u64::from(s.hints.observe(self.now, s.run, worker, function, hint, held).is_some());
         }
         let acts = std::mem::take(&mut s.engine.world().sockets.acts);
         let wake = s.engine.next_wake().filter(|at| s.wake.is_none_or(|planned| *at < planned));
--- a/crates/curlewpoint-rig/src/scale/world.rs
+++ b/crates/curlewpoint-rig/src/scale/world.rs
@@ -5,7 +5,8 @@
 use bytes::BytesMut;
 use curlewpoint::types::{FunctionId, Hint, Standing as Ready, Time, WorkerId};
 use curlewpoint_fleet::{
-    frames, Bounds, Entry, Fleet, LinkId, Member, MemberId, Outside, Run, Seen, Standing,
+    frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, MemberState,
+    Observation, Run,
 };
 use curlewpoint_wire::{Codec, Field, Frame, Kind, VERSION};
 use oorandom::Rand64;
@@ -34,13 +35,13 @@
 
 /// Bounds of a hollow instance: as the settings' defaults, but for the number of members and links, which are set to
 /// what the plan's size needs.
-pub const BOUNDS: Bounds = Bounds {
-    instances: 8_192,
-    links: 4_096,
+pub const BOUNDS: FleetLimits = FleetLimits {
+    max_instances: 8_192,
+    max_inbound_links: 4_096,
     watchers: 3,
-    slack: Time(1_500),
-    hints: Time(80_000),
-    hinted: true,
+    answer_slack: Time(1_500),
+    hint_lifetime: Time(80_000),
+    exchange_hints: true,
 };
 
 enum Act {
@@ -77,7 +78,7 @@
     }
 }
 
-impl Outside for Hands {
+impl FleetDriver for Hands {
     fn dial(&mut self, link: LinkId, address: &str) {
         self.acts.push(Act::Dial(link, address.to_owned()));
     }
@@ -88,59 +89,59 @@
         self.say(link, &Frame::new(Kind::FAULT).text(Field::WHY, why));
         self.close(link);
     }
-    fn join(&mut self, link: LinkId, fleet: &str, me: MemberId, member: &Member, known: u64) {
+    fn send_join(&mut self, link: LinkId, fleet: &str, me: MemberId, member: &Member, known: u64) {
         self.say(link, &frames::join_frame(fleet, me, member, known));
     }
-    fn member(&mut self, link: LinkId, id: MemberId, member: &Member) {
+    fn send_member(&mut self, link: LinkId, id: MemberId, member: &Member) {
         self.say(link, &frames::member_frame(id, member));
     }
-    fn beat(
+    fn send_heartbeat(
         &mut self, link: LinkId, tags: (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>,
         sure: bool, answer: bool,
     ) {
-        self.say(link, &frames::beat_frame(tags, digest, held, age, sure, answer));
+        self.say(link, &frames::heartbeat_frame(tags, digest, held, age, sure, answer));
     }
-    fn ask_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
-        self.say(link, &frames::ask_list_frame(held));
+    fn request_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
+        self.say(link, &frames::list_request_frame(held));
     }
-    fn list_begins(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
-        self.say(link, &frames::list_frame(version, from));
+    fn send_list_begin(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
+        self.say(link, &frames::list_begin_frame(version, from));
     }
-    fn list_row(&mut self, link: LinkId, name: &str, entry: &Entry) {
+    fn send_list_entry(&mut self, link: LinkId, name: &str, entry: &EndpointEntry) {
         self.say(link, &frames::entry_frame(self.now, name, entry));
     }
-    fn list_rows(&mut self, link: LinkId, rows: &[(&str, &Entry)]) {
-        self.say(link, &frames::rows_frame(self.now, rows));
+    fn send_list_entries(&mut self, link: LinkId, rows: &[(&str, &EndpointEntry)]) {
+        self.say(link, &frames::entries_frame(self.now, rows));
     }
-    fn list_ends(&mut self, link: LinkId) {
+    fn send_list_end(&mut self, link: LinkId) {
         self.say(link, &frames::list_end_frame());
     }
-    fn watch(&mut self, on: bool) {
+    fn set_watching(&mut self, on: bool) {
         self.acts.push(Act::Watch(on));
     }
-    fn ask_service(&mut self, held: Option<(u64, u64)>) {
+    fn request_service_list(&mut self, held: Option<(u64, u64)>) {
         let mut bytes = BytesMut::new();
-        Codec::front(&frames::ask_list_frame(held), &mut bytes);
+        Codec::front(&frames::list_request_frame(held), &mut bytes);
         self.acts.push(Act::AskService(bytes));
     }
-    fn take_begins(&mut self, version: (u64, u64), _: Option<u64>) {
+    fn deliver_list_begin(&mut self, version: (u64, u64), _: Option<u64>) {
         self.list = Some(version);
     }
-    fn take_row(&mut self, _: &str, _: &Entry) {
+    fn deliver_list_entry(&mut self, _: &str, _: &EndpointEntry) {
         self.rows += 1;
     }
-    fn take_ends(&mut self) {}
-    fn hints(&mut self, link: LinkId, seen: &[Seen]) {
+    fn deliver_list_end(&mut self) {}
+    fn send_hints(&mut self, link: LinkId, seen: &[Observation]) {
         self.say(link, &frames::hints_frame(self.now, seen));
     }
-    fn directory(&mut self, link: LinkId, frame: Frame) {
+    fn send_directory_frame(&mut self, link: LinkId, frame: Frame) {
         self.directory.insert(link);
         self.say(link, &frame);
     }
-    fn take_hint(&mut self, _: WorkerId, _: FunctionId, _: Hint, _: u64, _: Time) {
+    fn deliver_hint(&mut self, _: WorkerId, _: FunctionId, _: Hint, _: u64, _: Time) {
         self.hints += 1;
     }
-    fn instances(&mut self, _: u64) {}
+    fn set_instance_count(&mut self, _: u64) {}
     fn log(&mut self, _: &str) {}
 }
 
@@ -223,7 +224,7 @@
     /// Instances on different sides cannot reach each other.
     sides: Vec<u8>,
     /// The list service: names and rows, its version, and what changed with each.
-    rows: Vec<(String, Entry)>,
+    rows: Vec<(String, EndpointEntry)>,
     version: u64,
     changes: Vec<(u64, usize)>,
     pub service: Tally,
@@ -256,13 +257,13 @@
 }
 
 /// A row of the list as it is made up: names and addresses as long as a plan's would be.
-pub(crate) fn row_of(worker: usize, start: u64) -> (String, Entry) {
+pub(crate) fn row_of(worker: usize, start: u64) -> (String, EndpointEntry) {
     let zone = place::zone_of(worker);
-    let entry = Entry {
+    let entry = EndpointEntry {
         address: format!("10.{}.{}.{}:9000", 100 + zone, worker >> 8, worker & 255),
-        standing: Ready::Ready,
+        lifecycle: Ready::Ready,
         start: start << 32 | worker as u64,
-        since: None,
+        started_at: None,
         zone: format!("zone-{zone:02}"),
         cell: format!("cell-{:04}", worker / 20),
         size: 1.0,
@@ -307,7 +308,7 @@
         let (name, address) = (name_of(instance), address_of(instance));
         let mut fleet = Fleet::start(self.now, FLEET, (&name, run), &address, peers, self.told, BOUNDS, seed);
         if let Some(bytes) = self.terms.directory {
-            fleet.keep_directory(self.now, bytes);
+            fleet.enable_directory(self.now, bytes);
         }
         fleet
     }
@@ -343,21 +344,21 @@
             world.add(delay);
         }
         let all: Vec<(MemberId, String, String)> =
-            (0..n).map(|i| (world.all[i].fleet.me(), name_of(i), address_of(i))).collect();
+            (0..n).map(|i| (world.all[i].fleet.own_id(), name_of(i), address_of(i))).collect();
         let now = world.now;
         for no in 0..n {
             let Hollow { fleet, hands, .. } = &mut world.all[no];
             hands.now = now;
             let (link, known) = (LinkId(THEIRS), n as u64);
-            fleet.link_in(now, hands, link);
+            fleet.link_accepted(now, hands, link);
             // Another instance has told it of all, on a link that is gone by now.
             let (id, name, address) = &all[(no + 1) % n];
             if world.terms.directory.is_some() {
-                fleet.takes_part(now, hands, link, false);
+                fleet.peer_supports_directory(now, hands, link, false);
             }
-            fleet.joined(now, hands, link, FLEET, *id, name, address, Standing::default(), known);
+            fleet.join_received(now, hands, link, FLEET, *id, name, address, MemberState::default(), known);
             for (id, name, address) in &all {
-                fleet.member(now, hands, link, *id, name, address, Standing::default());
+                fleet.member_received(now, hands, link, *id, name, address, MemberState::default());
             }
             fleet.link_down(now, hands, link);
             hands.acts.clear();
@@ -477,7 +478,7 @@
             What::Dialled(link, address) => self.dialled(to, link, &address),
             What::In(link, dialler, their_life, theirs) => {
                 self.all[to].links.insert(link, (dialler, their_life, theirs));
-                self.call(to, |f, now, out| f.link_in(now, out, link));
+                self.call(to, |f, now, out| f.link_accepted(now, out, link));
             }
             What::Up(link) => self.call(to, |f, now, out| f.link_up(now, out, link)),
             What::Down(link) => {
@@ -516,8 +517,8 @@
                 let Ok(Some(f)) = codec.decode(&mut bytes) else { break };
                 got.add(f.kind, before - bytes.len());
                 let read = match on {
-                    Some(link) => frames::read(fleet, now, out, link, &f),
-                    None => frames::read_list(fleet, now, out, None, &f),
+                    Some(link) => frames::dispatch(fleet, now, out, link, &f),
+                    None => frames::dispatch_list(fleet, now, out, None, &f),
                 };
                 if let (Err(why), Some(link)) = (read, on) {
                     out.refuse(link, &why.to_string());
@@ -575,7 +576,7 @@
             Codec::front(&frame, &mut bytes);
             said.add(frame.kind, bytes.len() - before);
         };
-        say(frames::list_frame((EPOCH, self.version), held));
+        say(frames::list_begin_frame((EPOCH, self.version), held));
         match held {
             None => {
                 self.rows.iter().for_each(|(name, e)| say(frames::entry_frame(self.now, name, e)));
@@ -616,7 +617,7 @@
         if !self.all[no].alive {
             return;
         }
-        self.call(no, |f, now, out| f.saw(now, out, worker, function, hint, 1));
+        self.call(no, |f, now, out| f.observe(now, out, worker, function, hint, 1));
     }
 
     pub fn keeps_directory(&self) -> bool {
@@ -631,7 +632,7 @@
     /// An instance's scheduler has an RPC of a function.
     pub fn wants(&mut self, no: usize, function: FunctionId) {
         if self.terms.directory.is_some() && self.all[no].alive {
-            self.call(no, |f, now, out| f.wanted(now, out, function));
+            self.call(no, |f, now, out| f.function_requested(now, out, function));
         }
     }
 
@@ -675,20 +676,20 @@
     /// Whether all hold the same records of members, and each of them as many as live at least.
     pub fn alike(&self) -> bool {
         let n = self.living().count();
-        let mut digests = self.living().map(|h| h.fleet.table().digest());
+        let mut digests = self.living().map(|h| h.fleet.members().digest());
         let first = digests.next();
         digests.all(|d| Some(d) == first)
-            && self.living().next().is_none_or(|h| h.fleet.table().living().count() == n)
+            && self.living().next().is_none_or(|h| h.fleet.members().alive().count() == n)
     }
 
     /// Whether all hold the newest list.
     pub fn listed(&self) -> bool {
-        self.living().all(|h| h.fleet.book().held() == Some((EPOCH, self.version)))
+        self.living().all(|h| h.fleet.endpoints().held() == Some((EPOCH, self.version)))
     }
 
     /// Whether all are sure of the number of instances.
     pub fn sure(&self) -> bool {
-        self.living().all(|h| h.fleet.number().is_sure())
+        self.living().all(|h| h.fleet.instance_count().is_confirmed())
     }
 
     /// Whether an instance watches the list.
@@ -702,12 +703,13 @@
 
     /// Links that are up, for each instance on the mean.
     pub fn links(&self) -> f64 {
-        self.living().map(|h| h.fleet.links()).sum::<usize>() as f64 / self.living().count().max(1) as f64
+        self.living().map(|h| h.fleet.link_count()).sum::<usize>() as f64
+            / self.living().count().max(1) as f64
     }
 
     /// Links, records and lists that were not taken.
     pub fn refused(&self) -> u64 {
-        self.living().map(|h| h.fleet.refusals()).sum()
+        self.living().map(|h| h.fleet.refusal_count()).sum()
     }
 
     /// Lets time pass until `good`, looking every `step`, at most for `most`; none: it did not come.
