--- a/crates/curlewpoint-fleet/src/directory.rs
+++ b/crates/curlewpoint-fleet/src/directory.rs
@@ -1,15 +1,17 @@
-//! A directory of copies, held by few for each function and asked at a miss, so that what one instance sends does not grow
-//! with the number of instances. It decides who holds what, what is told to whom and what is left out; it has no I/O.
+//! A copy directory that is held by a few members for each function and queried on a miss, so that what one
+//! instance sends does not grow with the number of instances. It decides which members hold what, what is sent
+//! to which member and what is dropped; it performs no I/O.
 //!
-//! Functions and members stand in columns, by fixed hashes; within a column three hold a function, by rendezvous order.
-//! Whoever is of another column speaks to one contact there, which hands on; so two steps reach any holder, and one
-//! instance speaks to about twice the root of all.
+//! Functions and members are assigned to columns by fixed hashes; within a column three members hold a
+//! function, chosen by rendezvous hashing. A member of another column talks to one contact in the function's
+//! column, which passes on; so any holder is two hops away, and one instance talks to about twice the square
+//! root of all members.
 
 mod copies;
 pub mod frames;
+mod gossip_queue;
 mod queue;
-mod round;
-mod view;
+mod topology;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,121 +19,126 @@
 
 use crate::hints::Observation;
 use crate::members::{MemberId, Run};
-use copies::Copies;
+use copies::CopyTable;
+pub(crate) use gossip_queue::{GossipPriority, GossipQueue};
 pub use queue::Batch;
-use queue::{Item, Queue, ANSWERS, NEWS, REFRESH, WARM};
-pub(crate) use round::{Rank, Round};
-use view::View;
-
-/// Rows held for all functions, and of one: beyond it the oldest go.
-const ROWS: usize = 65_536;
-const ROWS_EACH: usize = 64;
-/// Rows in one answer.
-const ANSWER_ROWS: usize = 8;
-/// Rows that one is told that has just started, by each that it meets.
-const NEWCOMER_ROWS: usize = 64;
-/// Those who are told of changes, of one function and in all: beyond it an answer is all that one gets.
-const SUBSCRIBERS_EACH: usize = 128;
-const SUBSCRIBERS: usize = 16_384;
-/// Whoever asked is told of changes for so long; it asks again a while before, where it has RPCs of the function then.
-const SUBSCRIBED: Time = Time(300_000);
-const RENEW: Time = Time(200_000);
-/// Between two questions for a function of which no copy is known.
-const ASK_AGAIN: Time = Time(20_000);
-/// Functions that were asked for lately, and questions that wait for an answer.
-const INTERESTS: usize = 8_192;
-const OPEN: usize = 256;
-/// A question has no answer for so long: the next one is asked. Twice in a row: that one is not asked for a while.
-const ANSWER_IN: Time = Time(3_000);
-const STRIKES: u8 = 2;
-const AVOIDED: Time = Time(100_000);
-/// What has changed is told no sooner than this, but for a copy that has come up; the same again no sooner than the
-/// second, or a quarter of the time for which it counts.
-const MOVED: Time = Time(5_000);
-const AGAIN: Time = Time(20_000);
-/// Between two looks for what is over.
-const SWEEP: Time = Time(10_000);
-/// Of the bytes that may be saved up so many are the directory's alone: what goes round the rings leaves them.
-const RESERVE: f64 = 0.5;
-/// What was heard of a function round the rings so lately is heard on: it need not be asked for.
-const HEARD: Time = Time(40_000);
-/// Functions of which is known when they were heard of so.
-const HEARD_OF: usize = 8_192;
-/// While less may be sent than this time brings, what there is leaves together, once in so long: by the byte it would be a
-/// frame for each row.
-const TOGETHER: Time = Time(1_000);
-
-/// On what terms an instance takes part.
+use queue::{Queue, QueueItem, CLASS_COPY_READY, CLASS_QUERY, CLASS_REFRESH, CLASS_STATUS};
+use topology::Topology;
+
+/// Maximum number of rows held for all functions, and for one function. Beyond it the oldest are removed.
+const MAX_ROWS: usize = 65_536;
+const MAX_ROWS_PER_FUNCTION: usize = 64;
+/// Maximum number of rows in one answer.
+const MAX_ANSWER_ROWS: usize = 8;
+/// Maximum number of rows that a newly started member is sent by each member it meets.
+const MAX_NEWCOMER_ROWS: usize = 64;
+/// Maximum number of subscriptions to changes, per function and in total. Beyond it a member gets an answer,
+/// but no updates.
+const MAX_SUBSCRIBERS_PER_FUNCTION: usize = 128;
+const MAX_SUBSCRIPTIONS: usize = 16_384;
+/// A member that asked is sent changes for this long. It asks again a while before the subscription ends, if it
+/// then has RPCs for the function.
+const SUBSCRIPTION_LIFETIME: Time = Time(300_000);
+const SUBSCRIPTION_RENEWAL: Time = Time(200_000);
+/// Interval between two questions for a function of which no copy is known.
+const QUESTION_INTERVAL: Time = Time(20_000);
+/// Maximum number of functions with a recent question, and of questions that wait for an answer.
+const MAX_INTERESTS: usize = 8_192;
+const MAX_OPEN_QUESTIONS: usize = 256;
+/// If a question has no answer within this time, the next member is asked. A member that leaves two questions
+/// in a row unanswered is not asked for a while.
+const ANSWER_TIMEOUT: Time = Time(3_000);
+const STRIKE_LIMIT: u8 = 2;
+const AVOIDANCE_PERIOD: Time = Time(100_000);
+/// Changes are sent no sooner than the first, except for a copy that has become ready; a repetition no sooner
+/// than the second or a quarter of the observation lifetime.
+const CHANGE_INTERVAL: Time = Time(5_000);
+const REPEAT_INTERVAL: Time = Time(20_000);
+/// Interval between removals of expired state.
+const SWEEP_INTERVAL: Time = Time(10_000);
+/// Share of the byte budget that gossip along the rings leaves for the directory.
+const RESERVED_SHARE: f64 = 0.5;
+/// If gossip about a function arrived within this time, more is expected, and the function need not be asked
+/// for.
+const GOSSIP_MEMORY: Time = Time(40_000);
+/// Maximum number of functions for which the time of the last gossip is kept.
+const MAX_GOSSIPED_FUNCTIONS: usize = 8_192;
+/// While the budget holds less than this time's worth of bytes, queued items are sent together once per this
+/// interval; otherwise each row would take a frame of its own.
+const BATCHING_INTERVAL: Time = Time(1_000);
+
+/// Settings with which an instance takes part in the directory.
 #[derive(Clone, Copy, Debug)]
 pub struct DirectorySettings {
-    /// Bytes a second that are sent for the directory at most, over any while and one burst of a second.
+    /// Maximum rate for the directory, with a burst of one second's worth.
     pub bytes_per_second: u64,
-    /// How long what was seen counts for anything.
+    /// How long an observation remains valid.
     pub observation_lifetime: Time,
-    /// Whether this instance asks and takes what it is told; it holds and hands on for others all the same.
+    /// Whether this instance asks questions and uses answers. It holds rows and passes them on for others in
+    /// any case.
     pub exchange_hints: bool,
-    /// Whether what the directory leaves of the bytes is used to tell all, round the rings.
+    /// Whether the bytes left by the directory are used to gossip observations along the rings.
     pub gossips: bool,
 }
 
-/// Whom to speak to is asked; where its answer is awaited since it was sent.
-struct Open {
+/// A question to a member, sent or queued.
+struct OpenQuestion {
     to: MemberId,
-    sent: Option<Time>,
-    queued: Time,
+    sent_at: Option<Time>,
+    queued_at: Time,
     tries: usize,
 }
 
 struct Interest {
-    asked: Time,
-    /// Questions so far: the next goes to another, where the last one knew nothing.
-    turn: usize,
+    asked_at: Time,
+    /// Number of questions so far. The next goes to another member if the last one knew nothing.
+    questions_sent: usize,
 }
 
-/// What came of the directory so far.
+/// Counters of the directory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DirectoryCounts {
     pub questions: u64,
     pub answers: u64,
-    /// Questions that nobody answered in time, each try counted.
+    /// Questions not answered in time, each try counted.
     pub unanswered: u64,
     pub bytes: u64,
-    /// Rows, questions and answers that the budget or a bound left out.
+    /// Rows, questions and answers dropped because of the budget or a limit.
     pub dropped: u64,
-    /// What peers sent beyond what is read of one.
+    /// Rows and questions that exceeded the intake limit of a peer and were ignored.
     pub ignored: u64,
-    /// Rows that were not sent on round a ring, as the directory left no room for them.
+    /// Rows not gossiped along a ring because the directory left no budget for them.
     pub not_gossiped: u64,
 }
 
-/// One instance's part of it.
+/// One instance's part of the copy directory.
 pub struct CopyDirectory {
     me: MemberId,
     settings: DirectorySettings,
-    view: View,
-    /// Members that take no part: an earlier release, or a configuration without it.
-    strangers: BTreeSet<MemberId>,
-    copies: Copies,
+    topology: Topology,
+    /// Members that take no part: they run an earlier release or have no directory configured.
+    non_participants: BTreeSet<MemberId>,
+    copies: CopyTable,
     subscribers: BTreeMap<FunctionId, BTreeMap<MemberId, Time>>,
-    subscribed: usize,
+    subscription_count: usize,
     interests: BTreeMap<FunctionId, Interest>,
-    open: BTreeMap<FunctionId, Open>,
-    /// When a copy or a load of a function was last told of round the rings.
-    heard_of: BTreeMap<FunctionId, Time>,
-    /// Members that did not answer, how often in a row, and when last.
+    open_questions: BTreeMap<FunctionId, OpenQuestion>,
+    /// When gossip about a copy or a load of a function last arrived.
+    last_gossip: BTreeMap<FunctionId, Time>,
+    /// Members that did not answer: how often in a row, and when last.
     strikes: BTreeMap<MemberId, (u8, Time)>,
     queue: Queue,
-    /// Bytes that may be sent now; below nought after a frame that took more.
+    /// Bytes that may be sent now; negative after a frame that took more.
     allowance: f64,
-    filled: Time,
-    gathered: Time,
-    next: u64,
-    swept: Time,
+    refilled_at: Time,
+    batched_at: Time,
+    next_seq: u64,
+    swept_at: Time,
     counts: DirectoryCounts,
 }
 
-/// A short mark of a run: with a number it tells one sight from another, in three bytes.
-fn mark(run: Run) -> Run {
+/// A shortened run id, three bytes on the wire. With a sequence number it identifies an observation.
+fn short_run_id(run: Run) -> Run {
     Run(run.0 >> 48)
 }
 
@@ -140,30 +147,30 @@
         CopyDirectory {
             me,
             settings,
-            view: View::new(me, std::iter::empty()),
-            strangers: BTreeSet::new(),
-            copies: Copies::new(settings.observation_lifetime, ROWS, ROWS_EACH),
+            topology: Topology::new(me, std::iter::empty()),
+            non_participants: BTreeSet::new(),
+            copies: CopyTable::new(settings.observation_lifetime, MAX_ROWS, MAX_ROWS_PER_FUNCTION),
             subscribers: BTreeMap::new(),
-            subscribed: 0,
+            subscription_count: 0,
             interests: BTreeMap::new(),
-            open: BTreeMap::new(),
-            heard_of: BTreeMap::new(),
+            open_questions: BTreeMap::new(),
+            last_gossip: BTreeMap::new(),
             strikes: BTreeMap::new(),
             queue: Queue::default(),
             allowance: settings.bytes_per_second as f64,
-            filled: now,
-            gathered: Time(0),
-            next: 0,
-            swept: now,
+            refilled_at: now,
+            batched_at: Time(0),
+            next_seq: 0,
+            swept_at: now,
             counts: DirectoryCounts::default(),
         }
     }
 
     pub fn counts(&self) -> DirectoryCounts {
-        DirectoryCounts { dropped: self.counts.dropped + self.queue.left_out(), ..self.counts }
+        DirectoryCounts { dropped: self.counts.dropped + self.queue.dropped(), ..self.counts }
     }
 
-    /// Rows held.
+    /// Number of rows held.
     pub fn len(&self) -> usize {
         self.copies.len()
     }
@@ -172,352 +179,373 @@
         self.copies.len() == 0
     }
 
-    /// The row held of a function at a worker.
+    /// The row held for a function at a worker.
     pub fn copy(&self, function: FunctionId, worker: WorkerId) -> Option<&Observation> {
         self.copies.get(function, worker)
     }
 
-    /// Those who are told of changes, over all functions.
+    /// Number of subscriptions over all functions.
     pub fn subscriber_count(&self) -> usize {
-        self.subscribed
+        self.subscription_count
     }
 
-    /// Who is being asked for a function.
+    /// The member that is being asked for a function.
     pub fn asked_member(&self, function: FunctionId) -> Option<MemberId> {
-        self.open.get(&function).map(|o| o.to)
+        self.open_questions.get(&function).map(|o| o.to)
     }
 
     pub fn open_question_count(&self) -> usize {
-        self.open.len()
+        self.open_questions.len()
     }
 
-    /// Those who hold a function, or whom this instance would ask for it, in its order.
+    /// The other holders of a function, or the members that this instance would ask for it, in order of
+    /// preference.
     pub fn contacts_for(&self, function: FunctionId) -> Vec<MemberId> {
-        self.view.towards(function)
+        self.topology.contacts_for(function)
     }
 
-    /// Of a column's function, those three who hold it; none where this instance is of another column.
+    /// The members that hold a function, or `None` if it belongs to another column.
     pub fn holders(&self, function: FunctionId) -> Option<Vec<MemberId>> {
-        self.view.is_ours(function).then(|| self.view.holders(function))
+        self.topology.is_own_column(function).then(|| self.topology.holders(function))
     }
 
-    /// Who lives, as far as is known here.
+    /// Updates the members that are known to be alive.
     pub fn update_members(&mut self, me: MemberId, living: impl Iterator<Item = MemberId>) {
         self.me = me;
-        let strangers = &self.strangers;
-        self.view = View::new(me, living.filter(|m| !strangers.contains(m)));
+        let non_participants = &self.non_participants;
+        self.topology = Topology::new(me, living.filter(|m| !non_participants.contains(m)));
     }
 
-    /// A member takes no part; true: that is news.
+    /// Records that a member takes no part; true if that was not known.
     pub fn mark_non_participant(&mut self, member: MemberId) -> bool {
-        self.strangers.insert(member)
+        self.non_participants.insert(member)
     }
 
-    /// A member is heard: it speaks for itself.
+    /// Frames from a member have arrived, so it responds.
     pub fn clear_strikes(&mut self, member: MemberId) {
         self.strikes.remove(&member);
     }
 
-    /// A member could not be reached, or said nothing when it had to.
-    pub fn unreachable(&mut self, now: Time, member: MemberId) {
-        self.strikes.insert(member, (STRIKES, now));
+    /// A member could not be reached, or did not respond when it had to.
+    pub fn member_unreachable(&mut self, now: Time, member: MemberId) {
+        self.strikes.insert(member, (STRIKE_LIMIT, now));
         self.link_lost(now, member);
     }
 
-    /// A link to a member has ended: what it was asked goes to another.
+    /// A link to a member has ended: its open questions go to another member.
     pub fn link_lost(&mut self, now: Time, member: MemberId) {
         let asked: Vec<FunctionId> =
-            self.open.iter().filter(|(_, o)| o.to == member).map(|(f, _)| *f).collect();
-        asked.into_iter().for_each(|f| self.ask_next(now, f));
+            self.open_questions.iter().filter(|(_, o)| o.to == member).map(|(f, _)| *f).collect();
+        asked.into_iter().for_each(|f| self.retry_question(now, f));
     }
 
-    /// A question is not answered: it goes to another, a few times.
-    fn ask_next(&mut self, now: Time, function: FunctionId) {
-        let Some(o) = self.open.remove(&function) else { return };
-        if o.sent.is_some() {
+    /// Passes an unanswered question to another member, a few times.
+    fn retry_question(&mut self, now: Time, function: FunctionId) {
+        let Some(o) = self.open_questions.remove(&function) else { return };
+        if o.sent_at.is_some() {
             self.counts.unanswered += 1;
         }
-        if o.tries + 1 < view::HOLDERS {
-            self.question(now, function, o.tries + 1);
+        if o.tries + 1 < topology::HOLDER_COUNT {
+            self.queue_question(now, function, o.tries + 1);
         }
     }
 
-    /// This instance stood still: others have heard what it has not, so it forgets what it held and asks anew.
+    /// This instance was paused and has missed updates, so it forgets what it holds and asks again.
     ///
-    /// Guards against telling of copies that are long gone to all who ask. Harms until it is asked: the other holders know.
+    /// Otherwise it would report copies that are long gone. Until it has asked, the other holders answer.
     pub fn reset_after_stall(&mut self) {
         self.copies.clear();
-        self.open.clear();
+        self.open_questions.clear();
         self.interests.clear();
-        self.heard_of.clear();
+        self.last_gossip.clear();
     }
 
-    /// A member said nothing when it had to, a while ago at most.
+    /// Whether a member has recently failed to respond.
     pub(crate) fn is_avoided(&self, now: Time, member: MemberId) -> bool {
-        self.strikes.get(&member).is_some_and(|(n, at)| *n >= STRIKES && now - *at < AVOIDED)
+        self.strikes.get(&member).is_some_and(|(n, at)| *n >= STRIKE_LIMIT && now - *at < AVOIDANCE_PERIOD)
     }
 
-    /// Whom to speak to of a function: those who are not known to say nothing first.
+    /// The members to contact for a function, unresponsive ones last.
     fn candidates(&self, now: Time, function: FunctionId) -> Vec<MemberId> {
-        let mut all = self.view.towards(function);
+        let mut all = self.topology.contacts_for(function);
         all.sort_by_key(|m| self.is_avoided(now, *m));
         all
     }
 
-    // The scheduler here.
+    // Calls from the local scheduler.
 
-    /// The scheduler here has seen something of a function at a worker.
-    pub fn observe(&mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
+    /// The local scheduler has observed something of a function at a worker.
+    pub fn observe(&mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64) {
         let known = self.copies.get(function, worker);
-        // That nothing is there is news only to those who think that something is.
-        let news = known.map_or(hint != Hint::Gone, |k| {
-            let (age, far) = (now - k.observed_at, held.abs_diff(k.held_rpcs) >= 2 + k.held_rpcs / 2);
-            let differs = k.hint != hint && (hint == Hint::Warm || age >= MOVED);
+        // An absent copy is news only to members that expect one.
+        let is_news = known.map_or(hint != Hint::Gone, |k| {
+            let (age, differs_much) =
+                (now - k.observed_at, held_rpcs.abs_diff(k.held_rpcs) >= 2 + k.held_rpcs / 2);
+            let differs = k.hint != hint && (hint == Hint::Warm || age >= CHANGE_INTERVAL);
             differs
-                || age >= AGAIN.max(Time(self.settings.observation_lifetime.0 / 4))
-                || (far && age >= MOVED)
+                || age >= REPEAT_INTERVAL.max(Time(self.settings.observation_lifetime.0 / 4))
+                || (differs_much && age >= CHANGE_INTERVAL)
         });
-        if !news {
+        if !is_news {
             return;
         }
-        self.next += 1;
+        self.next_seq += 1;
         let seen = Observation {
             worker,
             function,
             hint,
-            held_rpcs: held,
+            held_rpcs,
             observed_at: now,
-            run: mark(self.me.run),
-            seq: self.next,
+            run: short_run_id(self.me.run),
+            seq: self.next_seq,
         };
-        let Some(changed) = self.copies.put(seen) else { return };
-        self.tell_up(now, &seen, changed, None);
-        self.tell_subscribers(now, &seen, changed, None);
+        let Some(changed) = self.copies.insert(seen) else { return };
+        self.queue_for_holders(now, &seen, changed, None);
+        self.queue_for_subscribers(now, &seen, changed, None);
     }
 
-    /// The scheduler here has an RPC of a function.
+    /// The local scheduler has an RPC for a function.
     pub fn request(&mut self, now: Time, function: FunctionId) {
-        let heard = self.heard_of.get(&function).is_some_and(|at| now - *at < HEARD);
+        let heard = self.last_gossip.get(&function).is_some_and(|at| now - *at < GOSSIP_MEMORY);
         if self.settings.exchange_hints && !heard {
-            self.ask(now, function);
+            self.ask_if_needed(now, function);
         }
     }
 
-    /// A row has come round a ring.
+    /// A row has arrived along a ring.
     pub fn gossip_received(&mut self, now: Time, seen: &Observation) {
-        let stands = matches!(seen.hint, Hint::Warm | Hint::Loading);
-        let fits = self.heard_of.len() < HEARD_OF || self.heard_of.contains_key(&seen.function);
-        if stands && fits {
-            self.heard_of.insert(seen.function, now);
+        let is_present = matches!(seen.hint, Hint::Warm | Hint::Loading);
+        let fits =
+            self.last_gossip.len() < MAX_GOSSIPED_FUNCTIONS || self.last_gossip.contains_key(&seen.function);
+        if is_present && fits {
+            self.last_gossip.insert(seen.function, now);
         }
     }
 
-    /// Asks for a function, one question at a time, where nothing is known of it or what is known is old.
-    fn ask(&mut self, now: Time, function: FunctionId) {
+    /// Asks for a function, one question at a time, if nothing is known of it or what is known is old.
+    fn ask_if_needed(&mut self, now: Time, function: FunctionId) {
         let known = self.copies.is_known(now, function);
-        let pause = if known { RENEW } else { ASK_AGAIN };
-        if self.open.contains_key(&function) {
+        let pause = if known { SUBSCRIPTION_RENEWAL } else { QUESTION_INTERVAL };
+        if self.open_questions.contains_key(&function) {
             return;
         }
         if let Some(i) = self.interests.get(&function) {
-            if now - i.asked < pause {
+            if now - i.asked_at < pause {
                 return;
             }
-        } else if self.interests.len() >= INTERESTS {
+        } else if self.interests.len() >= MAX_INTERESTS {
             self.counts.dropped += 1;
             return;
         }
-        let first = Interest { asked: now, turn: 0 };
+        let first = Interest { asked_at: now, questions_sent: 0 };
         let i = self.interests.entry(function).or_insert(first);
-        i.asked = now;
+        i.asked_at = now;
         if !known {
-            i.turn = i.turn.wrapping_add(1);
+            i.questions_sent = i.questions_sent.wrapping_add(1);
         }
-        self.question(now, function, 0);
+        self.queue_question(now, function, 0);
     }
 
-    /// Puts a question to the next of those whom this instance would ask, so many tries on.
-    fn question(&mut self, now: Time, function: FunctionId, tries: usize) {
+    /// Queues a question to the next candidate, `tries` positions on.
+    fn queue_question(&mut self, now: Time, function: FunctionId, tries: usize) {
         let mut all = self.candidates(now, function);
         all.retain(|m| !self.is_avoided(now, *m));
         if all.is_empty() {
             return;
         }
-        let turn = self.interests.get(&function).map_or(0, |i| i.turn);
-        let to = all[turn.wrapping_add(tries) % all.len()];
-        if self.open.len() >= OPEN {
+        let questions_sent = self.interests.get(&function).map_or(0, |i| i.questions_sent);
+        let to = all[questions_sent.wrapping_add(tries) % all.len()];
+        if self.open_questions.len() >= MAX_OPEN_QUESTIONS {
             self.counts.dropped += 1;
             return;
         }
-        self.open.insert(function, Open { to, sent: None, queued: now, tries });
-        self.queue.push(now, ANSWERS, to, Item::Ask(function));
+        self.open_questions.insert(function, OpenQuestion { to, sent_at: None, queued_at: now, tries });
+        self.queue.push(now, CLASS_QUERY, to, QueueItem::Ask(function));
     }
 
-    // What peers say.
+    // Frames from peers.
 
-    /// A peer asks for functions, and is told of their changes for a while.
+    /// A peer asks for functions and subscribes to their changes for a while.
     pub fn question_received(&mut self, now: Time, from: MemberId, functions: &[FunctionId]) {
         self.clear_strikes(from);
         for f in functions {
             self.subscribe(now, from, *f);
-            self.queue.push(now, ANSWERS, from, Item::Answer(*f));
-            // One of another column does not know the holders; and a holder that is new, or was blind, knows no more.
+            self.queue.push(now, CLASS_QUERY, from, QueueItem::Answer(*f));
+            // A member of another column does not know the holders; and a holder that is new, or was cut off,
+            // may know nothing.
             let known = self.copies.is_known(now, *f);
-            if self.view.is_ours(*f) && !self.view.is_mate(from) && !(known && self.view.holds(*f)) {
-                self.ask(now, *f);
+            if self.topology.is_own_column(*f)
+                && !self.topology.is_column_member(from)
+                && !(known && self.topology.holds(*f))
+            {
+                self.ask_if_needed(now, *f);
             }
         }
     }
 
-    fn subscribe(&mut self, now: Time, who: MemberId, function: FunctionId) {
+    fn subscribe(&mut self, now: Time, member: MemberId, function: FunctionId) {
         let all = self.subscribers.entry(function).or_default();
-        let new = !all.contains_key(&who);
-        if new && (all.len() >= SUBSCRIBERS_EACH || self.subscribed >= SUBSCRIBERS) {
+        let new = !all.contains_key(&member);
+        if new && (all.len() >= MAX_SUBSCRIBERS_PER_FUNCTION || self.subscription_count >= MAX_SUBSCRIPTIONS)
+        {
             if all.is_empty() {
                 self.subscribers.remove(&function);
             }
             self.counts.dropped += 1;
             return;
         }
-        self.subscribed += usize::from(new);
-        all.insert(who, now);
+        self.subscription_count += usize::from(new);
+        all.insert(member, now);
     }
 
-    /// A member knows few others: it has just started, and is told some of the latest that is known here, where the budget
-    /// allows. Guards against one that finds each copy anew, one RPC after the other. Harms nobody: it leaves last.
-    pub fn push_to_newcomer(&mut self, now: Time, who: MemberId) {
-        let latest: Vec<(FunctionId, WorkerId)> = self.copies.latest(NEWCOMER_ROWS);
+    /// A member has just started: queues some of the latest rows for it, where the budget allows. Without them
+    /// it would have to find each copy through an RPC of its own. They are sent last.
+    pub fn push_to_newcomer(&mut self, now: Time, member: MemberId) {
+        let latest: Vec<(FunctionId, WorkerId)> = self.copies.latest(MAX_NEWCOMER_ROWS);
         for (f, w) in latest {
-            self.queue.push(now, REFRESH, who, Item::Down(f, w));
+            self.queue.push(now, CLASS_REFRESH, member, QueueItem::ToSubscriber(f, w));
         }
     }
 
-    /// A peer answers for some functions, and tells rows of these and of others. Returns those for the scheduler here.
+    /// Handles a peer's answer for some functions, with rows of these and of others. Returns the rows for the
+    /// local scheduler.
     pub fn answer_received(
         &mut self, now: Time, from: MemberId, answered: &[FunctionId], rows: Vec<Observation>,
     ) -> Vec<Observation> {
         self.clear_strikes(from);
         for f in answered {
-            if self.open.get(f).is_some_and(|o| o.to == from) {
-                self.open.remove(f);
+            if self.open_questions.get(f).is_some_and(|o| o.to == from) {
+                self.open_questions.remove(f);
                 self.counts.answers += 1;
             }
         }
-        self.take(now, from, rows, false)
+        self.merge_rows(now, from, rows, false)
     }
 
-    /// A peer tells what it has seen, or what was seen by those for whom it is the contact. Returns rows for the
-    /// scheduler here.
+    /// Handles observations of the peer, or of members for which it is the contact. Returns the rows for the
+    /// local scheduler.
     pub fn observations_received(
         &mut self, now: Time, from: MemberId, rows: Vec<Observation>,
     ) -> Vec<Observation> {
         self.clear_strikes(from);
-        self.take(now, from, rows, true)
+        self.merge_rows(now, from, rows, true)
     }
 
-    fn take(&mut self, now: Time, from: MemberId, rows: Vec<Observation>, up: bool) -> Vec<Observation> {
-        let mine = mark(self.me.run);
-        let mut news = Vec::new();
+    fn merge_rows(
+        &mut self, now: Time, from: MemberId, rows: Vec<Observation>, towards_holders: bool,
+    ) -> Vec<Observation> {
+        let own_run = short_run_id(self.me.run);
+        let mut new_rows = Vec::new();
         for seen in rows {
-            if seen.run == mine || now - seen.observed_at >= self.settings.observation_lifetime {
+            if seen.run == own_run || now - seen.observed_at >= self.settings.observation_lifetime {
                 continue;
             }
-            let Some(changed) = self.copies.put(seen) else { continue };
-            // From a mate it has come to all who hold it; from elsewhere this one is the contact.
-            if up && self.view.is_ours(seen.function) && !self.view.is_mate(from) {
-                self.tell_up(now, &seen, changed, Some(from));
+            let Some(changed) = self.copies.insert(seen) else { continue };
+            // A member of this column has sent it to all holders itself; for members of other columns this
+            // instance is the contact.
+            if towards_holders
+                && self.topology.is_own_column(seen.function)
+                && !self.topology.is_column_member(from)
+            {
+                self.queue_for_holders(now, &seen, changed, Some(from));
             }
-            self.tell_subscribers(now, &seen, changed, Some(from));
+            self.queue_for_subscribers(now, &seen, changed, Some(from));
             if self.settings.exchange_hints {
-                news.push(seen);
+                new_rows.push(seen);
             }
         }
-        news
+        new_rows
     }
 
-    fn class(seen: &Observation, changed: bool) -> usize {
+    fn queue_class(seen: &Observation, changed: bool) -> usize {
         match (changed, seen.hint) {
-            (false, _) => REFRESH,
-            (true, Hint::Warm) => WARM,
-            (true, _) => NEWS,
+            (false, _) => CLASS_REFRESH,
+            (true, Hint::Warm) => CLASS_COPY_READY,
+            (true, _) => CLASS_STATUS,
         }
     }
 
-    fn tell_up(&mut self, now: Time, seen: &Observation, changed: bool, from: Option<MemberId>) {
+    fn queue_for_holders(&mut self, now: Time, seen: &Observation, changed: bool, from: Option<MemberId>) {
         let mut to = self.candidates(now, seen.function);
-        if !self.view.is_ours(seen.function) {
+        if !self.topology.is_own_column(seen.function) {
             to.truncate(1);
         }
         for member in to.into_iter().filter(|m| Some(*m) != from) {
-            let item = Item::Up(seen.function, seen.worker);
-            self.queue.push(now, Self::class(seen, changed), member, item);
+            let item = QueueItem::ToHolder(seen.function, seen.worker);
+            self.queue.push(now, Self::queue_class(seen, changed), member, item);
         }
     }
 
-    fn tell_subscribers(&mut self, now: Time, seen: &Observation, changed: bool, from: Option<MemberId>) {
+    fn queue_for_subscribers(
+        &mut self, now: Time, seen: &Observation, changed: bool, from: Option<MemberId>,
+    ) {
         let Some(all) = self.subscribers.get(&seen.function) else { return };
         for (member, since) in all {
-            if Some(*member) != from && now - *since < SUBSCRIBED {
-                let item = Item::Down(seen.function, seen.worker);
-                self.queue.push(now, Self::class(seen, changed), *member, item);
+            if Some(*member) != from && now - *since < SUBSCRIPTION_LIFETIME {
+                let item = QueueItem::ToSubscriber(seen.function, seen.worker);
+                self.queue.push(now, Self::queue_class(seen, changed), *member, item);
             }
         }
     }
 
-    /// A peer sent so many rows or questions more than is read of one.
+    /// Counts rows or questions of a peer that exceeded its intake limit.
     pub fn count_ignored(&mut self, rows: usize) {
         self.counts.ignored += rows as u64;
     }
 
-    // Time.
+    // Periodic work.
 
-    /// Time has passed: questions without an answer go to the next one, what is over is forgotten.
+    /// Passes unanswered questions on and removes what has expired.
     pub fn advance(&mut self, now: Time) {
-        let late = |o: &Open| o.sent.map_or(now - o.queued >= queue::LIFE, |at| now - at >= ANSWER_IN);
-        let over: Vec<FunctionId> = self.open.iter().filter(|(_, o)| late(o)).map(|(f, _)| *f).collect();
-        for f in over {
-            let Some(o) = self.open.get(&f).filter(|o| o.sent.is_some()) else {
-                // It never left: there was no room for it, and there is none for another.
-                self.open.remove(&f);
+        let is_late = |o: &OpenQuestion| {
+            o.sent_at.map_or(now - o.queued_at >= queue::MAX_QUEUE_AGE, |at| now - at >= ANSWER_TIMEOUT)
+        };
+        let overdue: Vec<FunctionId> =
+            self.open_questions.iter().filter(|(_, o)| is_late(o)).map(|(f, _)| *f).collect();
+        for f in overdue {
+            let Some(o) = self.open_questions.get(&f).filter(|o| o.sent_at.is_some()) else {
+                // The question was never sent for lack of budget, so another one would not be sent either.
+                self.open_questions.remove(&f);
                 continue;
             };
             let (n, at) = self.strikes.entry(o.to).or_insert((0, now));
             (*n, *at) = (n.saturating_add(1), now);
-            self.ask_next(now, f);
+            self.retry_question(now, f);
         }
         self.queue.expire(now);
-        if now - self.swept < SWEEP {
+        if now - self.swept_at < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.swept_at = now;
         self.copies.sweep(now);
-        self.interests.retain(|_, i| now - i.asked < SUBSCRIBED);
-        self.heard_of.retain(|_, at| now - *at < HEARD);
-        self.strikes.retain(|_, (_, at)| now - *at < AVOIDED);
-        let mut left = 0;
+        self.interests.retain(|_, i| now - i.asked_at < SUBSCRIPTION_LIFETIME);
+        self.last_gossip.retain(|_, at| now - *at < GOSSIP_MEMORY);
+        self.strikes.retain(|_, (_, at)| now - *at < AVOIDANCE_PERIOD);
+        let mut remaining = 0;
         self.subscribers.retain(|_, all| {
-            all.retain(|_, since| now - *since < SUBSCRIBED);
-            left += all.len();
+            all.retain(|_, since| now - *since < SUBSCRIPTION_LIFETIME);
+            remaining += all.len();
             !all.is_empty()
         });
-        self.subscribed = left;
+        self.subscription_count = remaining;
     }
 
-    /// Those known as living have changed: marks of others are of no use.
-    pub fn retain_non_participants(&mut self, lives: impl Fn(MemberId) -> bool) {
-        self.strangers.retain(|m| lives(*m));
+    /// Forgets non-participants for which `is_alive` is false.
+    pub fn retain_non_participants(&mut self, is_alive: impl Fn(MemberId) -> bool) {
+        self.non_participants.retain(|m| is_alive(*m));
     }
 
-    // What is sent.
+    // Sending.
 
     fn refill(&mut self, now: Time) {
-        let (rate, span) = (self.settings.bytes_per_second as f64, (now - self.filled).ms() / 1000.0);
+        let (rate, span) = (self.settings.bytes_per_second as f64, (now - self.refilled_at).ms() / 1000.0);
         self.allowance = (self.allowance + rate * span).min(rate);
-        self.filled = now;
+        self.refilled_at = now;
     }
 
-    /// What leaves now, by member, the most useful first and as much as the budget allows; and those for whom something
-    /// waits and to whom no link is up. `linked`: to whom one is.
+    /// What is to be sent now, by member, the most useful first and as much as the budget allows; and the
+    /// members for which something is queued but to which no link is up. `linked`: whether a link to a member
+    /// is up.
     pub fn take_batches(
         &mut self, now: Time, linked: impl Fn(MemberId) -> bool,
     ) -> (BTreeMap<MemberId, Batch>, Vec<MemberId>) {
@@ -525,42 +553,46 @@
             return Default::default();
         }
         self.refill(now);
-        let little = self.allowance < self.settings.bytes_per_second as f64 * TOGETHER.ms() / 1000.0;
-        if self.allowance <= 0.0 || (little && now - self.gathered < TOGETHER) {
+        let is_low = self.allowance < self.settings.bytes_per_second as f64 * BATCHING_INTERVAL.ms() / 1000.0;
+        if self.allowance <= 0.0 || (is_low && now - self.batched_at < BATCHING_INTERVAL) {
             return Default::default();
         }
-        let (copies, open) = (&self.copies, &mut self.open);
-        let rows = |f: FunctionId| copies.best(now, f, ANSWER_ROWS);
-        let one = |f: FunctionId, w: WorkerId| copies.get(f, w).copied();
-        let (parcels, unlinked) = self.queue.gather(now, self.allowance, linked, rows, one);
-        for (to, parcel) in &parcels {
-            self.gathered = now;
-            for f in &parcel.asked {
+        let (copies, open_questions) = (&self.copies, &mut self.open_questions);
+        let rows = |f: FunctionId| copies.best(now, f, MAX_ANSWER_ROWS);
+        let single_row = |f: FunctionId, w: WorkerId| copies.get(f, w).copied();
+        let (batches, unlinked) = self.queue.take_batches(now, self.allowance, linked, rows, single_row);
+        for (to, batch) in &batches {
+            self.batched_at = now;
+            for f in &batch.questions {
                 self.counts.questions += 1;
-                open.get_mut(f).filter(|o| o.to == *to).into_iter().for_each(|o| o.sent = Some(now));
+                open_questions
+                    .get_mut(f)
+                    .filter(|o| o.to == *to)
+                    .into_iter()
+                    .for_each(|o| o.sent_at = Some(now));
             }
         }
-        (parcels, unlinked)
+        (batches, unlinked)
     }
 
-    /// So many bytes were sent for it.
+    /// Charges bytes that were sent to the budget.
     pub fn charge(&mut self, bytes: usize) {
         self.counts.bytes += bytes as u64;
         self.allowance -= bytes as f64;
     }
 
-    /// Whether what the directory leaves is used to tell all, round the rings.
+    /// Whether the bytes left by the directory are used for gossip along the rings.
     pub fn gossips(&self) -> bool {
         self.settings.gossips
     }
 
-    /// Bytes that may go round the rings now.
+    /// Bytes that may be spent on gossip now.
     pub fn gossip_allowance(&mut self, now: Time) -> usize {
         self.refill(now);
-        (self.allowance - RESERVE * self.settings.bytes_per_second as f64).max(0.0) as usize
+        (self.allowance - RESERVED_SHARE * self.settings.bytes_per_second as f64).max(0.0) as usize
     }
 
-    /// So many rows were not sent on round a ring.
+    /// Counts rows that were not gossiped.
     pub fn count_not_gossiped(&mut self, rows: u64) {
         self.counts.not_gossiped += rows;
     }
@@ -573,11 +605,11 @@
 
     /// A link to a member is up.
     pub fn link_up(&mut self, member: MemberId) {
-        self.queue.linked(member, true);
+        self.queue.set_linked(member, true);
     }
 
-    /// Those for whom something waits and to whom no link is up, the most useful first.
+    /// Members for which something is queued and to which no link is up, the most useful first.
     pub fn unlinked_members(&self) -> Vec<MemberId> {
-        self.queue.apart()
+        self.queue.unlinked_members()
     }
 }
--- a/crates/curlewpoint-fleet/src/directory/frames.rs
+++ b/crates/curlewpoint-fleet/src/directory/frames.rs
@@ -1,43 +1,43 @@
-//! The frames of the directory, as the bytes of the native protocol, and how they are read straight into calls.
+//! Frames of the copy directory in the native protocol, and their dispatch to the fleet.
 
 use curlewpoint::types::{FunctionId, Time, WorkerId};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 
+use crate::driver::{FleetDriver, LinkId};
 use crate::fleet::Fleet;
 use crate::frames::{code, HINTS};
 use crate::hints::Observation;
 use crate::members::Run;
-use crate::outside::{FleetDriver, LinkId};
 
-/// Numbers that a row takes.
-const ROW: usize = 7;
-/// Rows or names in one frame at most.
-const MOST: usize = 1_024;
+/// Integers per row.
+const ROW_INTEGERS: usize = 7;
+/// Maximum number of rows or function names in one frame.
+const MAX_ROWS: usize = 1_024;
 
-/// Before the frame that tells who speaks: this instance takes part; `only`: the link is for nothing else; `starts`: it
-/// has just started, and knows nothing.
-pub fn announce_frame(only: bool, starts: bool) -> Frame {
-    Frame::new(Kind::DIRECTORY).int(Field::ONLY, u64::from(only)).int(Field::STARTS, u64::from(starts))
+/// Sent before the join frame: this instance takes part in the directory. `only`: the link is used for nothing
+/// else; `just_started`: it has just started and knows nothing.
+pub fn announce_frame(only: bool, just_started: bool) -> Frame {
+    Frame::new(Kind::DIRECTORY).int(Field::ONLY, u64::from(only)).int(Field::STARTS, u64::from(just_started))
 }
 
-/// A question for what is known of functions.
+/// A question about functions.
 pub fn copies_request_frame(functions: &[FunctionId]) -> Frame {
-    Frame::new(Kind::ASK).ints(Field::FUNCTIONS, &names(functions))
+    Frame::new(Kind::ASK).ints(Field::FUNCTIONS, &function_ids(functions))
 }
 
 /// The answer for some functions, and changes of others.
 pub fn copies_frame(now: Time, answered: &[FunctionId], seen: &[Observation]) -> Frame {
     let f = Frame::new(Kind::COPIES);
-    let f = if answered.is_empty() { f } else { f.ints(Field::FUNCTIONS, &names(answered)) };
+    let f = if answered.is_empty() { f } else { f.ints(Field::FUNCTIONS, &function_ids(answered)) };
     f.ints(Field::ROWS, &rows(now, seen))
 }
 
-/// Rows for those who hold them.
+/// Observations for the holders of their functions.
 pub fn observations_frame(now: Time, seen: &[Observation]) -> Frame {
     Frame::new(Kind::SIGHTS).ints(Field::ROWS, &rows(now, seen))
 }
 
-fn names(functions: &[FunctionId]) -> Vec<u64> {
+fn function_ids(functions: &[FunctionId]) -> Vec<u64> {
     functions.iter().map(|f| f.0).collect()
 }
 
@@ -48,18 +48,18 @@
     seen.iter().flat_map(row).collect()
 }
 
-fn read_names(f: &Frame) -> Result<Vec<FunctionId>, WireError> {
-    let names = f.get_ints(Field::FUNCTIONS)?;
-    if names.len() > MOST {
+fn read_function_ids(f: &Frame) -> Result<Vec<FunctionId>, WireError> {
+    let function_ids = f.get_ints(Field::FUNCTIONS)?;
+    if function_ids.len() > MAX_ROWS {
         return Err(WireError::NotA(f.kind.0, Field::FUNCTIONS.0, "so few names"));
     }
-    Ok(names.into_iter().map(FunctionId).collect())
+    Ok(function_ids.into_iter().map(FunctionId).collect())
 }
 
-/// Rows; what a later version may tell is passed over.
+/// Reads rows; hints of kinds that only a later release knows are skipped.
 fn read_observations(now: Time, f: &Frame) -> Result<Vec<Observation>, WireError> {
     let rows = f.get_ints(Field::ROWS)?;
-    if rows.len() % ROW != 0 || rows.len() > ROW * MOST {
+    if rows.len() % ROW_INTEGERS != 0 || rows.len() > ROW_INTEGERS * MAX_ROWS {
         return Err(WireError::NotA(f.kind.0, Field::ROWS.0, "rows of copies"));
     }
     let row = |r: &[u64]| {
@@ -75,27 +75,28 @@
             seq: r[6],
         })
     };
-    Ok(rows.chunks_exact(ROW).filter_map(row).collect())
+    Ok(rows.chunks_exact(ROW_INTEGERS).filter_map(row).collect())
 }
 
-/// Reads a frame into a call; false: it is none of the directory's. An error: it is spoilt, and its link is to be closed.
+/// Passes a frame to the fleet; false if it is not a directory frame. On an error the frame is malformed and
+/// its link is to be closed.
 pub fn dispatch(
     fleet: &mut Fleet, now: Time, out: &mut impl FleetDriver, link: LinkId, f: &Frame,
 ) -> Result<bool, WireError> {
     match f.kind {
         Kind::DIRECTORY => {
-            let (only, starts) = (f.get_int(Field::ONLY)? == 1, f.get_int(Field::STARTS)? == 1);
+            let (only, just_started) = (f.get_int(Field::ONLY)? == 1, f.get_int(Field::STARTS)? == 1);
             fleet.peer_supports_directory(now, out, link, only);
-            if starts {
+            if just_started {
                 fleet.peer_just_started(link);
             }
         }
         Kind::ASK => {
-            let functions = read_names(f)?;
+            let functions = read_function_ids(f)?;
             fleet.copies_requested(now, out, link, functions);
         }
         Kind::COPIES => {
-            let (answered, seen) = (read_names(f)?, read_observations(now, f)?);
+            let (answered, seen) = (read_function_ids(f)?, read_observations(now, f)?);
             fleet.copies_received(now, out, link, answered, seen);
         }
         Kind::SIGHTS => {
--- a/crates/curlewpoint-fleet/src/fleet.rs
+++ b/crates/curlewpoint-fleet/src/fleet.rs
@@ -3,124 +3,134 @@
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
 use oorandom::Rand64;
 
-use crate::book::{EndpointEntry, EndpointTable, ListOutcome, ListSource};
-use crate::hints::{HintTable, Observation, Untold};
+use crate::driver::{FleetDriver, FleetLimits, LinkId};
+use crate::endpoint_table::{EndpointEntry, EndpointTable, ListOutcome, ListSource};
+use crate::hints::{HintTable, Observation, PendingHints};
+use crate::instance_count::InstanceCount;
 use crate::members::{InstanceId, Member, MemberId, MemberState, MemberTable, RecordError, Run};
-use crate::number::InstanceCount;
-use crate::outside::{FleetDriver, FleetLimits, LinkId};
 use crate::rings::{monitored_member, order_key, RING_COUNT, WATCHER_SALT};
 
-mod asks;
-mod beats;
+mod directory_links;
+mod heartbeats;
 mod links;
 mod list;
+mod list_service;
+mod observations;
 mod records;
-mod service;
-mod sights;
 
-/// Rings round which hints go: a hint that is lost costs little, and all of them would tell everyone four times.
-const HINT_RINGS: u8 = 2;
-/// What is kept of functions at workers, at most.
-const HINTS: usize = 65_536;
-/// Records of members that are kept, those that ended included, for each instance that may live.
-const RECORDS: usize = 4;
-/// Rows of a list that are taken.
-const WORKERS: usize = 100_000;
+/// Number of rings along which hints are gossiped. Losing a hint costs little, and gossiping along all rings
+/// would deliver every hint to every instance four times.
+const HINT_RING_COUNT: u8 = 2;
+/// Maximum number of rows in the hint table.
+const MAX_HINT_ROWS: usize = 65_536;
+/// Member records kept, including those of runs that have ended, per instance that may be alive.
+const RECORDS_PER_INSTANCE: usize = 4;
+/// Maximum number of entries accepted in an endpoint list.
+const MAX_LIST_ENTRIES: usize = 100_000;
 
-/// Between two looks at what has passed; records wait for each other so long before they are handed on.
-const TICK: Time = Time(1_000);
-/// While no list is held there is nothing to do but to get one.
-const HASTE: Time = Time(200);
-/// Between two beats on a link; a link that brings nothing for the second time is given up and dialled anew.
-const BEAT: Time = Time(3_000);
-const SILENT: Time = Time(12_000);
-/// One whom enough others doubt has so long to speak for itself.
-const SUSPICION: Time = Time(15_000);
-/// More time than this between two ticks: this instance stood still, and judges nobody by that.
-const STALL: Time = Time(8_000);
-/// Records differ between two that have heard nothing new for so long: they are told each other's whole.
-const SETTLED: Time = Time(5_000);
-/// The pause after a failed dial, which doubles up to the second.
-const BACK_OFF: (Time, Time) = (Time(2_500), Time(20_000));
-/// A link that was opened to meet somebody, and that no ring needs, is kept for so long.
-const MET: Time = Time(20_000);
-/// What one more instance adds to the first of these, where many start together on one machine.
-const KNOWN_AFTER: Time = Time(30);
-/// One that has only one peer's word for a list far on asks the list service itself after this, and up to so much later
-/// for each instance: where the service began anew the few who watch it are next to few, all others are in this place
-/// together, and once some have looked two of them are next to everybody.
-const OWN_LOOK: Time = Time(10_000);
-const LOOK_EACH: Time = Time(200);
-/// Peers to begin with that are met or missed before this instance believes that nobody is sure of the number.
-const INTRODUCED: usize = 3;
-/// Between two tries to meet one that was given up, who may be behind a cut; and where there is none, one of the peers
-/// to begin with.
-const REACH_OUT: (Time, Time) = (Time(20_000), Time(300_000));
-/// One that has begun watches the list no sooner than this after its first link, as it may know few as yet; one without
-/// any link after the second. Each is drawn between the time and twice the time.
-const WATCH_AFTER: (Time, Time) = (Time(1_500), Time(7_000));
-/// How much longer one without any link waits while not all peers to begin with have been tried.
-const SLOW: Time = Time(20_000);
-/// Where the number in the file is true, so many times the watchers that are wanted go without waiting.
-const AT_ONCE: f64 = 2.0;
-/// One that is no longer asked to watch goes on for so long.
-const WATCH_ON: Time = Time(10_000);
-/// The list service has not answered for so long: this instance is blind.
-const BLIND_AFTER: Time = Time(10_000);
-/// How long one that is blind waits until it tries again; drawn between the time and twice the time.
-const TRY_AGAIN: Time = Time(20_000);
+/// Interval between ticks, and minimum interval between two batches of member records on one link. All times
+/// below are in tenths of a millisecond, see [`Time`].
+const TICK_INTERVAL: Time = Time(1_000);
+/// Tick interval while no endpoint list is held: the only work then is to get one.
+const TICK_INTERVAL_WITHOUT_LIST: Time = Time(200);
+/// Interval between heartbeats on a link. A link on which nothing arrives for `LINK_TIMEOUT` is closed and
+/// dialled again once.
+const HEARTBEAT_INTERVAL: Time = Time(3_000);
+const LINK_TIMEOUT: Time = Time(12_000);
+/// Time in which a suspected member can refute the suspicion before it is declared dead.
+const SUSPICION_TIMEOUT: Time = Time(15_000);
+/// A longer gap between two ticks means that this instance was paused; other members are then not judged by
+/// their silence.
+const STALL_THRESHOLD: Time = Time(8_000);
+/// If a peer's record digest differs and no record has changed for this long, all records are sent to it.
+const RESYNC_DELAY: Time = Time(5_000);
+/// Pause after the first failed dial, doubled after each further failure up to the second value.
+const DIAL_BACK_OFF: (Time, Time) = (Time(2_500), Time(20_000));
+/// Lifetime of an introduction link that no ring needs.
+const INTRODUCTION_LINK_LIFETIME: Time = Time(20_000);
+/// Added per configured instance to the first value of `WATCH_DELAY`: where many instances start together on
+/// one machine, learning about all of them takes longer.
+const WATCH_DELAY_PER_INSTANCE: Time = Time(30);
+/// An instance that hears of a list far ahead from a single peer asks the list service itself after
+/// `LIST_CHECK_DELAY` plus a random delay of up to `LIST_CHECK_SPREAD_PER_INSTANCE` for each live instance. If
+/// the list service was restarted, almost no instance has a watcher as neighbour, so all others are in this
+/// situation at once; after some of them have asked, each of the rest has two neighbours that confirm the list.
+const LIST_CHECK_DELAY: Time = Time(10_000);
+const LIST_CHECK_SPREAD_PER_INSTANCE: Time = Time(200);
+/// Seed peers that have to be met, or found unreachable, before this instance concludes that no instance has
+/// confirmed the instance count.
+const REQUIRED_INTRODUCTIONS: usize = 3;
+/// Interval between attempts to reach a member that was declared dead and may be behind a network partition;
+/// and, where there is none, between attempts to reach a seed peer.
+const REACH_OUT_INTERVAL: (Time, Time) = (Time(20_000), Time(300_000));
+/// A started instance watches the list no sooner than the first value after its first link is up, because it
+/// may know only a few members at that point; without any link, no sooner than the second value. The delay is
+/// drawn between one and two times the value.
+const WATCH_DELAY: (Time, Time) = (Time(1_500), Time(7_000));
+/// Additional wait of an instance without any link while it has not yet tried all seed peers: they may be slow.
+const SLOW_INTRODUCTION_DELAY: Time = Time(20_000);
+/// If the configured instance count is right, this multiple of the required watchers starts to watch without
+/// delay.
+const IMMEDIATE_WATCHER_FACTOR: f64 = 2.0;
+/// An instance that is no longer needed as a watcher keeps watching for this long.
+const WATCH_LINGER: Time = Time(10_000);
+/// If the list service has not answered for this long, it counts as unreachable from this instance.
+const LIST_SERVICE_TIMEOUT: Time = Time(10_000);
+/// Wait before the next attempt to reach the list service; drawn between one and two times the value.
+const LIST_SERVICE_RETRY: Time = Time(20_000);
 
-enum Purpose {
-    /// To be looked after.
+enum LinkPurpose {
+    /// Monitors the member on one of the rings.
     Ring(MemberId),
-    /// To be met: a peer to begin with, or one that was given up.
-    Meet,
+    /// Makes contact with a seed peer or with a member that was declared dead.
+    Introduction,
     /// Opened by the peer.
-    Theirs,
+    Inbound,
 }
 
 struct Link {
-    purpose: Purpose,
+    purpose: LinkPurpose,
     up: bool,
-    /// Who is at the other end, once it has said so.
+    /// The peer, known once its join frame has arrived.
     peer: Option<MemberId>,
     since: Time,
-    heard: Time,
-    /// The tags sent last, and when.
-    tags: VecDeque<(u64, Time)>,
-    beat_at: Time,
-    /// What was heard last: tag, records, list, whether it is sure.
-    echo: u64,
+    last_received: Time,
+    /// Tags of the last heartbeats sent, and when each was sent.
+    sent_tags: VecDeque<(u64, Time)>,
+    heartbeat_sent_at: Time,
+    /// From the last heartbeat received: its tag, the record digest, the list version held, and whether the
+    /// peer has confirmed the instance count or knows an instance that has.
+    received_tag: u64,
     digest: Option<u64>,
     held: Option<(u64, u64)>,
-    sure: bool,
-    /// It has answered a beat that was sent after the last stall.
-    answered: bool,
-    /// It is asked for a list no sooner.
-    ask_from: Time,
-    /// It reads rows of a list many to a frame.
-    reads_rows: bool,
-    /// Records that it is to be told.
-    untold: BTreeSet<MemberId>,
-    told_at: Time,
-    hints: Untold,
-    hinted_at: Time,
-    synced: Time,
-    /// It takes part in the directory of copies.
-    takes: bool,
-    /// It has just started.
-    starts: bool,
-    intake: asks::Meter,
+    confirmed: bool,
+    /// The peer has answered a heartbeat that was sent after this instance resumed from a pause.
+    answered_since_stall: bool,
+    /// The peer is not asked for a list before this time.
+    ask_list_from: Time,
+    /// The peer accepts frames that hold several list entries.
+    reads_list_rows: bool,
+    /// Member records to be sent to the peer.
+    pending_records: BTreeSet<MemberId>,
+    records_sent_at: Time,
+    pending_hints: PendingHints,
+    hints_sent_at: Time,
+    synced_at: Time,
+    /// The peer takes part in the copy directory.
+    in_directory: bool,
+    /// The peer has reported that it has just started.
+    just_started: bool,
+    intake: directory_links::TokenBucket,
 }
 
-/// A member that cannot be reached from here.
-struct Unheard {
+/// A member to which dialling from here has failed.
+struct Unreachable {
     failures: u32,
     retry_at: Time,
     dialling: bool,
 }
 
-/// One instance among others.
+/// The state machine of one instance within a fleet of schedulers.
 pub struct Fleet {
     fleet: String,
     name: String,
@@ -128,79 +138,83 @@
     me: MemberId,
     limits: FleetLimits,
     rng: Rand64,
-    /// Those in the file, and after them those remembered from an earlier run.
-    peers: Vec<String>,
-    told_peers: usize,
+    /// The configured seed peers, followed by addresses remembered from an earlier run.
+    peer_addresses: Vec<String>,
+    configured_peer_count: usize,
     members: MemberTable,
     instance_count: InstanceCount,
     endpoints: EndpointTable,
     hints: HintTable,
-    /// Those whom this instance looks after, and the records and the silent ones by which they were found.
-    wanted: BTreeSet<MemberId>,
-    wanted_by: (u64, Vec<MemberId>),
-    /// Those of them whom it tells hints.
-    hinted: BTreeSet<MemberId>,
+    /// The members monitored by this instance, and the record digest and the unreachable members from which
+    /// they were computed.
+    monitored: BTreeSet<MemberId>,
+    monitored_inputs: (u64, Vec<MemberId>),
+    /// The monitored members to which hints are gossiped.
+    hint_targets: BTreeSet<MemberId>,
     links: BTreeMap<LinkId, Link>,
     next_link: u64,
     next_tag: u64,
-    unheard: BTreeMap<MemberId, Unheard>,
-    /// Since when enough others doubt a member.
-    suspects: BTreeMap<MemberId, Time>,
-    ticked: Time,
+    unreachable: BTreeMap<MemberId, Unreachable>,
+    /// Members under enough suspicion to be declared dead, and since when.
+    suspected_since: BTreeMap<MemberId, Time>,
+    last_tick: Time,
     members_changed_at: Time,
-    /// When it last tried to meet somebody, and a draw for the next time.
-    reached: (Time, f64),
-    /// Peers to begin with that were met or missed, one after the other, when this instance began.
-    introduced: usize,
-    /// When this instance may watch the list: linked, and alone.
+    /// Time of the last attempt to make contact outside the rings, and the random factor for the next pause.
+    last_reach_out: (Time, f64),
+    /// Seed peers met or found unreachable since the start.
+    introductions: usize,
+    /// When this instance may watch the list: if it is linked to a peer, and if it is not.
     watch_from: (Option<Time>, Time),
     watching: bool,
-    unasked_since: Option<Time>,
-    service: Option<Time>,
-    service_tried: Time,
-    asked_service: Option<Time>,
-    answered_service: Time,
-    try_again: Time,
-    fresh_at: Option<Time>,
-    woke: Option<Time>,
+    watch_unneeded_since: Option<Time>,
+    service_connected_at: Option<Time>,
+    service_tried_at: Time,
+    service_asked_at: Option<Time>,
+    service_answered_at: Time,
+    service_retry_at: Time,
+    list_fresh_at: Option<Time>,
+    /// When this instance noticed that it had been paused; cleared once it has learned the current list.
+    resumed_at: Option<Time>,
     left: bool,
-    refusals: u64,
-    /// Members heard of since the last look, by what became of them: how many, and the first.
-    heard_of: BTreeMap<&'static str, (usize, String)>,
-    /// From when on a list of the snapshot is used, if there is one and nobody has told another.
-    remembered_at: Option<Time>,
-    /// One peer alone speaks of a list far on: when this instance looks for itself, and the list.
-    look_at: Option<(Time, (u64, u64))>,
-    /// The list that is on its way, and those who are told one.
-    coming: Option<list::Coming>,
-    tellings: BTreeMap<LinkId, list::Telling>,
-    list_budget: list::Budget,
-    /// The directory of copies, where this instance takes part in it.
-    asks: Option<asks::Asks>,
+    refused: u64,
+    /// Membership events to be logged with the next tick, by kind: how many, and the name of the first member.
+    member_events: BTreeMap<&'static str, (usize, String)>,
+    /// When the list of the snapshot comes into use, if there is one and no other list has arrived.
+    snapshot_use_at: Option<Time>,
+    /// A single peer has reported a list far ahead: when this instance asks the list service itself, and the
+    /// version.
+    list_check: Option<(Time, (u64, u64))>,
+    /// The list that is being received, and the lists that are being sent to peers.
+    incoming_list: Option<list::IncomingList>,
+    transfers: BTreeMap<LinkId, list::Transfer>,
+    transfer_budget: list::TransferBudget,
+    /// This instance's node of the copy directory, if it takes part.
+    directory_node: Option<directory_links::DirectoryNode>,
 }
 
-/// The list service's connection, as the book knows it, and the disk.
-const SERVICE: u64 = u64::MAX;
-const DISK: u64 = u64::MAX - 1;
-/// Addresses remembered from an earlier run that are tried beside the peers to begin with.
-const REMEMBERED: usize = 16;
-/// So long after its start an instance that has heard no list from anybody uses that of its snapshot.
-const REMEMBER_AFTER: Time = Time(20_000);
+/// Connection ids in the endpoint table for the list service and for the snapshot on disk.
+const SERVICE_CONNECTION: u64 = u64::MAX;
+const SNAPSHOT_CONNECTION: u64 = u64::MAX - 1;
+/// Maximum number of remembered addresses that are tried in addition to the seed peers.
+const MAX_REMEMBERED_PEERS: usize = 16;
+/// An instance that has received no list by this time after its start uses the one of its snapshot.
+const SNAPSHOT_USE_DELAY: Time = Time(20_000);
 
 impl Fleet {
-    /// `run` is another for each start of the process, also where the seed is the same; `address` is where peers reach
-    /// this instance, `peers` some of them to begin with, `told` the number of instances in the file.
+    /// Starts an instance. `run` must differ at each start of the process, even with the same seed; `address`
+    /// is where peers reach this instance, `peers` are the addresses of the seed peers, and `configured` is the
+    /// instance count from the configuration.
     pub fn start(
-        now: Time, fleet: &str, (name, run): (&str, Run), address: &str, peers: Vec<String>, told: u64,
+        now: Time, fleet: &str, (name, run): (&str, Run), address: &str, peers: Vec<String>, configured: u64,
         limits: FleetLimits, seed: u128,
     ) -> Fleet {
         let mut rng = Rand64::new(seed);
         let me = MemberId { instance: InstanceId::of(name), run };
-        let mut members = MemberTable::new(limits.max_instances * RECORDS);
+        let mut members = MemberTable::new(limits.max_instances * RECORDS_PER_INSTANCE);
         let _ = members.merge(now, me, name, address, MemberState::default());
         let peers: Vec<String> = peers.into_iter().filter(|p| p != address).collect();
-        let alone = now + stretch(&mut rng, WATCH_AFTER.1);
-        let instance_count = InstanceCount::new(told, !peers.is_empty());
+        let alone = now + jittered(&mut rng, WATCH_DELAY.1);
+        let instance_count = InstanceCount::new(configured, !peers.is_empty());
         Fleet {
             fleet: fleet.to_owned(),
             name: name.to_owned(),
@@ -210,41 +224,41 @@
             rng,
             members,
             instance_count,
-            endpoints: EndpointTable::new(WORKERS),
-            hints: HintTable::new(now, limits.hint_lifetime, HINTS),
-            wanted: BTreeSet::new(),
-            wanted_by: (0, Vec::new()),
-            hinted: BTreeSet::new(),
+            endpoints: EndpointTable::new(MAX_LIST_ENTRIES),
+            hints: HintTable::new(now, limits.hint_lifetime, MAX_HINT_ROWS),
+            monitored: BTreeSet::new(),
+            monitored_inputs: (0, Vec::new()),
+            hint_targets: BTreeSet::new(),
             links: BTreeMap::new(),
             next_link: 0,
             next_tag: 0,
-            unheard: BTreeMap::new(),
-            suspects: BTreeMap::new(),
-            ticked: now,
+            unreachable: BTreeMap::new(),
+            suspected_since: BTreeMap::new(),
+            last_tick: now,
             members_changed_at: now,
-            reached: (Time(0), 0.0),
-            introduced: 0,
+            last_reach_out: (Time(0), 0.0),
+            introductions: 0,
             watch_from: (None, if peers.is_empty() { now } else { alone }),
-            told_peers: peers.len(),
-            peers,
+            configured_peer_count: peers.len(),
+            peer_addresses: peers,
             watching: false,
-            unasked_since: None,
-            service: None,
-            service_tried: now,
-            asked_service: None,
-            answered_service: Time(0),
-            try_again: Time(0),
-            fresh_at: None,
-            woke: None,
+            watch_unneeded_since: None,
+            service_connected_at: None,
+            service_tried_at: now,
+            service_asked_at: None,
+            service_answered_at: Time(0),
+            service_retry_at: Time(0),
+            list_fresh_at: None,
+            resumed_at: None,
             left: false,
-            refusals: 0,
-            heard_of: BTreeMap::new(),
-            remembered_at: None,
-            look_at: None,
-            coming: None,
-            tellings: BTreeMap::new(),
-            list_budget: list::Budget::new(now),
-            asks: None,
+            refused: 0,
+            member_events: BTreeMap::new(),
+            snapshot_use_at: None,
+            list_check: None,
+            incoming_list: None,
+            transfers: BTreeMap::new(),
+            transfer_budget: list::TransferBudget::new(now),
+            directory_node: None,
         }
     }
 
@@ -272,18 +286,18 @@
         self.watching
     }
 
-    /// Those who are asked to watch the list, as seen from here.
+    /// The members that should watch the list, as computed from the records held here.
     pub fn watchers(&self) -> BTreeSet<MemberId> {
-        self.first(true)
+        self.watcher_candidates(true)
     }
 
-    /// Those who come first in an order that all reckon alike, among those who live and are not suspect; `seeing`: and
-    /// reach the list service.
-    fn first(&self, seeing: bool) -> BTreeSet<MemberId> {
-        let unfit = |s: MemberState| s.is_suspect() || (seeing && s.list_service_lost);
-        let fit = self.members.alive().filter(|(_, m)| !unfit(m.state)).map(|(id, _)| id);
+    /// The first `limits.watchers` members that are alive and not suspected, in an order that is the same at
+    /// all instances. With `reaching_service`, only members that reach the list service are considered.
+    fn watcher_candidates(&self, reaching_service: bool) -> BTreeSet<MemberId> {
+        let excluded = |s: MemberState| s.is_suspect() || (reaching_service && s.list_service_lost);
+        let candidates = self.members.alive().filter(|(_, m)| !excluded(m.state)).map(|(id, _)| id);
         let mut first = BTreeSet::new();
-        for id in fit {
+        for id in candidates {
             first.insert((order_key(WATCHER_SALT, id), id));
             if first.len() > self.limits.watchers {
                 first.pop_last();
@@ -292,76 +306,77 @@
         first.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Links that are up.
+    /// Number of links that are up.
     pub fn link_count(&self) -> usize {
         self.links.values().filter(|l| l.up).count()
     }
 
-    /// Who is at the other end of each link.
+    /// The peer at the other end of each link.
     pub fn peer_links(&self) -> impl Iterator<Item = (LinkId, MemberId)> + '_ {
         self.links.iter().filter_map(|(id, l)| Some((*id, l.peer?)))
     }
 
-    /// Members that cannot be reached from here.
+    /// Number of members that cannot be reached from here.
     pub fn unreachable_count(&self) -> usize {
-        self.unheard.len()
+        self.unreachable.len()
     }
 
-    /// Records, links and lists that were not taken.
+    /// Number of records, links and lists that were refused.
     pub fn refusal_count(&self) -> u64 {
-        self.refusals
+        self.refused
     }
 
-    /// How long ago the list held was known to be the newest.
+    /// Time since the list held was last known to be the newest.
     pub fn list_age(&self, now: Time) -> Option<Time> {
-        self.fresh_at.map(|at| now - at)
+        self.list_fresh_at.map(|at| now - at)
     }
 
-    /// This instance stood still and has not heard yet what has passed meanwhile: nothing new may be sent.
+    /// Whether new RPCs must not be sent: this instance was paused and has not yet learned what has happened
+    /// meanwhile.
     ///
-    /// Guards against one that was stopped and goes on with the workers of an old list. Harms for the time of one
-    /// question and answer, after a pause that is none of its own.
+    /// This keeps a resumed instance from sending to the workers of an outdated list. The cost is one round
+    /// trip of waiting after each pause.
     pub fn is_holding(&self, now: Time) -> bool {
-        self.woke.is_some_and(|at| now - at < self.hold())
+        self.resumed_at.is_some_and(|at| now - at < self.hold_timeout())
     }
 
-    /// After standing still nothing new is sent until a peer or the list service has told of the list, for this time at
-    /// most: half of the slack is left for the way of answers that are due meanwhile.
-    fn hold(&self) -> Time {
+    /// How long to hold after a pause at most, until a peer or the list service has reported the current list.
+    /// Half of the answer slack remains for delivering answers that fall due meanwhile.
+    fn hold_timeout(&self) -> Time {
         Time(self.limits.answer_slack.0 / 2)
     }
 
-    /// When the clock is wanted next.
+    /// When `advance` is to be called next.
     pub fn next_wake(&self) -> Time {
-        self.ticked + self.tick()
+        self.last_tick + self.tick_interval()
     }
 
-    fn tick(&self) -> Time {
+    fn tick_interval(&self) -> Time {
         if self.endpoints.held().is_none() {
-            HASTE
+            TICK_INTERVAL_WITHOUT_LIST
         } else {
-            TICK
+            TICK_INTERVAL
         }
     }
 
-    /// Time has passed.
+    /// Does all periodic work.
     pub fn advance(&mut self, now: Time, out: &mut impl FleetDriver) {
-        if now - self.ticked < self.tick() || self.left {
+        if now - self.last_tick < self.tick_interval() || self.left {
             return;
         }
-        if now - self.ticked >= STALL {
-            self.stood_still(now, out);
+        if now - self.last_tick >= STALL_THRESHOLD {
+            self.handle_stall(now, out);
         }
-        self.ticked = now;
-        if self.woke.is_some_and(|at| now - at >= self.hold()) {
-            self.awake(out, "nobody told anything in time");
+        self.last_tick = now;
+        if self.resumed_at.is_some_and(|at| now - at >= self.hold_timeout()) {
+            self.resume(out, "no report of the current list within the hold time");
         }
-        self.use_remembered(now, out);
-        self.give_up_links(now, out);
-        self.settle_rings(now, out);
-        self.retry(now, out);
-        self.doubt(now, out);
-        self.judge(now);
+        self.use_snapshot_list(now, out);
+        self.close_unused_links(now, out);
+        self.update_ring_links(now, out);
+        self.retry_dials(now, out);
+        self.raise_suspicions(now, out);
+        self.declare_dead(now);
         self.members.sweep(now);
         self.hints.sweep(now);
         let all: Vec<LinkId> =
@@ -369,34 +384,36 @@
         for link in all {
             let l = &self.links[&link];
             let differs = l.digest.is_some_and(|d| d != self.members.digest());
-            if differs && now - self.members_changed_at >= SETTLED && now - l.synced >= SETTLED {
+            if differs && now - self.members_changed_at >= RESYNC_DELAY && now - l.synced_at >= RESYNC_DELAY {
                 let rows: Vec<MemberId> = self.members.gossiped().map(|(id, _)| id).collect();
                 let l = self.links.get_mut(&link).expect("just listed");
-                l.synced = now;
-                l.untold.extend(rows);
+                l.synced_at = now;
+                l.pending_records.extend(rows);
             }
             let l = &self.links[&link];
-            let due = now - l.beat_at >= BEAT;
-            if !l.untold.is_empty() {
-                self.flush(now, out, link);
+            let due = now - l.heartbeat_sent_at >= HEARTBEAT_INTERVAL;
+            if !l.pending_records.is_empty() {
+                self.flush_records(now, out, link);
             }
             self.flush_hints(now, out, link);
             if due {
-                self.beat(now, out, link, false);
+                self.heartbeat(now, out, link, false);
             }
         }
-        self.settle_list(now, out);
-        self.settle_asks(now, out);
-        self.settle_watch(now, out);
-        self.tell_of_members(out);
-        // A peer to begin with of whom nobody knows may be behind a cut, with a fleet of its own.
-        let known = |p: &String| self.members.iter().any(|(_, m)| m.address == *p);
-        let alike = self.links.values().any(|l| l.digest == Some(self.members.digest()))
-            && (self.instance_count.is_confirmed() || self.peers.iter().take(self.told_peers).all(known));
-        let among_sure = self.among_sure(now);
-        if let Some(number) = self.instance_count.update(now, &self.members, alike, among_sure) {
+        self.advance_lists(now, out);
+        self.advance_directory(now, out);
+        self.update_watching(now, out);
+        self.log_member_events(out);
+        // A seed peer that no instance knows may be on the other side of a network partition, in a fleet of its
+        // own.
+        let is_member = |p: &String| self.members.iter().any(|(_, m)| m.address == *p);
+        let converged = self.links.values().any(|l| l.digest == Some(self.members.digest()))
+            && (self.instance_count.is_confirmed()
+                || self.peer_addresses.iter().take(self.configured_peer_count).all(is_member));
+        let peer_confirmed = self.peer_confirmed(now);
+        if let Some(number) = self.instance_count.update(now, &self.members, converged, peer_confirmed) {
             out.log(&format!(
-                "fleet: {number} instances are reckoned with, {} live",
+                "fleet: instance count is now {number}, {} members alive",
                 self.members.alive().count()
             ));
             out.set_instance_count(number);
@@ -404,34 +421,34 @@
     }
 }
 
-fn new_link(now: Time, purpose: Purpose) -> Link {
+fn new_link(now: Time, purpose: LinkPurpose) -> Link {
     Link {
         purpose,
         up: false,
         peer: None,
         since: now,
-        heard: now,
-        tags: VecDeque::new(),
-        beat_at: Time(0),
-        echo: 0,
+        last_received: now,
+        sent_tags: VecDeque::new(),
+        heartbeat_sent_at: Time(0),
+        received_tag: 0,
         digest: None,
         held: None,
-        sure: false,
-        answered: false,
-        ask_from: Time(0),
-        reads_rows: false,
-        untold: BTreeSet::new(),
-        told_at: Time(0),
-        hints: Untold::default(),
-        hinted_at: Time(0),
-        synced: Time(0),
-        takes: false,
-        starts: false,
-        intake: asks::intake(now),
+        confirmed: false,
+        answered_since_stall: false,
+        ask_list_from: Time(0),
+        reads_list_rows: false,
+        pending_records: BTreeSet::new(),
+        records_sent_at: Time(0),
+        pending_hints: PendingHints::default(),
+        hints_sent_at: Time(0),
+        synced_at: Time(0),
+        in_directory: false,
+        just_started: false,
+        intake: directory_links::intake(now),
     }
 }
 
-/// Between the time and twice the time.
-fn stretch(rng: &mut Rand64, least: Time) -> Time {
-    Time((least.0 as f64 * (1.0 + rng.rand_float())) as u64)
+/// A random time between `min` and twice `min`.
+fn jittered(rng: &mut Rand64, min: Time) -> Time {
+    Time((min.0 as f64 * (1.0 + rng.rand_float())) as u64)
 }
--- a/crates/curlewpoint-fleet/src/fleet/links.rs
+++ b/crates/curlewpoint-fleet/src/fleet/links.rs
@@ -1,76 +1,80 @@
-//! Links: who is dialled, who is met, who is let go.
+//! Links to peers: which members are dialled, and which links are closed.
 
 use super::*;
 
 impl Fleet {
-    /// A link that was opened from here is up.
+    /// A link dialled from here is up.
     pub fn link_up(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
-        if self.asks.as_ref().is_some_and(|a| a.links.contains_key(&link)) {
-            return self.join(now, out, link);
+        if self.directory_node.as_ref().is_some_and(|a| a.links.contains_key(&link)) {
+            return self.send_join(now, out, link);
         }
         let Some(l) = self.links.get_mut(&link) else { return out.close(link) };
-        (l.up, l.heard, l.since) = (true, now, now);
-        self.join(now, out, link);
+        (l.up, l.last_received, l.since) = (true, now, now);
+        self.send_join(now, out, link);
     }
 
     /// A peer has opened a link.
     pub fn link_accepted(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
-        let theirs = self.links.values().filter(|l| matches!(l.purpose, Purpose::Theirs)).count();
-        if theirs >= self.limits.max_inbound_links {
-            self.refusals += 1;
+        let inbound = self.links.values().filter(|l| matches!(l.purpose, LinkPurpose::Inbound)).count();
+        if inbound >= self.limits.max_inbound_links {
+            self.refused += 1;
             return out.refuse(link, "as many peers are connected as are taken: try another");
         }
-        self.links.insert(link, new_link(now, Purpose::Theirs));
+        self.links.insert(link, new_link(now, LinkPurpose::Inbound));
         self.links.get_mut(&link).into_iter().for_each(|l| l.up = true);
-        self.join(now, out, link);
+        self.send_join(now, out, link);
     }
 
-    pub(super) fn join(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
-        self.tell_part(now, out, link);
+    pub(super) fn send_join(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+        self.announce_directory(now, out, link);
         let known = self.members.len() as u64;
         if let Some(me) = self.members.get(self.me) {
             out.send_join(link, &self.fleet, self.me, me, known);
         }
         if known <= 1 && self.links.contains_key(&link) {
-            self.begins_to_ask(now, link);
+            self.expect_list_after_join(now, link);
         }
     }
 
-    /// A link has ended, or could not be opened.
+    /// A link has ended or could not be opened.
     pub fn link_down(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
-        if self.ask_link_down(now, link) {
+        if self.directory_link_down(now, link) {
             return;
         }
         self.endpoints.abort(link.0);
         let Some(l) = self.links.remove(&link) else { return };
         self.ring_link_lost(now, l.peer);
-        if matches!(l.purpose, Purpose::Meet) && l.peer.is_none() {
-            self.introduced += 1;
+        if matches!(l.purpose, LinkPurpose::Introduction) && l.peer.is_none() {
+            self.introductions += 1;
         }
-        if let Purpose::Ring(member) = l.purpose {
+        if let LinkPurpose::Ring(member) = l.purpose {
             if l.up {
-                // It may have been restarted, or the link alone has broken: one more dial tells.
-                self.dial(now, out, Purpose::Ring(member));
+                // The member may have been restarted, or only the link has failed: one more dial tells which.
+                self.dial(now, out, LinkPurpose::Ring(member));
             } else {
-                self.not_reached(now, member);
-                self.doubt(now, out);
+                self.dial_failed(now, member);
+                self.raise_suspicions(now, out);
             }
         }
     }
 
-    pub(super) fn not_reached(&mut self, now: Time, member: MemberId) {
-        let chance = self.rng.rand_float();
-        let u = self.unheard.entry(member).or_insert(Unheard { failures: 0, retry_at: now, dialling: false });
-        let pause = Time(BACK_OFF.0 .0 << u.failures.min(10)).min(BACK_OFF.1);
-        u.failures += 1;
-        u.dialling = false;
-        u.retry_at = now + Time((pause.0 as f64 * (0.5 + 0.5 * chance)) as u64);
+    pub(super) fn dial_failed(&mut self, now: Time, member: MemberId) {
+        let random = self.rng.rand_float();
+        let entry = self.unreachable.entry(member).or_insert(Unreachable {
+            failures: 0,
+            retry_at: now,
+            dialling: false,
+        });
+        let pause = Time(DIAL_BACK_OFF.0 .0 << entry.failures.min(10)).min(DIAL_BACK_OFF.1);
+        entry.failures += 1;
+        entry.dialling = false;
+        entry.retry_at = now + Time((pause.0 as f64 * (0.5 + 0.5 * random)) as u64);
     }
 
-    pub(super) fn dial(&mut self, now: Time, out: &mut impl FleetDriver, purpose: Purpose) {
+    pub(super) fn dial(&mut self, now: Time, out: &mut impl FleetDriver, purpose: LinkPurpose) {
         let address = match &purpose {
-            Purpose::Ring(member) => self.members.get(*member).map(|m| m.address.clone()),
-            _ => self.someone(),
+            LinkPurpose::Ring(member) => self.members.get(*member).map(|m| m.address.clone()),
+            _ => self.introduction_address(),
         };
         let Some(address) = address else { return };
         self.next_link += 1;
@@ -79,67 +83,74 @@
         out.dial(link, &address);
     }
 
-    /// Whom to meet first: those in the file, where it names any; what is remembered may be long gone.
-    pub(super) fn introducers(&self) -> &[String] {
-        if self.told_peers > 0 {
-            &self.peers[..self.told_peers]
+    /// Addresses for the first contacts: the configured seed peers if there are any, because remembered
+    /// addresses may be long out of date.
+    pub(super) fn introduction_peers(&self) -> &[String] {
+        if self.configured_peer_count > 0 {
+            &self.peer_addresses[..self.configured_peer_count]
         } else {
-            &self.peers
+            &self.peer_addresses
         }
     }
 
-    pub(super) fn to_introduce(&self) -> bool {
-        self.introduced < self.introducers().len().min(INTRODUCED)
+    pub(super) fn is_introducing(&self) -> bool {
+        self.introductions < self.introduction_peers().len().min(REQUIRED_INTRODUCTIONS)
     }
 
-    /// Where somebody may be whom this instance does not know as living: those given up, and peers to begin with.
-    pub(super) fn unmet(&self) -> Vec<String> {
+    /// Addresses at which there may be a member that is not known to be alive: members declared dead, and seed
+    /// peers.
+    pub(super) fn unmet_addresses(&self) -> Vec<String> {
         let living: BTreeSet<&str> = self.members.alive().map(|(_, m)| m.address.as_str()).collect();
         let dead = |m: &Member| m.state.dead && !m.state.left;
         let dead = self.members.iter().filter(|(_, m)| dead(m)).map(|(_, m)| &m.address);
         let all: BTreeSet<&String> =
-            dead.chain(&self.peers).filter(|a| !living.contains(a.as_str())).collect();
+            dead.chain(&self.peer_addresses).filter(|a| !living.contains(a.as_str())).collect();
         all.into_iter().cloned().collect()
     }
 
-    /// An address at which to meet somebody.
-    pub(super) fn someone(&mut self) -> Option<String> {
-        if self.to_introduce() {
-            // One after the other, from a place of one's own.
-            let all = self.introducers();
-            let no = (self.me.run.0 as usize).wrapping_add(self.introduced) % all.len();
-            return Some(all[no].clone());
+    /// The next address to dial for an introduction.
+    pub(super) fn introduction_address(&mut self) -> Option<String> {
+        if self.is_introducing() {
+            // In order, starting at a position that differs between instances.
+            let all = self.introduction_peers();
+            let index = (self.me.run.0 as usize).wrapping_add(self.introductions) % all.len();
+            return Some(all[index].clone());
         }
-        let mut all = self.unmet();
+        let mut all = self.unmet_addresses();
         if all.is_empty() {
-            all.clone_from(&self.peers);
+            all.clone_from(&self.peer_addresses);
         }
-        let no = self.rng.rand_range(0..all.len().max(1) as u64) as usize;
-        all.into_iter().nth(no)
+        let index = self.rng.rand_range(0..all.len().max(1) as u64) as usize;
+        all.into_iter().nth(index)
     }
 
-    pub(super) fn heard(&mut self, now: Time, link: LinkId) {
-        self.links.get_mut(&link).into_iter().for_each(|l| l.heard = now);
+    pub(super) fn touch_link(&mut self, now: Time, link: LinkId) {
+        self.links.get_mut(&link).into_iter().for_each(|l| l.last_received = now);
     }
 
-    pub(super) fn refuse(&mut self, out: &mut impl FleetDriver, link: LinkId, why: &str) {
-        self.refusals += 1;
-        out.log(&format!("fleet: a peer is refused: {why}"));
+    pub(super) fn refuse_link(&mut self, out: &mut impl FleetDriver, link: LinkId, reason: &str) {
+        self.refused += 1;
+        out.log(&format!("fleet: a peer is refused: {reason}"));
         self.endpoints.abort(link.0);
         self.links.remove(&link);
-        self.asks.as_mut().and_then(|a| a.links.remove(&link));
-        out.refuse(link, why);
-    }
-
-    pub(super) fn give_up_links(&mut self, now: Time, out: &mut impl FleetDriver) {
-        let silent = |l: &Link| l.up && now - l.heard >= SILENT;
-        // One that met somebody whom no ring needs.
-        let met = |l: &Link| matches!(l.purpose, Purpose::Meet) && l.up && now - l.since >= MET;
-        let busy = self.list_links(now);
-        let over = |(id, l): &(&LinkId, &Link)| silent(l) || (met(l) && !busy.contains(id));
-        let over: Vec<(LinkId, bool)> =
-            self.links.iter().filter(over).map(|(id, l)| (*id, silent(l))).collect();
-        for (link, silent) in over {
+        self.directory_node.as_mut().and_then(|a| a.links.remove(&link));
+        out.refuse(link, reason);
+    }
+
+    pub(super) fn close_unused_links(&mut self, now: Time, out: &mut impl FleetDriver) {
+        let silent = |l: &Link| l.up && now - l.last_received >= LINK_TIMEOUT;
+        // An introduction link that no ring uses.
+        let unused_introduction = |l: &Link| {
+            matches!(l.purpose, LinkPurpose::Introduction)
+                && l.up
+                && now - l.since >= INTRODUCTION_LINK_LIFETIME
+        };
+        let busy = self.list_transfer_links(now);
+        let obsolete =
+            |(id, l): &(&LinkId, &Link)| silent(l) || (unused_introduction(l) && !busy.contains(id));
+        let obsolete: Vec<(LinkId, bool)> =
+            self.links.iter().filter(obsolete).map(|(id, l)| (*id, silent(l))).collect();
+        for (link, silent) in obsolete {
             let joined = self.links.values().filter(|l| l.peer.is_some()).count();
             if silent {
                 out.close(link);
@@ -152,92 +163,93 @@
         }
     }
 
-    /// Members that live and are not known to be out of reach from here.
-    pub(super) fn heard_from(&self) -> impl Iterator<Item = MemberId> + '_ {
-        self.members.alive().map(|(id, _)| id).filter(|id| !self.unheard.contains_key(id))
+    /// Members that are alive and not known to be unreachable from here.
+    pub(super) fn reachable_members(&self) -> impl Iterator<Item = MemberId> + '_ {
+        self.members.alive().map(|(id, _)| id).filter(|id| !self.unreachable.contains_key(id))
     }
 
-    /// Links to those whom this instance looks after, and to nobody else.
-    pub(super) fn settle_rings(&mut self, now: Time, out: &mut impl FleetDriver) {
-        let by = (self.members.digest(), self.unheard.keys().copied().collect());
-        if by != self.wanted_by {
-            let mut wanted = BTreeSet::new();
+    /// Opens links to the monitored members and closes ring links to all others.
+    pub(super) fn update_ring_links(&mut self, now: Time, out: &mut impl FleetDriver) {
+        let inputs = (self.members.digest(), self.unreachable.keys().copied().collect());
+        if inputs != self.monitored_inputs {
+            let mut monitored = BTreeSet::new();
             for ring in 0..RING_COUNT {
-                wanted.extend(monitored_member(ring, self.me, self.heard_from()));
-                if ring + 1 == HINT_RINGS {
-                    self.hinted.clone_from(&wanted);
+                monitored.extend(monitored_member(ring, self.me, self.reachable_members()));
+                if ring + 1 == HINT_RING_COUNT {
+                    self.hint_targets.clone_from(&monitored);
                 }
             }
-            (self.wanted, self.wanted_by) = (wanted, by);
+            (self.monitored, self.monitored_inputs) = (monitored, inputs);
         }
-        let busy = self.list_links(now);
-        let wanted = &self.wanted;
+        let busy = self.list_transfer_links(now);
+        let monitored = &self.monitored;
         let mut linked = BTreeSet::new();
-        let mut over = Vec::new();
+        let mut obsolete = Vec::new();
         for (id, l) in &mut self.links {
             match l.purpose {
-                Purpose::Ring(member) if wanted.contains(&member) => drop(linked.insert(member)),
-                // It is being looked into: see `retry`.
-                Purpose::Ring(member) if self.unheard.contains_key(&member) => {}
-                Purpose::Ring(_) if busy.contains(id) => {}
-                Purpose::Ring(_) => over.push(*id),
-                Purpose::Meet | Purpose::Theirs => {}
+                LinkPurpose::Ring(member) if monitored.contains(&member) => drop(linked.insert(member)),
+                // This member is being dialled again: see `retry_dials`.
+                LinkPurpose::Ring(member) if self.unreachable.contains_key(&member) => {}
+                LinkPurpose::Ring(_) if busy.contains(id) => {}
+                LinkPurpose::Ring(_) => obsolete.push(*id),
+                LinkPurpose::Introduction | LinkPurpose::Inbound => {}
             }
-            if let (Purpose::Meet, Some(peer)) = (&l.purpose, l.peer) {
-                if wanted.contains(&peer) && linked.insert(peer) {
-                    l.purpose = Purpose::Ring(peer);
+            if let (LinkPurpose::Introduction, Some(peer)) = (&l.purpose, l.peer) {
+                if monitored.contains(&peer) && linked.insert(peer) {
+                    l.purpose = LinkPurpose::Ring(peer);
                 }
             }
         }
-        for link in over {
+        for link in obsolete {
             self.links.remove(&link);
             self.endpoints.abort(link.0);
             out.close(link);
         }
-        for member in wanted.difference(&linked).copied().collect::<Vec<_>>() {
-            self.dial(now, out, Purpose::Ring(member));
+        for member in monitored.difference(&linked).copied().collect::<Vec<_>>() {
+            self.dial(now, out, LinkPurpose::Ring(member));
         }
     }
 
-    /// Dials those anew that were not reached, and now and then somebody beyond.
-    pub(super) fn retry(&mut self, now: Time, out: &mut impl FleetDriver) {
+    /// Dials unreachable members again when due, and now and then a member outside the rings.
+    pub(super) fn retry_dials(&mut self, now: Time, out: &mut impl FleetDriver) {
         let members = &self.members;
-        self.unheard.retain(|id, _| members.get(*id).is_some_and(|m| m.state.is_alive()));
+        self.unreachable.retain(|id, _| members.get(*id).is_some_and(|m| m.state.is_alive()));
         let due: Vec<MemberId> = self
-            .unheard
+            .unreachable
             .iter_mut()
-            .filter(|(_, u)| !u.dialling && u.retry_at <= now)
-            .map(|(id, u)| {
-                u.dialling = true;
+            .filter(|(_, entry)| !entry.dialling && entry.retry_at <= now)
+            .map(|(id, entry)| {
+                entry.dialling = true;
                 *id
             })
             .collect();
         for member in due {
-            self.dial(now, out, Purpose::Ring(member));
+            self.dial(now, out, LinkPurpose::Ring(member));
         }
         self.reach_out(now, out);
     }
 
-    /// Tries to meet somebody: at the start the peers to begin with, one after the other; later those who were given up
-    /// and may be behind a cut; and while all is well, now and then, one of the peers.
+    /// Opens an introduction link: after the start to the seed peers in turn; later to members that were
+    /// declared dead and may be behind a network partition; and otherwise now and then to one of the known
+    /// addresses.
     pub(super) fn reach_out(&mut self, now: Time, out: &mut impl FleetDriver) {
-        if self.links.values().any(|l| matches!(l.purpose, Purpose::Meet) && l.peer.is_none()) {
+        if self.links.values().any(|l| matches!(l.purpose, LinkPurpose::Introduction) && l.peer.is_none()) {
             return;
         }
-        let (reached, chance) = self.reached;
+        let (last_reach_out, random) = self.last_reach_out;
         let alone = self.links.values().all(|l| l.peer.is_none());
-        if !alone && !self.to_introduce() && now - reached < REACH_OUT.0 {
+        if !alone && !self.is_introducing() && now - last_reach_out < REACH_OUT_INTERVAL.0 {
             return;
         }
-        let pause = match (alone, self.unmet().is_empty()) {
-            _ if self.to_introduce() => Time(0),
-            (true, _) => BACK_OFF.0,
-            (false, false) => REACH_OUT.0,
-            (false, true) => REACH_OUT.1,
+        let pause = match (alone, self.unmet_addresses().is_empty()) {
+            _ if self.is_introducing() => Time(0),
+            (true, _) => DIAL_BACK_OFF.0,
+            (false, false) => REACH_OUT_INTERVAL.0,
+            (false, true) => REACH_OUT_INTERVAL.1,
         };
-        if now - reached >= Time((pause.0 as f64 * (1.0 + chance)) as u64) {
-            self.reached = (now, self.rng.rand_float());
-            self.dial(now, out, Purpose::Meet);
+        if now - last_reach_out >= Time((pause.0 as f64 * (1.0 + random)) as u64) {
+            self.last_reach_out = (now, self.rng.rand_float());
+            self.dial(now, out, LinkPurpose::Introduction);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/records.rs
+++ b/crates/curlewpoint-fleet/src/fleet/records.rs
@@ -1,132 +1,136 @@
-//! Records of members: what peers say of each other, what this instance says of itself, doubts and verdicts.
+//! Member records: what peers report, what this instance reports about itself, suspicion and declaring members
+//! dead.
 
 use super::*;
 
 impl Fleet {
-    /// Who is at the other end.
+    /// Handles a peer's join frame, the first on every link.
     pub fn join_received(
         &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, fleet: &str, id: MemberId,
         name: &str, address: &str, state: MemberState, known: u64,
     ) {
         if fleet != self.fleet {
-            return self.refuse(out, link, &format!("this is fleet '{}', not '{fleet}'", self.fleet));
+            return self.refuse_link(out, link, &format!("this is fleet '{}', not '{fleet}'", self.fleet));
         }
-        if known > (self.limits.max_instances * RECORDS) as u64 {
-            return self.refuse(out, link, &format!("it knows {known} members, more than are kept"));
+        if known > (self.limits.max_instances * RECORDS_PER_INSTANCE) as u64 {
+            return self.refuse_link(out, link, &format!("it knows {known} members, more than are kept"));
         }
         if id == self.me {
-            // A peer to begin with that is this instance itself.
+            // A seed peer address that is this instance's own.
             self.links.remove(&link);
-            self.ask_link_down(now, link);
+            self.directory_link_down(now, link);
             return out.close(link);
         }
-        if self.ask_joined(now, out, link, id, name, address, state) {
+        if self.directory_link_joined(now, out, link, id, name, address, state) {
             return;
         }
-        if !self.learn(now, out, Some(link), id, name, address, state) {
+        if !self.merge_record(now, out, Some(link), id, name, address, state) {
             return;
         }
-        if self.links.get(&link).is_some_and(|l| !l.takes) {
-            self.stranger(id);
+        if self.links.get(&link).is_some_and(|l| !l.in_directory) {
+            self.neighbour_without_directory(id);
         }
         let Some(l) = self.links.get_mut(&link) else { return };
-        (l.peer, l.heard) = (Some(id), now);
-        self.introduced += usize::from(matches!(l.purpose, Purpose::Meet));
-        let looked_for = if let Purpose::Ring(member) = l.purpose { Some(member) } else { None };
-        // What others believe of it, that it may speak for itself.
-        l.untold.insert(id);
+        (l.peer, l.last_received) = (Some(id), now);
+        self.introductions += usize::from(matches!(l.purpose, LinkPurpose::Introduction));
+        let dialled = if let LinkPurpose::Ring(member) = l.purpose { Some(member) } else { None };
+        // What others believe of the peer, so that it can refute it.
+        l.pending_records.insert(id);
         if known * 2 <= self.members.len() as u64 {
-            l.untold.extend(self.members.gossiped().map(|(id, _)| id));
-            self.hints.ordered().into_iter().for_each(|seen| l.hints.push(seen));
+            l.pending_records.extend(self.members.gossiped().map(|(id, _)| id));
+            self.hints.ordered().into_iter().for_each(|seen| l.pending_hints.push(seen));
         }
-        let starts = l.starts;
-        self.unheard.remove(&id);
-        if looked_for.is_some_and(|m| m != id) {
-            // Another run answers where that one was: it is not there any more.
-            let gone = looked_for.expect("just seen");
-            l.purpose = Purpose::Meet;
-            if let Some(m) = self.members.get(gone).filter(|m| m.state.is_alive()).cloned() {
+        let just_started = l.just_started;
+        self.unreachable.remove(&id);
+        if dialled.is_some_and(|m| m != id) {
+            // Another run answers at this address, so the run that was dialled has ended.
+            let ended = dialled.expect("just seen");
+            l.purpose = LinkPurpose::Introduction;
+            if let Some(m) = self.members.get(ended).filter(|m| m.state.is_alive()).cloned() {
                 let state = MemberState { suspicions: (1 << RING_COUNT) - 1, ..m.state };
-                self.learn(now, out, None, gone, &m.name, &m.address, state);
+                self.merge_record(now, out, None, ended, &m.name, &m.address, state);
             }
         }
         if self.watch_from.0.is_none() {
-            // Among as many as the file tells, those few would come first: they need not know the others for that.
-            let place = order_key(WATCHER_SALT, self.me) as f64 / u64::MAX as f64;
-            let few = AT_ONCE * self.limits.watchers as f64 / self.instance_count.configured() as f64;
-            // The more start at once, the longer it takes until all know all.
-            let most = WATCH_AFTER.0 + Time(KNOWN_AFTER.0 * self.instance_count.configured());
-            let wait = if place < few { Time(0) } else { stretch(&mut self.rng, most) };
+            // An instance that ranks first among the configured number of instances does not need to know the
+            // other members to become a watcher.
+            let position = order_key(WATCHER_SALT, self.me) as f64 / u64::MAX as f64;
+            let immediate_share = IMMEDIATE_WATCHER_FACTOR * self.limits.watchers as f64
+                / self.instance_count.configured() as f64;
+            // The more instances start together, the longer it takes until all know each other.
+            let max_delay =
+                WATCH_DELAY.0 + Time(WATCH_DELAY_PER_INSTANCE.0 * self.instance_count.configured());
+            let wait = if position < immediate_share { Time(0) } else { jittered(&mut self.rng, max_delay) };
             self.watch_from.0 = Some(now + wait);
         }
-        self.met(now, link, id, starts);
+        self.neighbour_joined(now, link, id, just_started);
         self.instance_count.link_established(now);
         if known <= 1 {
-            // One that has just started can serve by the list; records of members, hundreds of them, come behind it.
-            self.tell_list(now, out, link, None);
+            // With the list a started instance can serve; the member records, which may be hundreds, follow.
+            self.send_list(now, out, link, None);
         }
-        self.flush(now, out, link);
+        self.flush_records(now, out, link);
         self.flush_hints(now, out, link);
-        self.beat(now, out, link, true);
-        self.settle_rings(now, out);
-        if self.to_introduce() {
+        self.heartbeat(now, out, link, true);
+        self.update_ring_links(now, out);
+        if self.is_introducing() {
             self.reach_out(now, out);
         }
     }
 
-    /// A record of a member.
+    /// Handles a member record from a peer.
     pub fn member_received(
         &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, id: MemberId, name: &str,
         address: &str, state: MemberState,
     ) {
-        // What a peer sent before it was refused is void with it.
+        // Frames that a peer sent before it was refused are ignored.
         if self.links.get(&link).is_some_and(|l| l.peer.is_some()) {
-            self.heard(now, link);
-            self.learn(now, out, Some(link), id, name, address, state);
+            self.touch_link(now, link);
+            self.merge_record(now, out, Some(link), id, name, address, state);
         }
     }
 
-    /// Takes a record and hands on what is new; false: it was refused, and its link with it.
-    pub(super) fn learn(
+    /// Merges a record and passes it on if it is new. Returns false if it was refused, and its link with it.
+    pub(super) fn merge_record(
         &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, id: MemberId, name: &str,
         address: &str, state: MemberState,
     ) -> bool {
         if id == self.me {
-            self.of_me(now, out, state);
+            self.own_record_received(now, out, state);
             return true;
         }
         let before = self.members.get(id).map(|m| m.state);
         match self.members.merge(now, id, name, address, state) {
             Ok(false) => {
-                // Who tells it needs not be told it.
+                // The sender already has this record.
                 if let Some(l) = from.and_then(|link| self.links.get_mut(&link)) {
                     if before == Some(state) {
-                        l.untold.remove(&id);
+                        l.pending_records.remove(&id);
                     }
                 }
             }
             Ok(true) => {
                 self.members_changed_at = now;
                 let after = self.members.get(id).map(|m| m.state).unwrap_or_default();
-                let told = match before {
+                let event = match before {
                     None if after.is_alive() => Some("joins"),
                     Some(b) if b.is_alive() && after.left => Some("leaves"),
                     Some(b) if b.is_alive() && after.dead => Some("is given up"),
                     Some(b) if b.dead && after.is_alive() => Some("is back"),
                     _ => None,
                 };
-                if let Some(what) = told {
-                    self.heard_of.entry(what).or_insert((0, name.to_owned())).0 += 1;
+                if let Some(event) = event {
+                    self.member_events.entry(event).or_insert((0, name.to_owned())).0 += 1;
                 }
-                self.spread(now, out, from, id);
+                self.gossip_record(now, out, from, id);
             }
-            Err(why) => {
-                let why = match why {
+            Err(reason) => {
+                let reason = match reason {
                     RecordError::TableFull => "more members than are kept",
                     RecordError::Invalid => "a member whose name is not its own",
                 };
                 if let Some(link) = from {
-                    self.refuse(out, link, why);
+                    self.refuse_link(out, link, reason);
                 }
                 return false;
             }
@@ -134,132 +138,137 @@
         true
     }
 
-    /// One line for all that was heard of one kind since the last look, however many start or die together.
-    pub(super) fn tell_of_members(&mut self, out: &mut impl FleetDriver) {
-        for (what, (n, first)) in std::mem::take(&mut self.heard_of) {
+    /// Logs one line for each kind of membership event since the last tick, however many members start or fail
+    /// together.
+    pub(super) fn log_member_events(&mut self, out: &mut impl FleetDriver) {
+        for (event, (n, first)) in std::mem::take(&mut self.member_events) {
             let others = if n > 1 { format!(" and {} others", n - 1) } else { String::new() };
             let (live, known) = (self.members.alive().count(), self.members.len());
-            out.log(&format!("fleet: {first}{others}: {what}, {live} live of {known} known"));
+            out.log(&format!("fleet: {first}{others}: {event}, {live} live of {known} known"));
         }
     }
 
-    /// What others believe of this instance; where it is wrong it speaks for itself.
-    pub(super) fn of_me(&mut self, now: Time, out: &mut impl FleetDriver, said: MemberState) {
-        let mine = self.members.get(self.me).map(|m| m.state).unwrap_or_default();
+    /// Handles a record about this instance, and refutes it where it is wrong.
+    pub(super) fn own_record_received(
+        &mut self, now: Time, out: &mut impl FleetDriver, reported: MemberState,
+    ) {
+        let own = self.members.get(self.me).map(|m| m.state).unwrap_or_default();
         if self.left {
             return;
         }
-        if said.left {
-            // Nobody but this run can have said so: it has to be another one from here on, as a goodbye is for good.
-            out.log("fleet: a peer says that this run has left; it goes on as another run");
+        if reported.left {
+            // Only this run itself can announce that it leaves, and leaving is final: it has to continue as
+            // another run.
+            out.log("fleet: a peer reports that this run has left; continuing as another run");
             self.me.run = Run(self.rng.rand_u64());
             let _ = self.members.merge(now, self.me, &self.name, &self.address, MemberState::default());
-            return self.spread(now, out, None, self.me);
+            return self.gossip_record(now, out, None, self.me);
         }
-        let merged = mine.merge(said);
-        if said.incarnation > mine.incarnation || merged.dead || merged.is_suspect() {
+        let merged = own.merge(reported);
+        if reported.incarnation > own.incarnation || merged.dead || merged.is_suspect() {
             let incarnation = merged.incarnation + 1;
-            self.speak(now, out, MemberState { incarnation, dead: false, suspicions: 0, ..mine });
-        } else if merged != mine {
-            // One alone who hears nothing is let be, and believed alike everywhere.
+            self.update_own_state(now, out, MemberState { incarnation, dead: false, suspicions: 0, ..own });
+        } else if merged != own {
+            // A single suspicion needs no refutation; it is merged so that the record is the same everywhere.
             let _ = self.members.merge(now, self.me, &self.name, &self.address, merged);
         }
     }
 
-    /// Says something new of this instance.
-    pub(super) fn speak(&mut self, now: Time, out: &mut impl FleetDriver, state: MemberState) {
+    /// Updates and gossips this instance's own record.
+    pub(super) fn update_own_state(&mut self, now: Time, out: &mut impl FleetDriver, state: MemberState) {
         if self.members.merge(now, self.me, &self.name, &self.address, state) == Ok(true) {
             self.members_changed_at = now;
-            self.spread(now, out, None, self.me);
+            self.gossip_record(now, out, None, self.me);
         }
     }
 
-    pub(super) fn spread(
+    pub(super) fn gossip_record(
         &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, id: MemberId,
     ) {
         let to: Vec<LinkId> = self.links.iter().filter(|(l, _)| Some(**l) != from).map(|(l, _)| *l).collect();
         for link in to {
             let l = self.links.get_mut(&link).expect("just listed");
-            // Round the rings, each in one direction: over both, everyone would be told everything eight times.
-            if l.peer.is_some() && !matches!(l.purpose, Purpose::Theirs) {
-                l.untold.insert(id);
-                if now - l.told_at >= TICK {
-                    self.flush(now, out, link);
+            // Along the rings in one direction only: in both, every record would reach every instance eight
+            // times.
+            if l.peer.is_some() && !matches!(l.purpose, LinkPurpose::Inbound) {
+                l.pending_records.insert(id);
+                if now - l.records_sent_at >= TICK_INTERVAL {
+                    self.flush_records(now, out, link);
                 }
             }
         }
     }
 
-    pub(super) fn flush(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+    pub(super) fn flush_records(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
         let Some(l) = self.links.get_mut(&link) else { return };
-        l.told_at = now;
-        for id in std::mem::take(&mut l.untold) {
+        l.records_sent_at = now;
+        for id in std::mem::take(&mut l.pending_records) {
             if let Some(member) = self.members.get(id) {
                 out.send_member(link, id, member);
             }
         }
     }
 
-    /// Says of whom it hears nothing, on the rings on which it would be the one to hear.
-    pub(super) fn doubt(&mut self, now: Time, out: &mut impl FleetDriver) {
-        if self.unheard.is_empty() {
+    /// Suspects unreachable members, on the rings on which this instance would be the one to monitor them.
+    pub(super) fn raise_suspicions(&mut self, now: Time, out: &mut impl FleetDriver) {
+        if self.unreachable.is_empty() {
             return;
         }
         let mut suspicions: BTreeMap<MemberId, u8> = BTreeMap::new();
         for ring in 0..RING_COUNT {
-            let place = |id: MemberId| {
+            let position = |id: MemberId| {
                 order_key(u64::from(ring), id).wrapping_sub(order_key(u64::from(ring), self.me))
             };
-            let next = monitored_member(ring, self.me, self.heard_from()).map_or(u64::MAX, place);
-            for id in self.unheard.keys().filter(|id| place(**id) < next) {
-                *doubts.entry(*id).or_default() |= 1 << ring;
+            let next = monitored_member(ring, self.me, self.reachable_members()).map_or(u64::MAX, position);
+            for id in self.unreachable.keys().filter(|id| position(**id) < next) {
+                *suspicions.entry(*id).or_default() |= 1 << ring;
             }
         }
-        for (id, bits) in doubts {
-            // A suspect needs no more doubt; each change of a record goes to everybody.
+        for (id, bits) in suspicions {
+            // A suspected member needs no further suspicion; each change of a record is sent to all instances.
             let new = |m: &&Member| m.state.suspicions & bits != bits && !m.state.is_suspect();
             let Some(m) = self.members.get(id).filter(new).cloned() else {
                 continue;
             };
             let state = MemberState { suspicions: m.state.suspicions | bits, ..m.state };
-            self.learn(now, out, None, id, &m.name, &m.address, state);
+            self.merge_record(now, out, None, id, &m.name, &m.address, state);
         }
     }
 
-    /// Gives up those whom enough others have doubted for long enough.
-    pub(super) fn judge(&mut self, now: Time) {
+    /// Declares members dead that have been under suspicion for long enough.
+    pub(super) fn declare_dead(&mut self, now: Time) {
         let suspect: Vec<MemberId> = self
             .members
             .alive()
             .filter(|(id, m)| *id != self.me && m.state.is_suspect())
             .map(|(id, _)| id)
             .collect();
-        self.suspects.retain(|id, _| suspect.binary_search(id).is_ok());
+        self.suspected_since.retain(|id, _| suspect.binary_search(id).is_ok());
         for id in suspect {
-            let since = *self.suspects.entry(id).or_insert(now);
-            if now - since < SUSPICION {
+            let since = *self.suspected_since.entry(id).or_insert(now);
+            if now - since < SUSPICION_TIMEOUT {
                 continue;
             }
-            // All come to the same verdict by the same doubts: nobody has to be told of it.
+            // All instances reach this conclusion from the same record, so it need not be gossiped.
             if let Some(m) = self.members.get(id).cloned() {
                 let state = MemberState { dead: true, ..m.state };
                 if self.members.merge(now, id, &m.name, &m.address, state) == Ok(true) {
                     self.members_changed_at = now;
-                    self.heard_of.entry("is given up").or_insert((0, m.name)).0 += 1;
+                    self.member_events.entry("is given up").or_insert((0, m.name)).0 += 1;
                 }
             }
         }
     }
 
-    /// This instance ends: nothing of this run is sent any more.
+    /// This instance leaves: nothing more of this run is sent.
     pub fn leave(&mut self, now: Time, out: &mut impl FleetDriver) {
-        let mine = self.members.get(self.me).map(|m| m.state).unwrap_or_default();
-        self.speak(now, out, MemberState { left: true, ..mine });
+        let own = self.members.get(self.me).map(|m| m.state).unwrap_or_default();
+        self.update_own_state(now, out, MemberState { left: true, ..own });
         self.left = true;
         let all: Vec<LinkId> = self.links.keys().copied().collect();
         for link in all {
-            self.flush(now, out, link);
+            self.flush_records(now, out, link);
         }
-        self.settle_watch(now, out);
+        self.update_watching(now, out);
     }
 }
--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -1,46 +1,47 @@
-//! The frames between instances of a fleet: what a [`Fleet`] says as the bytes of the native protocol, and how what a
-//! peer says is read straight into a call. The daemon sends them over sockets, the scale rig over a made-up network.
+//! The frames between instances of a fleet: what a [`Fleet`] sends, encoded in the native protocol, and the
+//! dispatch of received frames to its methods. The gateway sends them over sockets, the scale simulation over a
+//! simulated network.
 
 use curlewpoint::types::{FunctionId, Hint, Standing as Lifecycle, Time, WorkerId};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 
-use crate::book::EndpointEntry;
 use crate::directory::frames as directory;
+use crate::driver::{FleetDriver, LinkId};
+use crate::endpoint_table::EndpointEntry;
 use crate::fleet::Fleet;
 use crate::hints::Observation;
 use crate::members::{InstanceId, Member, MemberId, MemberState, Run};
-use crate::outside::{FleetDriver, LinkId};
 
-/// Rows in one frame of a list at most.
-const MOST_ROWS: usize = 1_024;
-/// Numbers that a row of hints takes.
-const HINT: usize = 7;
-/// What a list says of a worker, by its number on the wire.
+/// Maximum number of entries in one frame of a list.
+const MAX_ROWS: usize = 1_024;
+/// Integers per row of hints.
+const HINT_INTEGERS: usize = 7;
+/// Worker lifecycles by their number on the wire.
 const LIFECYCLES: [Lifecycle; 3] = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Gone];
-/// What a row of hints tells, by its number on the wire.
+/// Hints by their number on the wire.
 pub(crate) const HINTS: [Hint; 4] = [Hint::Gone, Hint::Full, Hint::Loading, Hint::Warm];
 
 pub(crate) fn code<T: Copy + PartialEq>(all: &[T], of: T) -> u64 {
-    all.iter().position(|x| *x == of).map_or(0, |no| no as u64)
+    all.iter().position(|x| *x == of).map_or(0, |code| code as u64)
 }
 
-/// The number that stands for a worker's standing.
+/// The number of a worker's lifecycle on the wire.
 pub fn lifecycle_code(of: Lifecycle) -> u64 {
     code(&LIFECYCLES, of)
 }
 
-/// A worker's standing as a frame tells it; an error where the field is missing or holds no such number.
+/// Reads a worker's lifecycle; an error if the field is missing or holds an unknown number.
 pub fn read_lifecycle(f: &Frame) -> Result<Lifecycle, WireError> {
-    let no = f.get_int(Field::STANDING)?;
+    let code = f.get_int(Field::STANDING)?;
     let bad = WireError::NotA(f.kind.0, Field::STANDING.0, "a standing");
-    LIFECYCLES.get(no as usize).copied().ok_or(bad)
+    LIFECYCLES.get(code as usize).copied().ok_or(bad)
 }
 
 fn state_bits(s: MemberState) -> u64 {
     u64::from(s.left) | u64::from(s.dead) << 1 | u64::from(s.list_service_lost) << 2
 }
 
-fn about_member(kind: Kind, id: MemberId, m: &Member) -> Frame {
+fn member_fields(kind: Kind, id: MemberId, m: &Member) -> Frame {
     Frame::new(kind)
         .text(Field::INSTANCE, &m.name)
         .int(Field::RUN, id.run.0)
@@ -50,35 +51,36 @@
         .int(Field::DOUBTS, u64::from(m.state.suspicions))
 }
 
-/// First on every link: see [`Outside::join`]. It tells as well that this one reads rows of a list many to a frame.
+/// The first frame on every link: see [`FleetDriver::send_join`]. It also announces that this instance accepts
+/// frames with several list entries.
 pub fn join_frame(fleet: &str, me: MemberId, member: &Member, known: u64) -> Frame {
-    let f = about_member(Kind::JOIN, me, member).text(Field::FLEET, fleet).int(Field::KNOWN, known);
+    let f = member_fields(Kind::JOIN, me, member).text(Field::FLEET, fleet).int(Field::KNOWN, known);
     f.int(Field::READS_ROWS, 1)
 }
 
-/// What is believed of a member.
+/// A member record.
 pub fn member_frame(id: MemberId, member: &Member) -> Frame {
-    about_member(Kind::MEMBER, id, member)
+    member_fields(Kind::MEMBER, id, member)
 }
 
 fn read_member(f: &Frame) -> Result<(MemberId, &str, &str, MemberState), WireError> {
     let (name, bits) = (f.get_text(Field::INSTANCE)?, f.get_int(Field::STATE)?);
-    let doubts = f.get_int(Field::DOUBTS)?;
-    let doubts =
-        u8::try_from(doubts).map_err(|_| WireError::NotA(f.kind.0, Field::DOUBTS.0, "a row of rings"))?;
-    let (left, dead, blind) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
+    let suspicions = f.get_int(Field::DOUBTS)?;
+    let suspicions =
+        u8::try_from(suspicions).map_err(|_| WireError::NotA(f.kind.0, Field::DOUBTS.0, "a row of rings"))?;
+    let (left, dead, list_service_lost) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
     let state = MemberState {
         incarnation: f.get_int(Field::INCARNATION)?,
         left,
         dead,
-        list_service_lost: blind,
-        suspicions: doubts,
+        list_service_lost,
+        suspicions,
     };
     let id = MemberId { instance: InstanceId::of(name), run: Run(f.get_int(Field::RUN)?) };
     Ok((id, name, f.get_text(Field::ADDRESS)?, state))
 }
 
-fn held(f: &Frame) -> Result<Option<(u64, u64)>, WireError> {
+fn read_held(f: &Frame) -> Result<Option<(u64, u64)>, WireError> {
     Ok(f.maybe_int(Field::EPOCH)?.zip(f.maybe_int(Field::LIST_VERSION)?))
 }
 
@@ -89,13 +91,13 @@
     }
 }
 
-/// A sign of life: see [`Outside::beat`].
+/// A heartbeat: see [`FleetDriver::send_heartbeat`].
 pub fn heartbeat_frame(
-    (tag, echo): (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>, sure: bool,
+    (tag, echo): (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>, confirmed: bool,
     answer: bool,
 ) -> Frame {
     let mut f = with_held(Frame::new(Kind::BEAT).int(Field::TAG, tag).int(Field::ECHO, echo), held);
-    f = f.int(Field::DIGEST, digest).int(Field::SURE, u64::from(sure));
+    f = f.int(Field::DIGEST, digest).int(Field::SURE, u64::from(confirmed));
     if let Some(age) = age {
         f = f.int(Field::AGE, age.0);
     }
@@ -107,13 +109,13 @@
     with_held(Frame::new(Kind::WATCH), held)
 }
 
-/// A list begins; `from`: the version that it changes, none where it is whole.
+/// Begins a list; `from`: the version that it changes, or `None` for a whole list.
 pub fn list_begin_frame((epoch, version): (u64, u64), from: Option<u64>) -> Frame {
     let f = Frame::new(Kind::LIST).int(Field::EPOCH, epoch).int(Field::LIST_VERSION, version);
     from.map_or(f.clone(), |from| f.int(Field::FROM, from))
 }
 
-/// One worker of a list, as it goes to peers and to disk.
+/// One entry of a list, for peers and for the snapshot on disk.
 pub fn entry_frame(now: Time, name: &str, e: &EndpointEntry) -> Frame {
     let f = Frame::new(Kind::CHANGE).text(Field::WORKER, name).text(Field::ADDRESS, &e.address);
     let f = f.int(Field::STANDING, lifecycle_code(e.lifecycle)).int(Field::START, e.start);
@@ -124,7 +126,7 @@
     }
 }
 
-/// One worker of a list, its name first.
+/// Reads one entry of a list: the worker's name and its entry.
 pub fn read_entry(now: Time, f: &Frame) -> Result<(&str, EndpointEntry), WireError> {
     let text = |field| f.maybe_text(field).map(|t| t.unwrap_or("").to_owned());
     let entry = EndpointEntry {
@@ -139,15 +141,15 @@
     Ok((f.get_text(Field::WORKER)?, entry))
 }
 
-/// What a row of a list takes in a frame, at most.
+/// Maximum size of a list entry in a frame, in bytes.
 pub(crate) fn row_size(name: &str, e: &EndpointEntry) -> usize {
-    // The numbers of eight fields, the heads of four texts, four numbers, and the length of it all.
-    const REST: usize = 60;
-    REST + name.len() + e.address.len() + e.zone.len() + e.cell.len()
+    // The numbers of eight fields, the headers of four texts, four integers, and the length prefix.
+    const OVERHEAD_BYTES: usize = 60;
+    OVERHEAD_BYTES + name.len() + e.address.len() + e.zone.len() + e.cell.len()
 }
 
-/// Some workers of a list, for one who has said that it reads them: for each the length of its fields, two bytes, and the
-/// fields as [`entry_frame`] writes them.
+/// Several entries of a list, for a peer that has announced that it accepts them: for each the length of its
+/// fields in two bytes, and the fields as [`entry_frame`] writes them.
 pub fn entries_frame(now: Time, rows: &[(&str, &EndpointEntry)]) -> Frame {
     let mut body = Vec::new();
     for (name, e) in rows {
@@ -158,14 +160,14 @@
     Frame::new(Kind::LIST_ROWS).body(body)
 }
 
-/// The workers that a frame tells, all or none.
+/// Reads all entries in a frame, or none.
 pub fn read_entries(now: Time, f: &Frame) -> Result<Vec<(String, EndpointEntry)>, WireError> {
     let bad = || WireError::NotA(f.kind.0, Field::ROWS.0, "rows of a list");
     let (mut left, mut rows) = (&f.body[..], Vec::new());
     while let Some((length, rest)) = left.split_first_chunk() {
         let (fields, rest) =
             rest.split_at_checked(usize::from(u16::from_be_bytes(*length))).ok_or_else(bad)?;
-        if rows.len() == MOST_ROWS {
+        if rows.len() == MAX_ROWS {
             return Err(bad());
         }
         let row = Frame::read(Kind::CHANGE, fields, Default::default())?;
@@ -180,12 +182,12 @@
     }
 }
 
-/// The list that was begun is at its end.
+/// Ends the list that was begun.
 pub fn list_end_frame() -> Frame {
     Frame::new(Kind::LIST_END)
 }
 
-/// What some instances have seen of functions at workers.
+/// Observations of functions at workers.
 pub fn hints_frame(now: Time, seen: &[Observation]) -> Frame {
     let row = |s: &Observation| {
         let age = (now - s.observed_at).0;
@@ -195,10 +197,10 @@
     Frame::new(Kind::HINTS).ints(Field::ROWS, &rows)
 }
 
-/// What others have seen of functions at workers; what cannot be known here yet is passed over.
+/// Reads observations; hints of kinds that only a later release knows are skipped.
 fn read_hints(now: Time, f: &Frame) -> Result<Vec<Observation>, WireError> {
     let rows = f.get_ints(Field::ROWS)?;
-    if rows.len() % HINT != 0 {
+    if rows.len() % HINT_INTEGERS != 0 {
         return Err(WireError::NotA(f.kind.0, Field::ROWS.0, "rows of hints"));
     }
     let row = |r: &[u64]| {
@@ -214,11 +216,11 @@
             seq: r[6],
         })
     };
-    Ok(rows.chunks_exact(HINT).filter_map(row).collect())
+    Ok(rows.chunks_exact(HINT_INTEGERS).filter_map(row).collect())
 }
 
-/// Reads what a peer says into the fleet; false: a kind that is none of the fleet's, and is passed over. An error tells
-/// what cannot be read; nothing was taken then, and the link is to be closed.
+/// Passes a peer's frame to the fleet; false for a kind that is not the fleet's, which is ignored. On an error
+/// the frame is malformed: nothing of it was used, and the link is to be closed.
 pub fn dispatch(
     fleet: &mut Fleet, now: Time, out: &mut impl FleetDriver, link: LinkId, f: &Frame,
 ) -> Result<bool, WireError> {
@@ -238,11 +240,11 @@
         Kind::BEAT => {
             let (tags, digest) =
                 ((f.get_int(Field::TAG)?, f.get_int(Field::ECHO)?), f.get_int(Field::DIGEST)?);
-            let (held, age) = (held(f)?, f.maybe_int(Field::AGE)?.map(Time));
-            let (sure, answer) = (f.get_int(Field::SURE)? == 1, f.get_int(Field::WANTED)? == 1);
-            fleet.heartbeat_received(now, out, link, tags, digest, held, age, sure, answer);
+            let (held, age) = (read_held(f)?, f.maybe_int(Field::AGE)?.map(Time));
+            let (confirmed, answer) = (f.get_int(Field::SURE)? == 1, f.get_int(Field::WANTED)? == 1);
+            fleet.heartbeat_received(now, out, link, tags, digest, held, age, confirmed, answer);
         }
-        Kind::WATCH => fleet.list_requested(now, out, link, held(f)?),
+        Kind::WATCH => fleet.list_requested(now, out, link, read_held(f)?),
         Kind::HINTS => fleet.hints_received(now, out, link, read_hints(now, f)?),
         Kind::DIRECTORY | Kind::ASK | Kind::COPIES | Kind::SIGHTS => {
             return directory::dispatch(fleet, now, out, link, f);
@@ -252,25 +254,26 @@
     Ok(true)
 }
 
-/// Reads a frame of a list into the fleet, from a peer or (none) from the list service; else as [`read`].
+/// Passes a frame of a list to the fleet, from a peer or (`None`) from the list service; otherwise as
+/// [`dispatch`].
 pub fn dispatch_list(
-    fleet: &mut Fleet, now: Time, out: &mut impl FleetDriver, on: Option<LinkId>, f: &Frame,
+    fleet: &mut Fleet, now: Time, out: &mut impl FleetDriver, from_link: Option<LinkId>, f: &Frame,
 ) -> Result<bool, WireError> {
     match f.kind {
         Kind::LIST => {
             let (epoch, version) = (f.get_int(Field::EPOCH)?, f.get_int(Field::LIST_VERSION)?);
-            fleet.list_begin_received(now, on, epoch, version, f.maybe_int(Field::FROM)?);
+            fleet.list_begin_received(now, from_link, epoch, version, f.maybe_int(Field::FROM)?);
         }
         Kind::CHANGE => {
             let (name, entry) = read_entry(now, f)?;
-            fleet.list_entry_received(now, on, name, entry);
+            fleet.list_entry_received(now, from_link, name, entry);
         }
         Kind::LIST_ROWS => {
             for (name, entry) in read_entries(now, f)? {
-                fleet.list_entry_received(now, on, &name, entry);
+                fleet.list_entry_received(now, from_link, &name, entry);
             }
         }
-        Kind::LIST_END => fleet.list_end_received(now, out, on),
+        Kind::LIST_END => fleet.list_end_received(now, out, from_link),
         _ => return Ok(false),
     }
     Ok(true)
--- a/crates/curlewpoint-fleet/src/hints.rs
+++ b/crates/curlewpoint-fleet/src/hints.rs
@@ -4,178 +4,194 @@
 
 use crate::members::Run;
 
-/// What some instance has seen of a function at a worker.
+/// An observation of a function at a worker by some instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Observation {
     pub worker: WorkerId,
     pub function: FunctionId,
     pub hint: Hint,
-    /// RPCs of the function that were there.
+    /// RPCs of the function that the worker held.
     pub held_rpcs: u64,
-    /// When it was seen, on the clock here; the time on links is not counted in, some milliseconds each.
+    /// When it was observed, on the local clock. Transit times between instances, some milliseconds each, are
+    /// not counted.
     pub observed_at: Time,
-    /// Who saw it, and its number for it: one run counts up.
+    /// The run that observed it, and its sequence number in that run.
     pub run: Run,
     pub seq: u64,
 }
 
-/// The same again is told no sooner than this; what has changed, but for a copy that has come up, no sooner than the
-/// second: where many are turned away each in turn would tell of a load and of its end.
-const AGAIN: Time = Time(20_000);
-const MOVED: Time = Time(5_000);
-/// So many of one's own are told in a second, and so many at once.
-const RATE: f64 = 100.0;
-const BURST: f64 = 200.0;
+/// An unchanged observation is repeated no sooner than the first. A changed one is sent no sooner than the
+/// second, except for a copy that has become ready: where many RPCs are rejected, each in turn would otherwise
+/// report a load and its end.
+const REPEAT_INTERVAL: Time = Time(20_000);
+const CHANGE_INTERVAL: Time = Time(5_000);
+/// Rate limit for own observations: per second, and burst.
+const SEND_RATE: f64 = 100.0;
+const SEND_BURST: f64 = 200.0;
 
-/// The numbers that came from a run: the last, and which of those before it.
+/// The sequence numbers received from a run: the last one, and a bit for each of the 128 before it.
 #[derive(Clone, Copy, Default)]
-struct Numbers {
+struct SeqWindow {
     last: u64,
-    before: u128,
+    seen_before: u128,
 }
 
-impl Numbers {
-    /// Whether a number is new. One too far before the last is taken for one that came.
-    fn add(&mut self, no: u64) -> bool {
-        if no > self.last {
-            let by = no - self.last;
-            let shifted = u32::try_from(by).ok().and_then(|by| self.before.checked_shl(by)).unwrap_or(0);
-            let last = if self.last > 0 && by <= 128 { 1 << (by - 1) } else { 0 };
-            (self.last, self.before) = (no, shifted | last);
+impl SeqWindow {
+    /// Adds a number and returns whether it is new. One too far before the last counts as known.
+    fn insert(&mut self, seq: u64) -> bool {
+        if seq > self.last {
+            let step = seq - self.last;
+            let shifted =
+                u32::try_from(step).ok().and_then(|step| self.seen_before.checked_shl(step)).unwrap_or(0);
+            let last_bit = if self.last > 0 && step <= 128 { 1 << (step - 1) } else { 0 };
+            (self.last, self.seen_before) = (seq, shifted | last_bit);
             return true;
         }
-        let back = self.last - no;
+        let back = self.last - seq;
         if back == 0 || back > 128 {
             return false;
         }
         let bit = 1 << (back - 1);
-        let new = self.before & bit == 0;
-        self.before |= bit;
+        let new = self.seen_before & bit == 0;
+        self.seen_before |= bit;
         new
     }
 }
 
-/// The newest that was seen of each function at each worker, by anybody.
+/// The newest observation of each function at each worker, by any instance.
 ///
-/// The later sight holds, whoever tells it and however often: any order, grouping and repeats end alike. What has come
-/// from a run before is known by its number, for the ages of two copies of one row differ by what their ways took.
+/// The later observation wins, whichever path it took and however often it arrives: order, grouping and
+/// repetition make no difference. Rows received before are recognised by their sequence numbers, because the
+/// ages of two copies of one row differ by their transit times.
 pub struct HintTable {
-    keep: Time,
-    most: usize,
-    all: BTreeMap<(WorkerId, FunctionId), Observation>,
-    /// The numbers that came from each run, and when the last of them did.
-    heard: BTreeMap<Run, (Numbers, Time)>,
-    next: u64,
-    may: (f64, Time),
-    swept: Time,
+    lifetime: Time,
+    max_rows: usize,
+    rows: BTreeMap<(WorkerId, FunctionId), Observation>,
+    /// The sequence numbers received from each run, and when the last one arrived.
+    received: BTreeMap<Run, (SeqWindow, Time)>,
+    next_seq: u64,
+    send_budget: (f64, Time),
+    swept_at: Time,
 }
 
 impl HintTable {
-    /// What is older than `keep` is forgotten; `most`: rows that are kept.
-    pub fn new(now: Time, keep: Time, most: usize) -> HintTable {
-        let (all, heard) = Default::default();
-        HintTable { keep, most, all, heard, next: 0, may: (BURST, now), swept: now }
+    /// Rows older than `lifetime` are removed; at most `max_rows` are kept.
+    pub fn new(now: Time, lifetime: Time, max_rows: usize) -> HintTable {
+        let (rows, received) = Default::default();
+        HintTable {
+            lifetime,
+            max_rows,
+            rows,
+            received,
+            next_seq: 0,
+            send_budget: (SEND_BURST, now),
+            swept_at: now,
+        }
     }
 
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.rows.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.rows.is_empty()
     }
 
-    /// What a newcomer is told, each run's in its order: nothing that it hears later from that run is taken for old.
+    /// All rows, ordered by run and sequence number, for a member that has just started: in this order no later
+    /// row of a run is taken for an old one.
     pub fn ordered(&self) -> Vec<Observation> {
-        let mut all: Vec<Observation> = self.all.values().copied().collect();
+        let mut all: Vec<Observation> = self.rows.values().copied().collect();
         all.sort_by_key(|s| (s.run, s.seq));
         all
     }
 
-    /// The latest of a function at a worker.
+    /// The latest observation of a function at a worker.
     pub fn get(&self, worker: WorkerId, function: FunctionId) -> Option<&Observation> {
-        self.all.get(&(worker, function))
+        self.rows.get(&(worker, function))
     }
 
-    /// Whether what is seen is news to others, by what they have told.
-    pub fn is_news(&self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) -> bool {
-        // That nothing is there is news only to those who think that something is.
+    /// Whether an observation is news to other instances, judging by the rows held here.
+    pub fn is_news(
+        &self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64,
+    ) -> bool {
+        // An absent copy is news only to instances that expect one.
         self.get(worker, function).map_or(hint != Hint::Gone, |k| {
-            let (age, far) = (now - k.observed_at, held.abs_diff(k.held_rpcs) >= 2 + k.held_rpcs / 2);
-            let differs = k.hint != hint && (hint == Hint::Warm || age >= MOVED);
-            differs || age >= AGAIN || (far && age >= MOVED)
+            let (age, differs_much) =
+                (now - k.observed_at, held_rpcs.abs_diff(k.held_rpcs) >= 2 + k.held_rpcs / 2);
+            let differs = k.hint != hint && (hint == Hint::Warm || age >= CHANGE_INTERVAL);
+            differs || age >= REPEAT_INTERVAL || (differs_much && age >= CHANGE_INTERVAL)
         })
     }
 
-    /// This instance has seen something; the row, if others are to be told.
+    /// Adds an own observation. Returns the row if other instances are to be told.
     pub fn observe(
-        &mut self, now: Time, run: Run, worker: WorkerId, function: FunctionId, hint: Hint, held: u64,
+        &mut self, now: Time, run: Run, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64,
     ) -> Option<Observation> {
-        let news = self.is_news(now, worker, function, hint, held);
-        let (left, since) = self.may;
-        self.may = ((left + RATE * (now - since).ms() / 1000.0).min(BURST), now);
-        if !news || self.may.0 < 1.0 {
+        let is_news = self.is_news(now, worker, function, hint, held_rpcs);
+        let (tokens, refilled_at) = self.send_budget;
+        self.send_budget = ((tokens + SEND_RATE * (now - refilled_at).ms() / 1000.0).min(SEND_BURST), now);
+        if !is_news || self.send_budget.0 < 1.0 {
             return None;
         }
-        self.may.0 -= 1.0;
-        self.next += 1;
+        self.send_budget.0 -= 1.0;
+        self.next_seq += 1;
         let seen =
-            Observation { worker, function, hint, held_rpcs: held, observed_at: now, run, seq: self.next };
-        self.put(seen).then_some(seen)
+            Observation { worker, function, hint, held_rpcs, observed_at: now, run, seq: self.next_seq };
+        self.insert(seen).then_some(seen)
     }
 
-    /// A peer tells what somebody has seen; whether it is new here, and to be handed on.
+    /// Adds a row received from a peer. Returns whether it is new here and to be passed on.
     pub fn receive(&mut self, now: Time, seen: Observation) -> bool {
-        if now - seen.observed_at >= self.keep {
+        if now - seen.observed_at >= self.lifetime {
             return false;
         }
-        if self.heard.len() >= self.most && !self.heard.contains_key(&seen.run) {
+        if self.received.len() >= self.max_rows && !self.received.contains_key(&seen.run) {
             return false;
         }
-        // Where there is little room the newest go first, so the earlier may come behind them.
-        let (numbers, at) = self.heard.entry(seen.run).or_default();
-        if !numbers.add(seen.seq) {
+        // Under a byte budget the newest rows are sent first, so earlier ones may follow them.
+        let (window, at) = self.received.entry(seen.run).or_default();
+        if !window.insert(seen.seq) {
             return false;
         }
         *at = now;
-        self.put(seen)
+        self.insert(seen)
     }
 
-    fn put(&mut self, seen: Observation) -> bool {
+    fn insert(&mut self, seen: Observation) -> bool {
         let key = (seen.worker, seen.function);
         let stamp = |s: &Observation| (s.observed_at, s.run, s.seq);
-        let newer = self.all.get(&key).is_none_or(|k| stamp(k) < stamp(&seen));
-        let fits = self.all.len() < self.most || self.all.contains_key(&key);
+        let newer = self.rows.get(&key).is_none_or(|k| stamp(k) < stamp(&seen));
+        let fits = self.rows.len() < self.max_rows || self.rows.contains_key(&key);
         if newer && fits {
-            self.all.insert(key, seen);
+            self.rows.insert(key, seen);
         }
         newer && fits
     }
 
-    /// Forgets what is too old to count for anything.
+    /// Removes expired rows.
     pub fn sweep(&mut self, now: Time) {
-        if now - self.swept < MOVED {
+        if now - self.swept_at < CHANGE_INTERVAL {
             return;
         }
-        self.swept = now;
-        let keep = self.keep;
-        self.all.retain(|_, s| now - s.observed_at < keep);
-        // A row of a run lives no longer than this on any way, so an old number cannot come back.
-        self.heard.retain(|_, (_, at)| now - *at < Time(4 * keep.0));
+        self.swept_at = now;
+        let lifetime = self.lifetime;
+        self.rows.retain(|_, s| now - s.observed_at < lifetime);
+        // No row of a run is passed on for longer than this, so an old number cannot return.
+        self.received.retain(|_, (_, at)| now - *at < Time(4 * lifetime.0));
     }
 }
 
-/// Rows that wait to be told on a link, in their order; beyond the bound the oldest is lost.
+/// Rows waiting to be sent on a link, in order; beyond the limit the oldest is dropped.
 #[derive(Default)]
-pub struct Untold(VecDeque<Observation>);
+pub struct PendingHints(VecDeque<Observation>);
 
-/// Rows that wait on a link at most, and that leave at a time: one frame, 32 kB at most.
-const WAITING: usize = 8192;
-const AT_A_TIME: usize = 512;
+/// Maximum number of rows waiting on a link, and sent at a time: one frame of at most 32 kB.
+const MAX_PENDING_ROWS: usize = 8192;
+const MAX_BATCH_ROWS: usize = 512;
 
-impl Untold {
+impl PendingHints {
     pub fn push(&mut self, seen: Observation) {
-        if self.0.len() >= WAITING {
+        if self.0.len() >= MAX_PENDING_ROWS {
             self.0.pop_front();
         }
         self.0.push_back(seen);
@@ -185,9 +201,9 @@
         self.0.is_empty()
     }
 
-    /// The next that leave.
+    /// Removes the next rows to be sent.
     pub fn take(&mut self) -> Vec<Observation> {
-        let n = self.0.len().min(AT_A_TIME);
+        let n = self.0.len().min(MAX_BATCH_ROWS);
         self.0.drain(..n).collect()
     }
 }
--- a/crates/curlewpoint-fleet/src/members.rs
+++ b/crates/curlewpoint-fleet/src/members.rs
@@ -3,7 +3,7 @@
 use curlewpoint::types::Time;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// An instance by its name, the same at every instance and across restarts: xxh3-64 of the name.
+/// Identifies an instance by its name, the same at every instance and across restarts: xxh3-64 of the name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u64);
 
@@ -13,34 +13,36 @@
     }
 }
 
-/// One run of an instance's process; drawn at its start.
+/// One run of an instance's process; chosen at random at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Run(pub u64);
 
-/// One run of one instance. Two runs under one name are two members until the older is known to have ended.
+/// One run of one instance. Two runs under one name are two members until the older one is known to have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberId {
     pub instance: InstanceId,
     pub run: Run,
 }
 
-/// What is believed of a member. A member alone raises its incarnation, and does so to refute what others believe.
+/// The state of a member as believed by the fleet. Only the member itself raises its incarnation, and does so
+/// to refute what others believe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberState {
     pub incarnation: u64,
-    /// It has said goodbye: nothing of this run comes any more. Nothing overrides it.
+    /// The member has announced that it leaves: nothing more of this run follows. Nothing overrides this.
     pub left: bool,
-    /// Others have given it up in this incarnation.
+    /// Others have declared it dead in this incarnation.
     pub dead: bool,
-    /// It cannot reach the list service, by its own word.
+    /// By its own report it cannot reach the list service.
     pub list_service_lost: bool,
-    /// The rings on which whoever looks after it hears nothing, a bit each.
+    /// One bit for each ring on which the member that monitors it hears nothing.
     pub suspicions: u8,
 }
 
 impl MemberState {
-    /// The one merge: a goodbye above all, then the later incarnation, and within one the graver belief. It is the join
-    /// of a lattice, so neither order nor grouping nor repeats matter.
+    /// Merges two states: leaving overrides everything, then the later incarnation wins, and within one
+    /// incarnation the worse state. This is the join of a lattice, so order, grouping and repetition make no
+    /// difference.
     pub fn merge(self, other: MemberState) -> MemberState {
         let key = |s: &MemberState| (s.left, s.incarnation);
         match key(&self).cmp(&key(&other)) {
@@ -55,27 +57,28 @@
         }
     }
 
-    /// Neither has it left nor is it given up.
+    /// Whether it has neither left nor been declared dead.
     pub fn is_alive(&self) -> bool {
         !self.left && !self.dead
     }
 
-    /// Enough of those who look after it hear nothing. Two have to agree, as one of them may be cut off itself.
+    /// Whether enough monitoring members hear nothing from it. Two have to agree, because one of them may be
+    /// cut off itself.
     pub fn is_suspect(&self) -> bool {
         self.suspicions.count_ones() >= 2
     }
 }
 
-/// A member as it is known here.
+/// A member record as held here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     pub name: String,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: String,
     pub state: MemberState,
     /// When its record last changed here.
     pub changed_at: Time,
-    /// It ended so long ago that nobody speaks of it any more; it is still counted until it is forgotten.
+    /// It ended so long ago that its record is no longer gossiped. It still counts until it is removed.
     pub retired: bool,
 }
 
@@ -92,51 +95,54 @@
     }
 }
 
-/// Why a record was not taken.
+/// Why a record was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// As many members are known as are kept.
+    /// The maximum number of members is known.
     TableFull,
-    /// The name does not belong to the id, or is too long, or there is none.
+    /// The name does not match the id, the name or address is too long, the name is empty, or the incarnation
+    /// jumps too far.
     Invalid,
 }
 
-/// The longest name and the longest address, in bytes.
-const MOST_TEXT: usize = 256;
-/// Incarnations grow by one for each refutation: a jump beyond this is no member's word.
-const MOST_STEP: u64 = 1 << 32;
+/// Maximum length of a name and of an address, in bytes.
+const MAX_TEXT_BYTES: usize = 256;
+/// Incarnations grow by one for each refutation; a jump beyond this is not genuine.
+const MAX_INCARNATION_STEP: u64 = 1 << 32;
 
-/// After this time nobody speaks any more of one that has left, or that was given up; after twice as long it is forgotten.
-/// In between no record of it can come from one who has not forgotten it yet.
-const SPOKEN_OF: (Time, Time) = (Time(600_000), Time(3_000_000));
+/// After this time the record of a member that has left (first value) or was declared dead (second value) is no
+/// longer gossiped; after twice as long it is removed. In between, no copy of it can arrive from an instance
+/// that still gossips it.
+const GOSSIP_PERIOD: (Time, Time) = (Time(600_000), Time(3_000_000));
 
-/// All members known, bounded in number.
+/// All members known, up to a maximum number.
 pub struct MemberTable {
     members: BTreeMap<MemberId, Member>,
-    most: usize,
+    max_members: usize,
     digest: u64,
 }
 
 impl MemberTable {
-    pub fn new(most: usize) -> MemberTable {
-        MemberTable { members: BTreeMap::new(), most, digest: 0 }
+    pub fn new(max_members: usize) -> MemberTable {
+        MemberTable { members: BTreeMap::new(), max_members, digest: 0 }
     }
 
-    /// Takes a record; true: it told something new.
+    /// Merges a record; returns whether it was news.
     pub fn merge(
         &mut self, now: Time, id: MemberId, name: &str, address: &str, state: MemberState,
     ) -> Result<bool, RecordError> {
-        let long = name.len() > MOST_TEXT || address.len() > MOST_TEXT;
-        if name.is_empty() || long || InstanceId::of(name) != id.instance {
+        let too_long = name.len() > MAX_TEXT_BYTES || address.len() > MAX_TEXT_BYTES;
+        if name.is_empty() || too_long || InstanceId::of(name) != id.instance {
             return Err(RecordError::Invalid);
         }
-        let full = self.members.len() >= self.most;
+        let is_full = self.members.len() >= self.max_members;
         match self.members.get_mut(&id) {
             Some(known) => {
-                if state.incarnation > known.state.incarnation.saturating_add(MOST_STEP) {
+                if state.incarnation > known.state.incarnation.saturating_add(MAX_INCARNATION_STEP) {
                     return Err(RecordError::Invalid);
                 }
-                // One run has one address; of two that are told the greater is kept, everywhere alike.
+                // A run has one address; of two that are reported the greater is kept, so that all instances
+                // agree.
                 let (merged, moved) = (known.state.merge(state), address > known.address.as_str());
                 if merged == known.state && !moved {
                     return Ok(false);
@@ -150,7 +156,7 @@
                 }
                 self.digest ^= known.digest(id);
             }
-            None if full => return Err(RecordError::TableFull),
+            None if is_full => return Err(RecordError::TableFull),
             None => {
                 let (name, address) = (name.to_owned(), address.to_owned());
                 let new = Member { name, address, state, changed_at: now, retired: false };
@@ -161,17 +167,17 @@
         Ok(true)
     }
 
-    /// Passes over, and later forgets, what ended long ago.
+    /// Retires, and later removes, members that ended long ago.
     pub fn sweep(&mut self, now: Time) {
         let digest = &mut self.digest;
         self.members.retain(|id, m| {
-            let span = if m.state.left { SPOKEN_OF.0 } else { SPOKEN_OF.1 };
-            let ended = if m.state.is_alive() { Time(0) } else { now - m.changed_at };
-            if ended >= span && !m.retired {
+            let span = if m.state.left { GOSSIP_PERIOD.0 } else { GOSSIP_PERIOD.1 };
+            let ended_for = if m.state.is_alive() { Time(0) } else { now - m.changed_at };
+            if ended_for >= span && !m.retired {
                 *digest ^= m.digest(*id);
                 m.retired = true;
             }
-            ended < Time(2 * span.0)
+            ended_for < Time(2 * span.0)
         });
     }
 
@@ -183,12 +189,12 @@
         self.members.iter().map(|(id, m)| (*id, m))
     }
 
-    /// Members that have neither left nor been given up.
+    /// Members that have neither left nor been declared dead.
     pub fn alive(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.iter().filter(|(_, m)| m.state.is_alive())
     }
 
-    /// Members that are still spoken of.
+    /// Members whose records are still gossiped.
     pub fn gossiped(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.iter().filter(|(_, m)| !m.retired)
     }
@@ -201,7 +207,7 @@
         self.members.is_empty()
     }
 
-    /// The same at all instances that hold the same records.
+    /// A digest that is the same at all instances that hold the same records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
