--- a/crates/curlewpoint-fleet/src/directory.rs
+++ b/crates/curlewpoint-fleet/src/directory.rs
@@ -290,7 +290,7 @@
             return;
         }
         self.next_seq += 1;
-        let seen = Observation {
+        let observation = Observation {
             worker,
             function,
             hint,
@@ -299,26 +299,26 @@
             run: short_run_id(self.me.run),
             seq: self.next_seq,
         };
-        let Some(changed) = self.copies.insert(seen) else { return };
-        self.queue_for_holders(now, &seen, changed, None);
-        self.queue_for_subscribers(now, &seen, changed, None);
+        let Some(changed) = self.copies.insert(observation) else { return };
+        self.queue_for_holders(now, &observation, changed, None);
+        self.queue_for_subscribers(now, &observation, changed, None);
     }
 
     /// The local scheduler has an RPC for a function.
     pub fn request(&mut self, now: Time, function: FunctionId) {
-        let heard = self.last_gossip.get(&function).is_some_and(|at| now - *at < GOSSIP_MEMORY);
-        if self.settings.exchange_hints && !heard {
+        let recently_gossiped = self.last_gossip.get(&function).is_some_and(|at| now - *at < GOSSIP_MEMORY);
+        if self.settings.exchange_hints && !recently_gossiped {
             self.ask_if_needed(now, function);
         }
     }
 
     /// A row has arrived along a ring.
-    pub fn gossip_received(&mut self, now: Time, seen: &Observation) {
-        let is_present = matches!(seen.hint, Hint::Warm | Hint::Loading);
-        let fits =
-            self.last_gossip.len() < MAX_GOSSIPED_FUNCTIONS || self.last_gossip.contains_key(&seen.function);
+    pub fn gossip_received(&mut self, now: Time, observation: &Observation) {
+        let is_present = matches!(observation.hint, Hint::Warm | Hint::Loading);
+        let fits = self.last_gossip.len() < MAX_GOSSIPED_FUNCTIONS
+            || self.last_gossip.contains_key(&observation.function);
         if is_present && fits {
-            self.last_gossip.insert(seen.function, now);
+            self.last_gossip.insert(observation.function, now);
         }
     }
 
@@ -436,54 +436,58 @@
     ) -> Vec<Observation> {
         let own_run = short_run_id(self.me.run);
         let mut new_rows = Vec::new();
-        for seen in rows {
-            if seen.run == own_run || now - seen.observed_at >= self.settings.observation_lifetime {
+        for observation in rows {
+            if observation.run == own_run
+                || now - observation.observed_at >= self.settings.observation_lifetime
+            {
                 continue;
             }
-            let Some(changed) = self.copies.insert(seen) else { continue };
+            let Some(changed) = self.copies.insert(observation) else { continue };
             // A member of this column has sent it to all holders itself; for members of other columns this
             // instance is the contact.
             if towards_holders
-                && self.topology.is_own_column(seen.function)
+                && self.topology.is_own_column(observation.function)
                 && !self.topology.is_column_member(from)
             {
-                self.queue_for_holders(now, &seen, changed, Some(from));
+                self.queue_for_holders(now, &observation, changed, Some(from));
             }
-            self.queue_for_subscribers(now, &seen, changed, Some(from));
+            self.queue_for_subscribers(now, &observation, changed, Some(from));
             if self.settings.exchange_hints {
-                new_rows.push(seen);
+                new_rows.push(observation);
             }
         }
         new_rows
     }
 
-    fn queue_class(seen: &Observation, changed: bool) -> usize {
-        match (changed, seen.hint) {
+    fn queue_class(observation: &Observation, changed: bool) -> usize {
+        match (changed, observation.hint) {
             (false, _) => CLASS_REFRESH,
             (true, Hint::Warm) => CLASS_COPY_READY,
             (true, _) => CLASS_STATUS,
         }
     }
 
-    fn queue_for_holders(&mut self, now: Time, seen: &Observation, changed: bool, from: Option<MemberId>) {
-        let mut to = self.candidates(now, seen.function);
-        if !self.topology.is_own_column(seen.function) {
+    fn queue_for_holders(
+        &mut self, now: Time, observation: &Observation, changed: bool, from: Option<MemberId>,
+    ) {
+        let mut to = self.candidates(now, observation.function);
+        if !self.topology.is_own_column(observation.function) {
             to.truncate(1);
         }
         for member in to.into_iter().filter(|m| Some(*m) != from) {
-            let item = QueueItem::ToHolder(seen.function, seen.worker);
-            self.queue.push(now, Self::queue_class(seen, changed), member, item);
+            let item = QueueItem::ToHolder(observation.function, observation.worker);
+            self.queue.push(now, Self::queue_class(observation, changed), member, item);
         }
     }
 
     fn queue_for_subscribers(
-        &mut self, now: Time, seen: &Observation, changed: bool, from: Option<MemberId>,
+        &mut self, now: Time, observation: &Observation, changed: bool, from: Option<MemberId>,
     ) {
-        let Some(all) = self.subscribers.get(&seen.function) else { return };
+        let Some(all) = self.subscribers.get(&observation.function) else { return };
         for (member, since) in all {
             if Some(*member) != from && now - *since < SUBSCRIPTION_LIFETIME {
-                let item = QueueItem::ToSubscriber(seen.function, seen.worker);
-                self.queue.push(now, Self::queue_class(seen, changed), *member, item);
+                let item = QueueItem::ToSubscriber(observation.function, observation.worker);
+                self.queue.push(now, Self::queue_class(observation, changed), *member, item);
             }
         }
     }
--- a/crates/curlewpoint-fleet/src/directory/copies.rs
+++ b/crates/curlewpoint-fleet/src/directory/copies.rs
@@ -36,7 +36,7 @@
 
     pub fn rows_of(&self, function: FunctionId) -> impl Iterator<Item = &Observation> {
         let (first, last) = (WorkerId(0), WorkerId(u64::MAX));
-        self.rows.range((function, first)..=(function, last)).map(|(_, seen)| seen)
+        self.rows.range((function, first)..=(function, last)).map(|(_, observation)| observation)
     }
 
     /// Whether a valid observation of a copy, or of a load of one, is held.
@@ -56,23 +56,26 @@
 
     /// Inserts an observation. Returns `None` if it is not newer than the one held, otherwise whether it
     /// differs from it.
-    pub fn insert(&mut self, seen: Observation) -> Option<bool> {
-        let key = (seen.function, seen.worker);
+    pub fn insert(&mut self, observation: Observation) -> Option<bool> {
+        let key = (observation.function, observation.worker);
         let known = self.rows.get(&key).copied();
         if let Some(k) = known {
             // An observation looks younger after each hop, because transit time is not counted; its sequence
             // number identifies it.
-            let repeated = k.run == seen.run && seen.seq <= k.seq;
-            if repeated || (seen.observed_at, seen.run, seen.seq) <= (k.observed_at, k.run, k.seq) {
+            let repeated = k.run == observation.run && observation.seq <= k.seq;
+            if repeated
+                || (observation.observed_at, observation.run, observation.seq)
+                    <= (k.observed_at, k.run, k.seq)
+            {
                 return None;
             }
-            self.by_age.remove(&(k.observed_at, seen.function, seen.worker));
+            self.by_age.remove(&(k.observed_at, observation.function, observation.worker));
         } else {
-            self.make_room(seen.function);
+            self.make_room(observation.function);
         }
-        self.rows.insert(key, seen);
-        self.by_age.insert((seen.observed_at, seen.function, seen.worker));
-        Some(known.is_none_or(|k| k.hint != seen.hint))
+        self.rows.insert(key, observation);
+        self.by_age.insert((observation.observed_at, observation.function, observation.worker));
+        Some(known.is_none_or(|k| k.hint != observation.hint))
     }
 
     fn make_room(&mut self, function: FunctionId) {
--- a/crates/curlewpoint-fleet/src/directory/frames.rs
+++ b/crates/curlewpoint-fleet/src/directory/frames.rs
@@ -26,26 +26,26 @@
 }
 
 /// The answer for some functions, and changes of others.
-pub fn copies_frame(now: Time, answered: &[FunctionId], seen: &[Observation]) -> Frame {
+pub fn copies_frame(now: Time, answered: &[FunctionId], observations: &[Observation]) -> Frame {
     let f = Frame::new(Kind::COPIES);
     let f = if answered.is_empty() { f } else { f.ints(Field::FUNCTIONS, &function_ids(answered)) };
-    f.ints(Field::ROWS, &rows(now, seen))
+    f.ints(Field::ROWS, &rows(now, observations))
 }
 
 /// Observations for the holders of their functions.
-pub fn observations_frame(now: Time, seen: &[Observation]) -> Frame {
-    Frame::new(Kind::SIGHTS).ints(Field::ROWS, &rows(now, seen))
+pub fn observations_frame(now: Time, observations: &[Observation]) -> Frame {
+    Frame::new(Kind::SIGHTS).ints(Field::ROWS, &rows(now, observations))
 }
 
 fn function_ids(functions: &[FunctionId]) -> Vec<u64> {
     functions.iter().map(|f| f.0).collect()
 }
 
-fn rows(now: Time, seen: &[Observation]) -> Vec<u64> {
+fn rows(now: Time, observations: &[Observation]) -> Vec<u64> {
     let row = |s: &Observation| {
         [s.worker.0, s.function.0, code(&HINTS, s.hint), s.held_rpcs, (now - s.observed_at).0, s.run.0, s.seq]
     };
-    seen.iter().flat_map(row).collect()
+    observations.iter().flat_map(row).collect()
 }
 
 fn read_function_ids(f: &Frame) -> Result<Vec<FunctionId>, WireError> {
@@ -81,27 +81,27 @@
 /// Passes a frame to the fleet; false if it is not a directory frame. On an error the frame is malformed and
 /// its link is to be closed.
 pub fn dispatch(
-    fleet: &mut Fleet, now: Time, out: &mut impl FleetDriver, link: LinkId, f: &Frame,
+    fleet: &mut Fleet, now: Time, driver: &mut impl FleetDriver, link: LinkId, f: &Frame,
 ) -> Result<bool, WireError> {
     match f.kind {
         Kind::DIRECTORY => {
             let (only, just_started) = (f.get_int(Field::ONLY)? == 1, f.get_int(Field::STARTS)? == 1);
-            fleet.peer_supports_directory(now, out, link, only);
+            fleet.peer_supports_directory(now, driver, link, only);
             if just_started {
                 fleet.peer_just_started(link);
             }
         }
         Kind::ASK => {
             let functions = read_function_ids(f)?;
-            fleet.copies_requested(now, out, link, functions);
+            fleet.copies_requested(now, driver, link, functions);
         }
         Kind::COPIES => {
-            let (answered, seen) = (read_function_ids(f)?, read_observations(now, f)?);
-            fleet.copies_received(now, out, link, answered, seen);
+            let (answered, observations) = (read_function_ids(f)?, read_observations(now, f)?);
+            fleet.copies_received(now, driver, link, answered, observations);
         }
         Kind::SIGHTS => {
-            let seen = read_observations(now, f)?;
-            fleet.observations_received(now, out, link, seen);
+            let observations = read_observations(now, f)?;
+            fleet.observations_received(now, driver, link, observations);
         }
         _ => return Ok(false),
     }
--- a/crates/curlewpoint-fleet/src/directory/gossip_queue.rs
+++ b/crates/curlewpoint-fleet/src/directory/gossip_queue.rs
@@ -22,8 +22,8 @@
 
 impl GossipPriority {
     /// `changed`: the row differs from what was known here.
-    pub fn of(seen: &Observation, changed: bool, own: bool) -> GossipPriority {
-        GossipPriority { repeat: !changed, warm_copy: changed && seen.hint == Hint::Warm, own }
+    pub fn of(observation: &Observation, changed: bool, own: bool) -> GossipPriority {
+        GossipPriority { repeat: !changed, warm_copy: changed && observation.hint == Hint::Warm, own }
     }
 }
 
@@ -38,8 +38,8 @@
     }
 
     /// Adds a row and returns how many were dropped for it.
-    pub fn push(&mut self, now: Time, priority: GossipPriority, seen: Observation) -> u64 {
-        self.0.push((priority, seen, now));
+    pub fn push(&mut self, now: Time, priority: GossipPriority, observation: Observation) -> u64 {
+        self.0.push((priority, observation, now));
         if self.0.len() < 2 * MAX_QUEUED_ROWS {
             return 0;
         }
--- a/crates/curlewpoint-fleet/src/fleet.rs
+++ b/crates/curlewpoint-fleet/src/fleet.rs
@@ -51,7 +51,7 @@
 /// Added per configured instance to the first value of `WATCH_DELAY`: where many instances start together on
 /// one machine, learning about all of them takes longer.
 const WATCH_DELAY_PER_INSTANCE: Time = Time(30);
-/// An instance that hears of a list far ahead from a single peer asks the list service itself after
+/// An instance that learns of a list far ahead from a single peer asks the list service itself after
 /// `LIST_CHECK_DELAY` plus a random delay of up to `LIST_CHECK_SPREAD_PER_INSTANCE` for each live instance. If
 /// the list service was restarted, almost no instance has a watcher as neighbour, so all others are in this
 /// situation at once; after some of them have asked, each of the rest has two neighbours that confirm the list.
@@ -360,22 +360,22 @@
     }
 
     /// Does all periodic work.
-    pub fn advance(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub fn advance(&mut self, now: Time, driver: &mut impl FleetDriver) {
         if now - self.last_tick < self.tick_interval() || self.left {
             return;
         }
         if now - self.last_tick >= STALL_THRESHOLD {
-            self.handle_stall(now, out);
+            self.handle_stall(now, driver);
         }
         self.last_tick = now;
         if self.resumed_at.is_some_and(|at| now - at >= self.hold_timeout()) {
-            self.resume(out, "no report of the current list within the hold time");
+            self.resume(driver, "no report of the current list within the hold time");
         }
-        self.use_snapshot_list(now, out);
-        self.close_unused_links(now, out);
-        self.update_ring_links(now, out);
-        self.retry_dials(now, out);
-        self.raise_suspicions(now, out);
+        self.use_snapshot_list(now, driver);
+        self.close_unused_links(now, driver);
+        self.update_ring_links(now, driver);
+        self.retry_dials(now, driver);
+        self.raise_suspicions(now, driver);
         self.declare_dead(now);
         self.members.sweep(now);
         self.hints.sweep(now);
@@ -393,17 +393,17 @@
             let l = &self.links[&link];
             let due = now - l.heartbeat_sent_at >= HEARTBEAT_INTERVAL;
             if !l.pending_records.is_empty() {
-                self.flush_records(now, out, link);
+                self.flush_records(now, driver, link);
             }
-            self.flush_hints(now, out, link);
+            self.flush_hints(now, driver, link);
             if due {
-                self.heartbeat(now, out, link, false);
+                self.heartbeat(now, driver, link, false);
             }
         }
-        self.advance_lists(now, out);
-        self.advance_directory(now, out);
-        self.update_watching(now, out);
-        self.log_member_events(out);
+        self.advance_lists(now, driver);
+        self.advance_directory(now, driver);
+        self.update_watching(now, driver);
+        self.log_member_events(driver);
         // A seed peer that no instance knows may be on the other side of a network partition, in a fleet of its
         // own.
         let is_member = |p: &String| self.members.iter().any(|(_, m)| m.address == *p);
@@ -412,11 +412,11 @@
                 || self.peer_addresses.iter().take(self.configured_peer_count).all(is_member));
         let peer_confirmed = self.peer_confirmed(now);
         if let Some(number) = self.instance_count.update(now, &self.members, converged, peer_confirmed) {
-            out.log(&format!(
+            driver.log(&format!(
                 "fleet: instance count is now {number}, {} members alive",
                 self.members.alive().count()
             ));
-            out.set_instance_count(number);
+            driver.set_instance_count(number);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/directory_links.rs
+++ b/crates/curlewpoint-fleet/src/fleet/directory_links.rs
@@ -246,18 +246,18 @@
 
     /// The scheduler here has an RPC for a function: if no copy is known, its holders are asked. The RPC does
     /// not wait for the answer.
-    pub fn function_requested(&mut self, now: Time, out: &mut impl FleetDriver, function: FunctionId) {
+    pub fn function_requested(&mut self, now: Time, driver: &mut impl FleetDriver, function: FunctionId) {
         self.refresh_topology(now);
         let Some(node) = &mut self.directory_node else { return };
         node.directory.request(now, function);
-        self.send_batches(now, out);
+        self.send_batches(now, driver);
     }
 
     // Frames from peers.
 
     /// The peer takes part in the directory; with `only`, it has opened the link for nothing else.
     pub fn peer_supports_directory(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, only: bool,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, only: bool,
     ) {
         let Some(node) = &mut self.directory_node else { return };
         if let Some(l) = node.links.get_mut(&link) {
@@ -271,7 +271,7 @@
             return;
         }
         if node.links.inbound_count() >= MAX_INBOUND_LINKS {
-            return self.refuse_link(out, link, "as many peers ask as are answered: try another");
+            return self.refuse_link(driver, link, "as many peers ask as are answered: try another");
         }
         self.links.remove(&link);
         // This instance has sent its join frame by now.
@@ -288,13 +288,13 @@
 
     /// Handles a join frame if the link is one for the directory alone; returns whether it is.
     pub(super) fn directory_link_joined(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, id: MemberId, name: &str,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, id: MemberId, name: &str,
         address: &str, state: MemberState,
     ) -> bool {
         if !self.directory_node.as_ref().is_some_and(|a| a.links.contains_key(&link)) {
             return false;
         }
-        if !self.merge_record(now, out, Some(link), id, name, address, state) {
+        if !self.merge_record(now, driver, Some(link), id, name, address, state) {
             return true;
         }
         let Some(node) = &mut self.directory_node else { return true };
@@ -315,9 +315,9 @@
         replaced.into_iter().for_each(|to| node.directory.member_unreachable(now, to));
         if !in_directory || replaced.is_some() {
             node.links.remove(&link);
-            out.close(link);
+            driver.close(link);
         }
-        self.send_batches(now, out);
+        self.send_batches(now, driver);
         true
     }
 
@@ -370,7 +370,7 @@
 
     /// Handles a peer's question about functions.
     pub fn copies_requested(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, mut functions: Vec<FunctionId>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, mut functions: Vec<FunctionId>,
     ) {
         let Some((peer, admitted)) = self.admit_rows(now, link, functions.len()) else { return };
         functions.truncate(admitted);
@@ -378,12 +378,12 @@
         if let Some(node) = &mut self.directory_node {
             node.directory.question_received(now, peer, &functions);
         }
-        self.send_batches(now, out);
+        self.send_batches(now, driver);
     }
 
     /// Handles a peer's answer for some functions, with rows of these and of other functions it was asked for.
     pub fn copies_received(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, answered: Vec<FunctionId>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, answered: Vec<FunctionId>,
         mut rows: Vec<Observation>,
     ) {
         let Some((peer, admitted)) = self.admit_rows(now, link, rows.len()) else { return };
@@ -391,34 +391,34 @@
         self.refresh_topology(now);
         let Some(node) = &mut self.directory_node else { return };
         let new_rows = node.directory.answer_received(now, peer, &answered, rows);
-        self.deliver_observations(now, out, &new_rows);
-        self.send_batches(now, out);
+        self.deliver_observations(now, driver, &new_rows);
+        self.send_batches(now, driver);
     }
 
     /// Handles observations of functions that are held here, or for which this instance is the contact.
     pub fn observations_received(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, mut rows: Vec<Observation>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, mut rows: Vec<Observation>,
     ) {
         let Some((peer, admitted)) = self.admit_rows(now, link, rows.len()) else { return };
         rows.truncate(admitted);
         self.refresh_topology(now);
         let Some(node) = &mut self.directory_node else { return };
         let new_rows = node.directory.observations_received(now, peer, rows);
-        self.deliver_observations(now, out, &new_rows);
-        self.send_batches(now, out);
+        self.deliver_observations(now, driver, &new_rows);
+        self.send_batches(now, driver);
     }
 
     // Links.
 
     /// Announces that this instance takes part, before its join frame.
-    pub(super) fn announce_directory(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+    pub(super) fn announce_directory(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId) {
         let Some(node) = &mut self.directory_node else { return };
         let is_own = node.links.get(&link).is_some_and(|l| l.to.is_some());
         if is_own {
             node.directory
                 .charge(JOIN_OVERHEAD_BYTES + self.fleet.len() + self.name.len() + self.address.len());
         }
-        out.send_directory_frame(
+        driver.send_directory_frame(
             link,
             frames::announce_frame(is_own, now - node.joined_at < NEWCOMER_PERIOD),
         );
@@ -444,11 +444,11 @@
     }
 
     /// This instance was paused: frames buffered in these links may be outdated and are dropped with them.
-    pub(super) fn close_directory_links(&mut self, out: &mut impl FleetDriver) {
+    pub(super) fn close_directory_links(&mut self, driver: &mut impl FleetDriver) {
         let Some(node) = &mut self.directory_node else { return };
         node.directory.reset_after_stall();
         for link in std::mem::take(&mut node.links).all.into_keys() {
-            out.close(link);
+            driver.close(link);
         }
     }
 
@@ -470,7 +470,7 @@
     }
 
     /// Does periodic work of the directory.
-    pub(super) fn advance_directory(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn advance_directory(&mut self, now: Time, driver: &mut impl FleetDriver) {
         self.refresh_topology(now);
         let Some(node) = &mut self.directory_node else { return };
         node.directory.advance(now);
@@ -480,25 +480,25 @@
         };
         let expired: Vec<LinkId> = node.links.iter().filter(|(_, l)| expired(l)).map(|(id, _)| *id).collect();
         for link in expired {
-            out.close(link);
+            driver.close(link);
             self.directory_link_down(now, link);
         }
-        self.send_batches(now, out);
-        self.send_gossip(now, out);
+        self.send_batches(now, driver);
+        self.send_gossip(now, driver);
         let Some(node) = &mut self.directory_node else { return };
         if now - node.swept_at >= SWEEP_INTERVAL {
             node.swept_at = now;
             node.link_index.sweep(&self.links, &node.links);
         }
         for member in node.directory.unlinked_members() {
-            if !self.dial_for_directory(now, out, member) {
+            if !self.dial_for_directory(now, driver, member) {
                 break;
             }
         }
     }
 
     /// Sends what is due within the budget, and dials members for which something is queued.
-    pub(super) fn send_batches(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn send_batches(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let (Some(node), ring_links) = (&mut self.directory_node, &self.links) else { return };
         if self.left {
             return;
@@ -513,7 +513,7 @@
             }
             let mut send = |frame: Frame| {
                 directory.charge(HEAD_BYTES + frame.head().len());
-                out.send_directory_frame(link, frame);
+                driver.send_directory_frame(link, frame);
             };
             if !batch.questions.is_empty() {
                 send(frames::copies_request_frame(&batch.questions));
@@ -526,12 +526,12 @@
             }
         }
         for member in unlinked {
-            self.dial_for_directory(now, out, member);
+            self.dial_for_directory(now, driver, member);
         }
     }
 
     /// Opens a link to a member for the directory alone; false if no more links may be opened now.
-    fn dial_for_directory(&mut self, now: Time, out: &mut impl FleetDriver, member: MemberId) -> bool {
+    fn dial_for_directory(&mut self, now: Time, driver: &mut impl FleetDriver, member: MemberId) -> bool {
         let Some(node) = &mut self.directory_node else { return false };
         if node.links.outbound.contains_key(&member) || node.directory.is_avoided(now, member) {
             return true;
@@ -543,7 +543,7 @@
             let idle_longest = node.links.iter().filter(|(_, l)| idle(l)).min_by_key(|(_, l)| l.last_used);
             let Some(link) = idle_longest.map(|(id, _)| *id) else { return false };
             node.links.remove(&link);
-            out.close(link);
+            driver.close(link);
         }
         if !node.directory.may_send(now) || node.dial_budget.take(now, DIAL_RATE, 1) == 0 {
             return false;
@@ -551,7 +551,7 @@
         self.next_link += 1;
         let link = LinkId(self.next_link);
         node.links.insert(link, new_directory_link(now, Some(member)));
-        out.dial(link, &address);
+        driver.dial(link, &address);
         true
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/heartbeats.rs
+++ b/crates/curlewpoint-fleet/src/fleet/heartbeats.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Fleet {
-    pub(super) fn heartbeat(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, answer: bool) {
+    pub(super) fn heartbeat(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, answer: bool) {
         let age = self.list_age(now);
         let confirmed = self.instance_count.is_confirmed() || self.links.values().any(|l| l.confirmed);
         let Some(l) = self.links.get_mut(&link).filter(|l| l.peer.is_some()) else { return };
@@ -14,13 +14,13 @@
         }
         l.heartbeat_sent_at = now;
         let (digest, held) = (self.members.digest(), self.endpoints.held());
-        out.send_heartbeat(link, (self.next_tag, l.received_tag), digest, held, age, confirmed, answer);
+        driver.send_heartbeat(link, (self.next_tag, l.received_tag), digest, held, age, confirmed, answer);
     }
 
     /// Handles a peer's heartbeat.
     pub fn heartbeat_received(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, (tag, echo): (u64, u64), digest: u64,
-        held: Option<(u64, u64)>, age: Option<Time>, confirmed: bool, answer: bool,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, (tag, echo): (u64, u64),
+        digest: u64, held: Option<(u64, u64)>, age: Option<Time>, confirmed: bool, answer: bool,
     ) {
         let Some(l) = self.links.get_mut(&link).filter(|l| l.peer.is_some()) else { return };
         l.last_received = now;
@@ -45,22 +45,22 @@
         if behind && self.resumed_at.is_some() && askable {
             // New RPCs are held until the list has arrived, so every peer with a newer list is asked and the
             // first answer counts.
-            self.request_list(now, out, link, self.endpoints.held());
+            self.request_list(now, driver, link, self.endpoints.held());
         } else if behind {
-            self.request_list_from_next(now, out);
+            self.request_list_from_next(now, driver);
         }
-        self.transfer_acknowledged(now, out, link, echo, held);
+        self.transfer_acknowledged(now, driver, link, echo, held);
         if answered && !behind && self.resumed_at.is_some() {
-            self.resume(out, "a peer has reported the current list");
+            self.resume(driver, "a peer has reported the current list");
         }
         if answer {
-            self.heartbeat(now, out, link, false);
+            self.heartbeat(now, driver, link, false);
         }
     }
 
-    pub(super) fn resume(&mut self, out: &mut impl FleetDriver, reason: &str) {
+    pub(super) fn resume(&mut self, driver: &mut impl FleetDriver, reason: &str) {
         self.resumed_at = None;
-        out.log(&format!("fleet: resuming after a pause: {reason}"));
+        driver.log(&format!("fleet: resuming after a pause: {reason}"));
     }
 
     /// Whether a peer has confirmed the instance count or knows an instance that has. `None`: not all peers
@@ -78,9 +78,9 @@
 
     /// Handles a pause of this instance: it must not judge others by its own silence, nor act on knowledge from
     /// before the pause.
-    pub(super) fn handle_stall(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn handle_stall(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let span = now - self.last_tick;
-        out.log(&format!("fleet: was paused for {:.0} ms", span.ms()));
+        driver.log(&format!("fleet: was paused for {:.0} ms", span.ms()));
         self.suspected_since.clear();
         self.list_fresh_at = None;
         // The peer that was asked before the pause may be long gone.
@@ -93,17 +93,17 @@
             // since.
             l.sent_tags.clear();
         }
-        self.close_directory_links(out);
+        self.close_directory_links(driver);
         let all: Vec<LinkId> = self.links.keys().copied().collect();
         for link in all {
-            self.heartbeat(now, out, link, true);
+            self.heartbeat(now, driver, link, true);
         }
         if self.watching {
             // An answer to an earlier request may be buffered in the connection; a new connection excludes
             // that.
             self.service_down(now);
-            out.set_watching(false);
-            out.set_watching(true);
+            driver.set_watching(false);
+            driver.set_watching(true);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/links.rs
+++ b/crates/curlewpoint-fleet/src/fleet/links.rs
@@ -4,32 +4,32 @@
 
 impl Fleet {
     /// A link dialled from here is up.
-    pub fn link_up(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+    pub fn link_up(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId) {
         if self.directory_node.as_ref().is_some_and(|a| a.links.contains_key(&link)) {
-            return self.send_join(now, out, link);
+            return self.send_join(now, driver, link);
         }
-        let Some(l) = self.links.get_mut(&link) else { return out.close(link) };
+        let Some(l) = self.links.get_mut(&link) else { return driver.close(link) };
         (l.up, l.last_received, l.since) = (true, now, now);
-        self.send_join(now, out, link);
+        self.send_join(now, driver, link);
     }
 
     /// A peer has opened a link.
-    pub fn link_accepted(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+    pub fn link_accepted(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId) {
         let inbound = self.links.values().filter(|l| matches!(l.purpose, LinkPurpose::Inbound)).count();
         if inbound >= self.limits.max_inbound_links {
             self.refused += 1;
-            return out.refuse(link, "as many peers are connected as are taken: try another");
+            return driver.refuse(link, "as many peers are connected as are taken: try another");
         }
         self.links.insert(link, new_link(now, LinkPurpose::Inbound));
         self.links.get_mut(&link).into_iter().for_each(|l| l.up = true);
-        self.send_join(now, out, link);
+        self.send_join(now, driver, link);
     }
 
-    pub(super) fn send_join(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
-        self.announce_directory(now, out, link);
+    pub(super) fn send_join(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId) {
+        self.announce_directory(now, driver, link);
         let known = self.members.len() as u64;
         if let Some(me) = self.members.get(self.me) {
-            out.send_join(link, &self.fleet, self.me, me, known);
+            driver.send_join(link, &self.fleet, self.me, me, known);
         }
         if known <= 1 && self.links.contains_key(&link) {
             self.expect_list_after_join(now, link);
@@ -37,7 +37,7 @@
     }
 
     /// A link has ended or could not be opened.
-    pub fn link_down(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+    pub fn link_down(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId) {
         if self.directory_link_down(now, link) {
             return;
         }
@@ -50,10 +50,10 @@
         if let LinkPurpose::Ring(member) = l.purpose {
             if l.up {
                 // The member may have been restarted, or only the link has failed: one more dial tells which.
-                self.dial(now, out, LinkPurpose::Ring(member));
+                self.dial(now, driver, LinkPurpose::Ring(member));
             } else {
                 self.dial_failed(now, member);
-                self.raise_suspicions(now, out);
+                self.raise_suspicions(now, driver);
             }
         }
     }
@@ -71,7 +71,7 @@
         entry.retry_at = now + Time((pause.0 as f64 * (0.5 + 0.5 * random)) as u64);
     }
 
-    pub(super) fn dial(&mut self, now: Time, out: &mut impl FleetDriver, purpose: LinkPurpose) {
+    pub(super) fn dial(&mut self, now: Time, driver: &mut impl FleetDriver, purpose: LinkPurpose) {
         let address = match &purpose {
             LinkPurpose::Ring(member) => self.members.get(*member).map(|m| m.address.clone()),
             _ => self.introduction_address(),
@@ -80,7 +80,7 @@
         self.next_link += 1;
         let link = LinkId(self.next_link);
         self.links.insert(link, new_link(now, purpose));
-        out.dial(link, &address);
+        driver.dial(link, &address);
     }
 
     /// Addresses for the first contacts: the configured seed peers if there are any, because remembered
@@ -128,16 +128,16 @@
         self.links.get_mut(&link).into_iter().for_each(|l| l.last_received = now);
     }
 
-    pub(super) fn refuse_link(&mut self, out: &mut impl FleetDriver, link: LinkId, reason: &str) {
+    pub(super) fn refuse_link(&mut self, driver: &mut impl FleetDriver, link: LinkId, reason: &str) {
         self.refused += 1;
-        out.log(&format!("fleet: a peer is refused: {reason}"));
+        driver.log(&format!("fleet: a peer is refused: {reason}"));
         self.endpoints.abort(link.0);
         self.links.remove(&link);
         self.directory_node.as_mut().and_then(|a| a.links.remove(&link));
-        out.refuse(link, reason);
+        driver.refuse(link, reason);
     }
 
-    pub(super) fn close_unused_links(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn close_unused_links(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let silent = |l: &Link| l.up && now - l.last_received >= LINK_TIMEOUT;
         // An introduction link that no ring uses.
         let unused_introduction = |l: &Link| {
@@ -153,10 +153,10 @@
         for (link, silent) in obsolete {
             let joined = self.links.values().filter(|l| l.peer.is_some()).count();
             if silent {
-                out.close(link);
-                self.link_down(now, out, link);
+                driver.close(link);
+                self.link_down(now, driver, link);
             } else if joined > 1 {
-                out.close(link);
+                driver.close(link);
                 self.endpoints.abort(link.0);
                 self.links.remove(&link);
             }
@@ -169,7 +169,7 @@
     }
 
     /// Opens links to the monitored members and closes ring links to all others.
-    pub(super) fn update_ring_links(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn update_ring_links(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let inputs = (self.members.digest(), self.unreachable.keys().copied().collect());
         if inputs != self.monitored_inputs {
             let mut monitored = BTreeSet::new();
@@ -203,15 +203,15 @@
         for link in obsolete {
             self.links.remove(&link);
             self.endpoints.abort(link.0);
-            out.close(link);
+            driver.close(link);
         }
         for member in monitored.difference(&linked).copied().collect::<Vec<_>>() {
-            self.dial(now, out, LinkPurpose::Ring(member));
+            self.dial(now, driver, LinkPurpose::Ring(member));
         }
     }
 
     /// Dials unreachable members again when due, and now and then a member outside the rings.
-    pub(super) fn retry_dials(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn retry_dials(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let members = &self.members;
         self.unreachable.retain(|id, _| members.get(*id).is_some_and(|m| m.state.is_alive()));
         let due: Vec<MemberId> = self
@@ -224,15 +224,15 @@
             })
             .collect();
         for member in due {
-            self.dial(now, out, LinkPurpose::Ring(member));
+            self.dial(now, driver, LinkPurpose::Ring(member));
         }
-        self.reach_out(now, out);
+        self.reach_out(now, driver);
     }
 
     /// Opens an introduction link: after the start to the seed peers in turn; later to members that were
     /// declared dead and may be behind a network partition; and otherwise now and then to one of the known
     /// addresses.
-    pub(super) fn reach_out(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn reach_out(&mut self, now: Time, driver: &mut impl FleetDriver) {
         if self.links.values().any(|l| matches!(l.purpose, LinkPurpose::Introduction) && l.peer.is_none()) {
             return;
         }
@@ -249,7 +249,7 @@
         };
         if now - last_reach_out >= Time((pause.0 as f64 * (1.0 + random)) as u64) {
             self.last_reach_out = (now, self.rng.rand_float());
-            self.dial(now, out, LinkPurpose::Introduction);
+            self.dial(now, driver, LinkPurpose::Introduction);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/list.rs
+++ b/crates/curlewpoint-fleet/src/fleet/list.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether anything may be sent. A part may overdraw the budget; the debt delays the next part.
-    fn has(&mut self, now: Time) -> bool {
+    fn has_bytes(&mut self, now: Time) -> bool {
         self.bytes = (self.bytes + TRANSFER_RATE.0 * (now - self.at).ms() / 1000.0).min(TRANSFER_RATE.1);
         self.at = now;
         self.bytes > 0.0
@@ -70,22 +70,22 @@
 
 /// Sends entries in as few frames as the peer can read.
 fn send_entries(
-    out: &mut impl FleetDriver, link: LinkId, several_per_frame: bool, rows: &[(&str, &EndpointEntry)],
+    driver: &mut impl FleetDriver, link: LinkId, several_per_frame: bool, rows: &[(&str, &EndpointEntry)],
 ) {
     if !several_per_frame || rows.len() == 1 {
-        return rows.iter().for_each(|(name, entry)| out.send_list_entry(link, name, entry));
+        return rows.iter().for_each(|(name, entry)| driver.send_list_entry(link, name, entry));
     }
     let (mut from, mut size) = (0, 0);
     for (index, (name, entry)) in rows.iter().enumerate() {
         let row = row_size(name, entry);
         if index > from && size + row > ENTRIES_FRAME_BYTES {
-            out.send_list_entries(link, &rows[from..index]);
+            driver.send_list_entries(link, &rows[from..index]);
             (from, size) = (index, 0);
         }
         size += row;
     }
     if from < rows.len() {
-        out.send_list_entries(link, &rows[from..]);
+        driver.send_list_entries(link, &rows[from..]);
     }
 }
 
@@ -114,17 +114,17 @@
     /// service nor peers can be reached. Where workers were replaced meanwhile, attempts to them fail to
     /// connect, which proves that they never ran. Drains in between are not known; the first list that arrives
     /// replaces this one.
-    pub(super) fn use_snapshot_list(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn use_snapshot_list(&mut self, now: Time, driver: &mut impl FleetDriver) {
         if self.snapshot_use_at.is_none_or(|at| now < at) {
             return;
         }
         self.snapshot_use_at = None;
         if self.endpoints.finish(SNAPSHOT_CONNECTION, ListSource::Snapshot) == ListOutcome::Accepted(None) {
-            out.log(&format!(
+            driver.log(&format!(
                 "fleet: no list received, using the list of the snapshot, {} workers",
                 self.endpoints.len()
             ));
-            self.deliver_list(out, None, None);
+            self.deliver_list(driver, None, None);
         }
     }
 
@@ -137,7 +137,7 @@
 
     /// Handles a peer's request for the list.
     pub fn list_requested(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
     ) {
         self.touch_link(now, link);
         if self.links.get(&link).is_none_or(|l| l.peer.is_none()) {
@@ -146,13 +146,13 @@
         self.peer_has_list(link, held);
         // An earlier release repeats its request while it is being sent the list.
         if !self.transfers.contains_key(&link) {
-            self.send_list(now, out, link, held);
+            self.send_list(now, driver, link, held);
         }
     }
 
     /// Sends a peer what is newer than the version it holds: changes at once, a whole list when its turn comes.
     pub(super) fn send_list(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
     ) {
         let Some(version) = self.endpoints.held().filter(|v| held.is_none_or(|h| h < *v)) else { return };
         if !self.endpoints.has_changes_since(held) {
@@ -160,13 +160,13 @@
             if let MapEntry::Vacant(slot) = self.transfers.entry(link) {
                 slot.insert(Transfer { number, progress: None, unacknowledged: None });
             }
-            return self.advance_transfers(now, out);
+            return self.advance_transfers(now, driver);
         }
         let Some(l) = self.links.get_mut(&link) else { return };
         l.held = Some(version);
-        out.send_list_begin(link, version, held.map(|(_, v)| v));
-        send_entries(out, link, l.reads_list_rows, &self.endpoints.entries_since(held));
-        out.send_list_end(link);
+        driver.send_list_begin(link, version, held.map(|(_, v)| v));
+        send_entries(driver, link, l.reads_list_rows, &self.endpoints.entries_since(held));
+        driver.send_list_end(link);
     }
 
     /// Ends the transfer to a peer that already holds the version being sent, or a newer one.
@@ -180,12 +180,13 @@
 
     /// Handles what a peer's heartbeat acknowledges, and the version it holds.
     pub(super) fn transfer_acknowledged(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, echo: u64, held: Option<(u64, u64)>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, echo: u64,
+        held: Option<(u64, u64)>,
     ) {
         self.peer_has_list(link, held);
         if let Some(t) = self.transfers.get_mut(&link) {
             t.unacknowledged = t.unacknowledged.filter(|(tag, _)| echo < *tag);
-            self.advance_transfers(now, out);
+            self.advance_transfers(now, driver);
         }
     }
 
@@ -204,20 +205,20 @@
     ///
     /// Without this flow control a long list overruns the link's outbox, and the link is cut and dialled again
     /// endlessly.
-    fn advance_transfers(&mut self, now: Time, out: &mut impl FleetDriver) {
+    fn advance_transfers(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let links = &self.links;
         self.transfers.retain(|link, _| links.contains_key(link));
-        while self.transfer_budget.has(now) {
+        while self.transfer_budget.has_bytes(now) {
             let Some(link) = self.next_transfer(now) else { return };
-            self.send_transfer_part(now, out, link);
+            self.send_transfer_part(now, driver, link);
         }
     }
 
-    fn send_transfer_part(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+    fn send_transfer_part(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId) {
         let (Some(t), Some(l)) = (self.transfers.get_mut(&link), self.links.get_mut(&link)) else { return };
         let progress = t.progress.get_or_insert_with(|| {
             let version = self.endpoints.held().unwrap_or_default();
-            out.send_list_begin(link, version, None);
+            driver.send_list_begin(link, version, None);
             TransferProgress { version, rows: self.endpoints.entries(), after: String::new() }
         });
         let mut size = 0;
@@ -233,38 +234,38 @@
             size += row_size(name, entry);
             part.push((name, entry));
         }
-        send_entries(out, link, l.reads_list_rows, &part);
+        send_entries(driver, link, l.reads_list_rows, &part);
         self.transfer_budget.bytes -= size as f64;
         if left.peek().is_some() {
             progress.after = part.last().map_or(String::new(), |(name, _)| (*name).to_owned());
             // The answer to this heartbeat acknowledges this part.
-            self.heartbeat(now, out, link, true);
+            self.heartbeat(now, driver, link, true);
             let unacknowledged = Some((self.next_tag, now));
             self.transfers.get_mut(&link).into_iter().for_each(|t| t.unacknowledged = unacknowledged);
             return;
         }
-        out.send_list_end(link);
+        driver.send_list_end(link);
         let version = Some(progress.version);
         l.held = version;
         self.transfers.remove(&link);
         // Changes that arrived during the transfer.
-        self.send_list(now, out, link, version);
+        self.send_list(now, driver, link, version);
     }
 
     /// Continues the lists that are being sent and the one that is being received.
-    pub(super) fn advance_lists(&mut self, now: Time, out: &mut impl FleetDriver) {
-        self.advance_transfers(now, out);
-        self.request_list_from_next(now, out);
+    pub(super) fn advance_lists(&mut self, now: Time, driver: &mut impl FleetDriver) {
+        self.advance_transfers(now, driver);
+        self.request_list_from_next(now, driver);
     }
 
     // Receiving a list.
 
     pub(super) fn request_list(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, held: Option<(u64, u64)>,
     ) {
         if self.links.contains_key(&link) {
             self.expect_list(now, link);
-            out.request_list(link, held);
+            driver.request_list(link, held);
         }
     }
 
@@ -313,7 +314,7 @@
     ///
     /// One request at a time avoids receiving the list once from every peer. If the peer asked is paused, the
     /// next one is asked after `TRANSFER_TIMEOUT` and a tick.
-    pub(super) fn request_list_from_next(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn request_list_from_next(&mut self, now: Time, driver: &mut impl FleetDriver) {
         if self.is_receiving_list(now) {
             return;
         }
@@ -324,7 +325,7 @@
             .min_by_key(|(_, l)| (l.ask_list_from, std::cmp::Reverse(l.held)))
             .map(|(link, _)| *link);
         if let Some(link) = next {
-            self.request_list(now, out, link, held);
+            self.request_list(now, driver, link, held);
         }
     }
 
@@ -351,7 +352,7 @@
     }
 
     /// A list from a peer or (`None`) from the list service is complete.
-    pub fn list_end_received(&mut self, now: Time, out: &mut impl FleetDriver, from_link: Option<LinkId>) {
+    pub fn list_end_received(&mut self, now: Time, driver: &mut impl FleetDriver, from_link: Option<LinkId>) {
         if from_link.is_some() && self.incoming_list.as_ref().is_some_and(|c| Some(c.link) == from_link) {
             self.incoming_list = None;
         }
@@ -366,25 +367,25 @@
         let before = self.endpoints.held();
         let outcome = self.endpoints.finish(connection, source);
         if from_link.is_none() {
-            self.service_list_received(now, out, outcome);
+            self.service_list_received(now, driver, outcome);
         }
         match outcome {
             ListOutcome::Accepted(from) => {
                 let version = self.endpoints.held().expect("just taken");
                 // Another peer has confirmed it meanwhile.
                 self.list_check = self.list_check.filter(|(_, of)| *of > version);
-                self.deliver_list(out, from, before);
-                self.cancel_superseded(out);
-                self.propagate_list(now, out, from_link, version);
+                self.deliver_list(driver, from, before);
+                self.cancel_superseded(driver);
+                self.propagate_list(now, driver, from_link, version);
                 if self.resumed_at.is_some()
                     && self.links.values().any(|l| l.answered_since_stall && l.held <= Some(version))
                 {
-                    self.resume(out, "the newest list has arrived");
+                    self.resume(driver, "the newest list has arrived");
                 }
             }
             ListOutcome::Gap => match from_link {
-                Some(link) => self.request_list(now, out, link, before),
-                None => out.request_service_list(None),
+                Some(link) => self.request_list(now, driver, link, before),
+                None => driver.request_service_list(None),
             },
             ListOutcome::Unconfirmed(epoch, version) => {
                 let max_spread =
@@ -393,17 +394,18 @@
                 let (_, of) = self.list_check.get_or_insert((now + wait, (epoch, version)));
                 *of = (*of).max((epoch, version));
                 self.refused += 1;
-                out.log("fleet: a single peer reports a list far ahead; not accepted without confirmation");
+                driver
+                    .log("fleet: a single peer reports a list far ahead; not accepted without confirmation");
                 let l = from_link.and_then(|link| self.links.get_mut(&link));
                 l.into_iter().for_each(|l| l.ask_list_from = now + CONFIRMATION_RETRY);
             }
             ListOutcome::NotNewer | ListOutcome::Discarded => {}
         }
-        self.request_list_from_next(now, out);
+        self.request_list_from_next(now, driver);
     }
 
     /// Cancels other whole lists that are being received: their senders are told which version is held.
-    fn cancel_superseded(&mut self, out: &mut impl FleetDriver) {
+    fn cancel_superseded(&mut self, driver: &mut impl FleetDriver) {
         let superseded = self
             .endpoints
             .superseded()
@@ -411,7 +413,7 @@
             .filter(|connection| self.links.contains_key(&LinkId(*connection)));
         for connection in superseded.collect::<Vec<_>>() {
             self.endpoints.abort(connection);
-            out.request_list(LinkId(connection), self.endpoints.held());
+            driver.request_list(LinkId(connection), self.endpoints.held());
         }
     }
 
@@ -419,7 +421,7 @@
     /// list learns from a heartbeat that there is a newer one and asks for it; so does a peer that missed the
     /// change during a network partition.
     fn propagate_list(
-        &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, version: (u64, u64),
+        &mut self, now: Time, driver: &mut impl FleetDriver, from: Option<LinkId>, version: (u64, u64),
     ) {
         let is_inbound = |l: &Link| matches!(l.purpose, LinkPurpose::Inbound);
         let needs_list = |l: &Link| l.peer.is_some() && !is_inbound(l) && l.held.is_none_or(|h| h < version);
@@ -433,22 +435,22 @@
             if self.transfers.contains_key(&link) {
                 // The changes follow when the transfer ends.
             } else if self.endpoints.has_changes_since(held) {
-                self.send_list(now, out, link, held);
+                self.send_list(now, driver, link, held);
             } else {
-                self.heartbeat(now, out, link, false);
+                self.heartbeat(now, driver, link, false);
             }
         }
     }
 
     /// Passes the accepted list to the scheduler: the changes since `before`, or the whole list.
     pub(super) fn deliver_list(
-        &self, out: &mut impl FleetDriver, from: Option<u64>, before: Option<(u64, u64)>,
+        &self, driver: &mut impl FleetDriver, from: Option<u64>, before: Option<(u64, u64)>,
     ) {
         let Some(version) = self.endpoints.held() else { return };
-        out.deliver_list_begin(version, from.and(before).map(|(_, v)| v));
+        driver.deliver_list_begin(version, from.and(before).map(|(_, v)| v));
         for (name, entry) in self.endpoints.entries_since(from.and(before)) {
-            out.deliver_list_entry(name, entry);
+            driver.deliver_list_entry(name, entry);
         }
-        out.deliver_list_end();
+        driver.deliver_list_end();
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/list_service.rs
+++ b/crates/curlewpoint-fleet/src/fleet/list_service.rs
@@ -7,7 +7,7 @@
     /// answer can hold nothing new. Such an answer proves that the list held was current when the request was
     /// sent, and is the only one that counts: data buffered in the socket must not pass for current.
     pub(super) fn service_list_received(
-        &mut self, now: Time, out: &mut impl FleetDriver, outcome: ListOutcome,
+        &mut self, now: Time, driver: &mut impl FleetDriver, outcome: ListOutcome,
     ) {
         self.service_answered_at = now;
         // The list service's own report overrides what any peer reported.
@@ -17,30 +17,30 @@
                 self.service_asked_at = None;
                 self.list_fresh_at = self.list_fresh_at.max(Some(asked));
                 if self.resumed_at.is_some_and(|resumed_at| asked >= resumed_at) {
-                    self.resume(out, "the list service has answered");
+                    self.resume(driver, "the list service has answered");
                 }
             }
             // This may have been the answer: the list service is asked again until an answer holds nothing new.
-            (ListOutcome::Accepted(_), Some(_)) => out.request_service_list(self.endpoints.held()),
+            (ListOutcome::Accepted(_), Some(_)) => driver.request_service_list(self.endpoints.held()),
             _ => {}
         }
-        self.set_list_service_reachable(now, out, true);
+        self.set_list_service_reachable(now, driver, true);
     }
 
     /// Records whether this instance reaches the list service, and reports a change to the fleet.
     pub(super) fn set_list_service_reachable(
-        &mut self, now: Time, out: &mut impl FleetDriver, reachable: bool,
+        &mut self, now: Time, driver: &mut impl FleetDriver, reachable: bool,
     ) {
         let own = self.members.get(self.me).map(|m| m.state).unwrap_or_default();
         if own.list_service_lost == reachable {
             let age = self.list_age(now).map_or(-1.0, Time::ms);
-            out.log(&format!(
+            driver.log(&format!(
                 "fleet: the list service is {}, list {age:.0} ms old",
                 if reachable { "reachable" } else { "not reachable" }
             ));
             self.update_own_state(
                 now,
-                out,
+                driver,
                 MemberState {
                     incarnation: own.incarnation + 1,
                     list_service_lost: !reachable,
@@ -55,14 +55,14 @@
         }
     }
 
-    pub fn service_up(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub fn service_up(&mut self, now: Time, driver: &mut impl FleetDriver) {
         self.service_connected_at = Some(now);
-        self.request_service_list(now, out);
+        self.request_service_list(now, driver);
     }
 
-    pub(super) fn request_service_list(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn request_service_list(&mut self, now: Time, driver: &mut impl FleetDriver) {
         self.service_asked_at = Some(now);
-        out.request_service_list(self.endpoints.held());
+        driver.request_service_list(self.endpoints.held());
     }
 
     pub fn service_down(&mut self, now: Time) {
@@ -90,7 +90,7 @@
             && (!service_lost || now >= self.service_retry_at)
     }
 
-    pub(super) fn update_watching(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn update_watching(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let needed = !self.left && self.should_watch(now);
         if needed {
             self.watch_unneeded_since = None;
@@ -98,13 +98,13 @@
         let lingered = !needed && now - *self.watch_unneeded_since.get_or_insert(now) >= WATCH_LINGER;
         if needed && !self.watching {
             (self.watching, self.service_tried_at) = (true, now);
-            out.log("fleet: now watching the list");
-            out.set_watching(true);
+            driver.log("fleet: now watching the list");
+            driver.set_watching(true);
         } else if self.watching && (lingered || self.left) {
             self.watching = false;
             self.service_down(now);
-            out.log("fleet: no longer watching the list, other instances do");
-            out.set_watching(false);
+            driver.log("fleet: no longer watching the list, other instances do");
+            driver.set_watching(false);
         }
         if !self.watching {
             return;
@@ -113,11 +113,11 @@
             self.service_asked_at.or(self.service_connected_at.is_none().then_some(self.service_tried_at));
         let peers = self.links.values().any(|l| l.peer.is_some());
         if waiting_since.is_some_and(|at| now - at >= LIST_SERVICE_TIMEOUT) {
-            self.set_list_service_reachable(now, out, false);
+            self.set_list_service_reachable(now, driver, false);
             if peers {
                 self.watching = false;
                 self.service_down(now);
-                out.set_watching(false);
+                driver.set_watching(false);
             } else {
                 // Without peers there is no other source, so it keeps trying; the change is logged and reported
                 // once.
@@ -127,7 +127,7 @@
             && self.service_asked_at.is_none()
             && now - self.service_answered_at >= HEARTBEAT_INTERVAL
         {
-            self.request_service_list(now, out);
+            self.request_service_list(now, driver);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/observations.rs
+++ b/crates/curlewpoint-fleet/src/fleet/observations.rs
@@ -20,16 +20,18 @@
 impl Fleet {
     /// Delivers rows received through the directory to the scheduler here, unless they have arrived along a
     /// ring.
-    pub(super) fn deliver_observations(&self, now: Time, out: &mut impl FleetDriver, rows: &[Observation]) {
+    pub(super) fn deliver_observations(
+        &self, now: Time, driver: &mut impl FleetDriver, rows: &[Observation],
+    ) {
         for s in rows.iter().filter(|s| !is_known(self.hints.get(s.worker, s.function), s)) {
-            out.deliver_hint(s.worker, s.function, s.hint, s.held_rpcs, now - s.observed_at);
+            driver.deliver_hint(s.worker, s.function, s.hint, s.held_rpcs, now - s.observed_at);
         }
     }
 
     /// The scheduler here has observed something; other instances are told if it is news.
     pub fn observe(
-        &mut self, now: Time, out: &mut impl FleetDriver, worker: WorkerId, function: FunctionId, hint: Hint,
-        held_rpcs: u64,
+        &mut self, now: Time, driver: &mut impl FleetDriver, worker: WorkerId, function: FunctionId,
+        hint: Hint, held_rpcs: u64,
     ) {
         if !self.limits.exchange_hints {
             return;
@@ -38,32 +40,36 @@
         let is_news = self.hints.is_news(now, worker, function, hint, held_rpcs);
         let changed = self.hints.get(worker, function).is_none_or(|k| k.hint != hint);
         let Some(node) = &mut self.directory_node else {
-            if let Some(seen) = self.hints.observe(now, self.me.run, worker, function, hint, held_rpcs) {
-                self.gossip_hints(now, out, None, &[seen]);
+            if let Some(observation) = self.hints.observe(now, self.me.run, worker, function, hint, held_rpcs)
+            {
+                self.gossip_hints(now, driver, None, &[observation]);
             }
             return;
         };
         if !node.directory.gossips() {
             node.directory.observe(now, worker, function, hint, held_rpcs);
-            return self.send_batches(now, out);
+            return self.send_batches(now, driver);
         }
         if !is_news {
             // The instance that gossiped it has also sent it to the holders.
             return;
         }
         node.directory.observe(now, worker, function, hint, held_rpcs);
-        self.send_batches(now, out);
+        self.send_batches(now, driver);
         match self.hints.observe(now, self.me.run, worker, function, hint, held_rpcs) {
-            Some(seen) => {
-                self.gossip_within_budget(now, out, None, &[(GossipPriority::of(&seen, changed, true), seen)])
-            }
+            Some(observation) => self.gossip_within_budget(
+                now,
+                driver,
+                None,
+                &[(GossipPriority::of(&observation, changed, true), observation)],
+            ),
             None => self.directory_node.iter_mut().for_each(|a| a.directory.count_not_gossiped(1)),
         }
     }
 
     /// Handles a peer's hints.
     pub fn hints_received(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, rows: Vec<Observation>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, rows: Vec<Observation>,
     ) {
         if self.links.get(&link).is_none_or(|l| l.peer.is_none()) {
             return;
@@ -82,14 +88,14 @@
                 a.directory.copy(s.function, s.worker)
             });
             if self.limits.exchange_hints && !is_known(copy, s) {
-                out.deliver_hint(s.worker, s.function, s.hint, s.held_rpcs, now - s.observed_at);
+                driver.deliver_hint(s.worker, s.function, s.hint, s.held_rpcs, now - s.observed_at);
             }
         }
         if self.directory_node.is_some() {
-            return self.gossip_within_budget(now, out, Some(link), &new);
+            return self.gossip_within_budget(now, driver, Some(link), &new);
         }
         let new: Vec<Observation> = new.into_iter().map(|(_, s)| s).collect();
-        self.gossip_hints(now, out, Some(link), &new);
+        self.gossip_hints(now, driver, Some(link), &new);
     }
 
     /// The ring links along which rows are passed on that came from `from`.
@@ -101,24 +107,24 @@
     }
 
     fn gossip_hints(
-        &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, new: &[Observation],
+        &mut self, now: Time, driver: &mut impl FleetDriver, from: Option<LinkId>, new: &[Observation],
     ) {
         for link in self.gossip_links(from) {
             let l = self.links.get_mut(&link).expect("just listed");
-            new.iter().for_each(|seen| l.pending_hints.push(*seen));
+            new.iter().for_each(|observation| l.pending_hints.push(*observation));
             if now - l.hints_sent_at >= TICK_INTERVAL {
-                self.flush_hints(now, out, link);
+                self.flush_hints(now, driver, link);
             }
         }
     }
 
     /// Sends the rows pending on a link; where a directory is kept they are queued for its spare budget
     /// instead.
-    pub(super) fn flush_hints(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+    pub(super) fn flush_hints(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId) {
         let Some(l) = self.links.get_mut(&link).filter(|l| !l.pending_hints.is_empty()) else { return };
         let Some(node) = &mut self.directory_node else {
             l.hints_sent_at = now;
-            return out.send_hints(link, &l.pending_hints.take());
+            return driver.send_hints(link, &l.pending_hints.take());
         };
         if !node.directory.gossips() {
             return drop(l.pending_hints.take());
@@ -126,11 +132,11 @@
         // These are all known rows, for a peer that has just started.
         let queue = node.gossip_queues.entry(link).or_default();
         while !l.pending_hints.is_empty() {
-            for seen in l.pending_hints.take() {
+            for observation in l.pending_hints.take() {
                 node.directory.count_not_gossiped(queue.push(
                     now,
-                    GossipPriority::of(&seen, true, false),
-                    seen,
+                    GossipPriority::of(&observation, true, false),
+                    observation,
                 ));
             }
         }
@@ -138,23 +144,23 @@
 
     /// Passes rows on along the rings, as far as the directory leaves room.
     fn gossip_within_budget(
-        &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>,
+        &mut self, now: Time, driver: &mut impl FleetDriver, from: Option<LinkId>,
         new: &[(GossipPriority, Observation)],
     ) {
         let links = self.gossip_links(from);
         let Some(node) = self.directory_node.as_mut().filter(|a| a.directory.gossips()) else { return };
         for link in links {
             let queue = node.gossip_queues.entry(link).or_default();
-            for (priority, seen) in new {
-                node.directory.count_not_gossiped(queue.push(now, *priority, *seen));
+            for (priority, observation) in new {
+                node.directory.count_not_gossiped(queue.push(now, *priority, *observation));
             }
         }
-        self.send_gossip(now, out);
+        self.send_gossip(now, driver);
     }
 
     /// Sends queued gossip at most once per tick, as far as the directory leaves room: first to neighbours that
     /// take no part in the directory, because they have no other source, then to all others in equal shares.
-    pub(super) fn send_gossip(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn send_gossip(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let (Some(node), links) = (&mut self.directory_node, &self.links) else { return };
         if node.gossip_queues.is_empty() || self.left || now - node.gossiped_at < TICK_INTERVAL {
             return;
@@ -179,7 +185,7 @@
             let bytes = HEAD_BYTES + frame.head().len();
             node.directory.charge(bytes);
             spare = spare.saturating_sub(bytes);
-            out.send_directory_frame(link, frame);
+            driver.send_directory_frame(link, frame);
         }
     }
 }
--- a/crates/curlewpoint-fleet/src/fleet/records.rs
+++ b/crates/curlewpoint-fleet/src/fleet/records.rs
@@ -6,25 +6,25 @@
 impl Fleet {
     /// Handles a peer's join frame, the first on every link.
     pub fn join_received(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, fleet: &str, id: MemberId,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, fleet: &str, id: MemberId,
         name: &str, address: &str, state: MemberState, known: u64,
     ) {
         if fleet != self.fleet {
-            return self.refuse_link(out, link, &format!("this is fleet '{}', not '{fleet}'", self.fleet));
+            return self.refuse_link(driver, link, &format!("this is fleet '{}', not '{fleet}'", self.fleet));
         }
         if known > (self.limits.max_instances * RECORDS_PER_INSTANCE) as u64 {
-            return self.refuse_link(out, link, &format!("it knows {known} members, more than are kept"));
+            return self.refuse_link(driver, link, &format!("it knows {known} members, more than are kept"));
         }
         if id == self.me {
             // A seed peer address that is this instance's own.
             self.links.remove(&link);
             self.directory_link_down(now, link);
-            return out.close(link);
+            return driver.close(link);
         }
-        if self.directory_link_joined(now, out, link, id, name, address, state) {
+        if self.directory_link_joined(now, driver, link, id, name, address, state) {
             return;
         }
-        if !self.merge_record(now, out, Some(link), id, name, address, state) {
+        if !self.merge_record(now, driver, Some(link), id, name, address, state) {
             return;
         }
         if self.links.get(&link).is_some_and(|l| !l.in_directory) {
@@ -38,17 +38,17 @@
         l.pending_records.insert(id);
         if known * 2 <= self.members.len() as u64 {
             l.pending_records.extend(self.members.gossiped().map(|(id, _)| id));
-            self.hints.ordered().into_iter().for_each(|seen| l.pending_hints.push(seen));
+            self.hints.ordered().into_iter().for_each(|observation| l.pending_hints.push(observation));
         }
         let just_started = l.just_started;
         self.unreachable.remove(&id);
         if dialled.is_some_and(|m| m != id) {
             // Another run answers at this address, so the run that was dialled has ended.
-            let ended = dialled.expect("just seen");
+            let ended = dialled.expect("checked above");
             l.purpose = LinkPurpose::Introduction;
             if let Some(m) = self.members.get(ended).filter(|m| m.state.is_alive()).cloned() {
                 let state = MemberState { suspicions: (1 << RING_COUNT) - 1, ..m.state };
-                self.merge_record(now, out, None, ended, &m.name, &m.address, state);
+                self.merge_record(now, driver, None, ended, &m.name, &m.address, state);
             }
         }
         if self.watch_from.0.is_none() {
@@ -67,36 +67,36 @@
         self.instance_count.link_established(now);
         if known <= 1 {
             // With the list a started instance can serve; the member records, which may be hundreds, follow.
-            self.send_list(now, out, link, None);
+            self.send_list(now, driver, link, None);
         }
-        self.flush_records(now, out, link);
-        self.flush_hints(now, out, link);
-        self.heartbeat(now, out, link, true);
-        self.update_ring_links(now, out);
+        self.flush_records(now, driver, link);
+        self.flush_hints(now, driver, link);
+        self.heartbeat(now, driver, link, true);
+        self.update_ring_links(now, driver);
         if self.is_introducing() {
-            self.reach_out(now, out);
+            self.reach_out(now, driver);
         }
     }
 
     /// Handles a member record from a peer.
     pub fn member_received(
-        &mut self, now: Time, out: &mut impl FleetDriver, link: LinkId, id: MemberId, name: &str,
+        &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, id: MemberId, name: &str,
         address: &str, state: MemberState,
     ) {
         // Frames that a peer sent before it was refused are ignored.
         if self.links.get(&link).is_some_and(|l| l.peer.is_some()) {
             self.touch_link(now, link);
-            self.merge_record(now, out, Some(link), id, name, address, state);
+            self.merge_record(now, driver, Some(link), id, name, address, state);
         }
     }
 
     /// Merges a record and passes it on if it is new. Returns false if it was refused, and its link with it.
     pub(super) fn merge_record(
-        &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, id: MemberId, name: &str,
+        &mut self, now: Time, driver: &mut impl FleetDriver, from: Option<LinkId>, id: MemberId, name: &str,
         address: &str, state: MemberState,
     ) -> bool {
         if id == self.me {
-            self.own_record_received(now, out, state);
+            self.own_record_received(now, driver, state);
             return true;
         }
         let before = self.members.get(id).map(|m| m.state);
@@ -122,7 +122,7 @@
                 if let Some(event) = event {
                     self.member_events.entry(event).or_insert((0, name.to_owned())).0 += 1;
                 }
-                self.gossip_record(now, out, from, id);
+                self.gossip_record(now, driver, from, id);
             }
             Err(reason) => {
                 let reason = match reason {
@@ -130,7 +130,7 @@
                     RecordError::Invalid => "a member whose name is not its own",
                 };
                 if let Some(link) = from {
-                    self.refuse_link(out, link, reason);
+                    self.refuse_link(driver, link, reason);
                 }
                 return false;
             }
@@ -140,17 +140,17 @@
 
     /// Logs one line for each kind of membership event since the last tick, however many members start or fail
     /// together.
-    pub(super) fn log_member_events(&mut self, out: &mut impl FleetDriver) {
+    pub(super) fn log_member_events(&mut self, driver: &mut impl FleetDriver) {
         for (event, (n, first)) in std::mem::take(&mut self.member_events) {
             let others = if n > 1 { format!(" and {} others", n - 1) } else { String::new() };
             let (live, known) = (self.members.alive().count(), self.members.len());
-            out.log(&format!("fleet: {first}{others}: {event}, {live} live of {known} known"));
+            driver.log(&format!("fleet: {first}{others}: {event}, {live} live of {known} known"));
         }
     }
 
     /// Handles a record about this instance, and refutes it where it is wrong.
     pub(super) fn own_record_received(
-        &mut self, now: Time, out: &mut impl FleetDriver, reported: MemberState,
+        &mut self, now: Time, driver: &mut impl FleetDriver, reported: MemberState,
     ) {
         let own = self.members.get(self.me).map(|m| m.state).unwrap_or_default();
         if self.left {
@@ -159,15 +159,19 @@
         if reported.left {
             // Only this run itself can announce that it leaves, and leaving is final: it has to continue as
             // another run.
-            out.log("fleet: a peer reports that this run has left; continuing as another run");
+            driver.log("fleet: a peer reports that this run has left; continuing as another run");
             self.me.run = Run(self.rng.rand_u64());
             let _ = self.members.merge(now, self.me, &self.name, &self.address, MemberState::default());
-            return self.gossip_record(now, out, None, self.me);
+            return self.gossip_record(now, driver, None, self.me);
         }
         let merged = own.merge(reported);
         if reported.incarnation > own.incarnation || merged.dead || merged.is_suspect() {
             let incarnation = merged.incarnation + 1;
-            self.update_own_state(now, out, MemberState { incarnation, dead: false, suspicions: 0, ..own });
+            self.update_own_state(
+                now,
+                driver,
+                MemberState { incarnation, dead: false, suspicions: 0, ..own },
+            );
         } else if merged != own {
             // A single suspicion needs no refutation; it is merged so that the record is the same everywhere.
             let _ = self.members.merge(now, self.me, &self.name, &self.address, merged);
@@ -175,15 +179,15 @@
     }
 
     /// Updates and gossips this instance's own record.
-    pub(super) fn update_own_state(&mut self, now: Time, out: &mut impl FleetDriver, state: MemberState) {
+    pub(super) fn update_own_state(&mut self, now: Time, driver: &mut impl FleetDriver, state: MemberState) {
         if self.members.merge(now, self.me, &self.name, &self.address, state) == Ok(true) {
             self.members_changed_at = now;
-            self.gossip_record(now, out, None, self.me);
+            self.gossip_record(now, driver, None, self.me);
         }
     }
 
     pub(super) fn gossip_record(
-        &mut self, now: Time, out: &mut impl FleetDriver, from: Option<LinkId>, id: MemberId,
+        &mut self, now: Time, driver: &mut impl FleetDriver, from: Option<LinkId>, id: MemberId,
     ) {
         let to: Vec<LinkId> = self.links.iter().filter(|(l, _)| Some(**l) != from).map(|(l, _)| *l).collect();
         for link in to {
@@ -193,24 +197,24 @@
             if l.peer.is_some() && !matches!(l.purpose, LinkPurpose::Inbound) {
                 l.pending_records.insert(id);
                 if now - l.records_sent_at >= TICK_INTERVAL {
-                    self.flush_records(now, out, link);
+                    self.flush_records(now, driver, link);
                 }
             }
         }
     }
 
-    pub(super) fn flush_records(&mut self, now: Time, out: &mut impl FleetDriver, link: LinkId) {
+    pub(super) fn flush_records(&mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId) {
         let Some(l) = self.links.get_mut(&link) else { return };
         l.records_sent_at = now;
         for id in std::mem::take(&mut l.pending_records) {
             if let Some(member) = self.members.get(id) {
-                out.send_member(link, id, member);
+                driver.send_member(link, id, member);
             }
         }
     }
 
     /// Suspects unreachable members, on the rings on which this instance would be the one to monitor them.
-    pub(super) fn raise_suspicions(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub(super) fn raise_suspicions(&mut self, now: Time, driver: &mut impl FleetDriver) {
         if self.unreachable.is_empty() {
             return;
         }
@@ -231,7 +235,7 @@
                 continue;
             };
             let state = MemberState { suspicions: m.state.suspicions | bits, ..m.state };
-            self.merge_record(now, out, None, id, &m.name, &m.address, state);
+            self.merge_record(now, driver, None, id, &m.name, &m.address, state);
         }
     }
 
@@ -261,14 +265,14 @@
     }
 
     /// This instance leaves: nothing more of this run is sent.
-    pub fn leave(&mut self, now: Time, out: &mut impl FleetDriver) {
+    pub fn leave(&mut self, now: Time, driver: &mut impl FleetDriver) {
         let own = self.members.get(self.me).map(|m| m.state).unwrap_or_default();
-        self.update_own_state(now, out, MemberState { left: true, ..own });
+        self.update_own_state(now, driver, MemberState { left: true, ..own });
         self.left = true;
         let all: Vec<LinkId> = self.links.keys().copied().collect();
         for link in all {
-            self.flush_records(now, out, link);
+            self.flush_records(now, driver, link);
         }
-        self.update_watching(now, out);
+        self.update_watching(now, driver);
     }
 }
--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -188,12 +188,12 @@
 }
 
 /// Observations of functions at workers.
-pub fn hints_frame(now: Time, seen: &[Observation]) -> Frame {
+pub fn hints_frame(now: Time, observations: &[Observation]) -> Frame {
     let row = |s: &Observation| {
         let age = (now - s.observed_at).0;
         [s.worker.0, s.function.0, code(&HINTS, s.hint), s.held_rpcs, age, s.run.0, s.seq]
     };
-    let rows: Vec<u64> = seen.iter().flat_map(row).collect();
+    let rows: Vec<u64> = observations.iter().flat_map(row).collect();
     Frame::new(Kind::HINTS).ints(Field::ROWS, &rows)
 }
 
@@ -222,7 +222,7 @@
 /// Passes a peer's frame to the fleet; false for a kind that is not the fleet's, which is ignored. On an error
 /// the frame is malformed: nothing of it was used, and the link is to be closed.
 pub fn dispatch(
-    fleet: &mut Fleet, now: Time, out: &mut impl FleetDriver, link: LinkId, f: &Frame,
+    fleet: &mut Fleet, now: Time, driver: &mut impl FleetDriver, link: LinkId, f: &Frame,
 ) -> Result<bool, WireError> {
     match f.kind {
         Kind::JOIN => {
@@ -231,25 +231,25 @@
             if f.maybe_int(Field::READS_ROWS)? == Some(1) {
                 fleet.peer_reads_list_rows(link);
             }
-            fleet.join_received(now, out, link, of, id, name, address, state, known);
+            fleet.join_received(now, driver, link, of, id, name, address, state, known);
         }
         Kind::MEMBER => {
             let (id, name, address, state) = read_member(f)?;
-            fleet.member_received(now, out, link, id, name, address, state);
+            fleet.member_received(now, driver, link, id, name, address, state);
         }
         Kind::BEAT => {
             let (tags, digest) =
                 ((f.get_int(Field::TAG)?, f.get_int(Field::ECHO)?), f.get_int(Field::DIGEST)?);
             let (held, age) = (read_held(f)?, f.maybe_int(Field::AGE)?.map(Time));
             let (confirmed, answer) = (f.get_int(Field::SURE)? == 1, f.get_int(Field::WANTED)? == 1);
-            fleet.heartbeat_received(now, out, link, tags, digest, held, age, confirmed, answer);
+            fleet.heartbeat_received(now, driver, link, tags, digest, held, age, confirmed, answer);
         }
-        Kind::WATCH => fleet.list_requested(now, out, link, read_held(f)?),
-        Kind::HINTS => fleet.hints_received(now, out, link, read_hints(now, f)?),
+        Kind::WATCH => fleet.list_requested(now, driver, link, read_held(f)?),
+        Kind::HINTS => fleet.hints_received(now, driver, link, read_hints(now, f)?),
         Kind::DIRECTORY | Kind::ASK | Kind::COPIES | Kind::SIGHTS => {
-            return directory::dispatch(fleet, now, out, link, f);
+            return directory::dispatch(fleet, now, driver, link, f);
         }
-        _ => return dispatch_list(fleet, now, out, Some(link), f),
+        _ => return dispatch_list(fleet, now, driver, Some(link), f),
     }
     Ok(true)
 }
@@ -257,7 +257,7 @@
 /// Passes a frame of a list to the fleet, from a peer or (`None`) from the list service; otherwise as
 /// [`dispatch`].
 pub fn dispatch_list(
-    fleet: &mut Fleet, now: Time, out: &mut impl FleetDriver, from_link: Option<LinkId>, f: &Frame,
+    fleet: &mut Fleet, now: Time, driver: &mut impl FleetDriver, from_link: Option<LinkId>, f: &Frame,
 ) -> Result<bool, WireError> {
     match f.kind {
         Kind::LIST => {
@@ -273,7 +273,7 @@
                 fleet.list_entry_received(now, from_link, &name, entry);
             }
         }
-        Kind::LIST_END => fleet.list_end_received(now, out, from_link),
+        Kind::LIST_END => fleet.list_end_received(now, driver, from_link),
         _ => return Ok(false),
     }
     Ok(true)
--- a/crates/curlewpoint-fleet/src/hints.rs
+++ b/crates/curlewpoint-fleet/src/hints.rs
@@ -25,7 +25,7 @@
 /// report a load and its end.
 const REPEAT_INTERVAL: Time = Time(20_000);
 const CHANGE_INTERVAL: Time = Time(5_000);
-/// Rate limit for own observations: per second, and burst.
+/// Rate limit for observations of this instance: per second, and burst.
 const SEND_RATE: f64 = 100.0;
 const SEND_BURST: f64 = 200.0;
 
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Adds an own observation. Returns the row if other instances are to be told.
+    /// Adds an observation of this instance. Returns the row if other instances are to be told.
     pub fn observe(
         &mut self, now: Time, run: Run, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64,
     ) -> Option<Observation> {
@@ -135,35 +135,35 @@
         }
         self.send_budget.0 -= 1.0;
         self.next_seq += 1;
-        let seen =
+        let observation =
             Observation { worker, function, hint, held_rpcs, observed_at: now, run, seq: self.next_seq };
-        self.insert(seen).then_some(seen)
+        self.insert(observation).then_some(observation)
     }
 
     /// Adds a row received from a peer. Returns whether it is new here and to be passed on.
-    pub fn receive(&mut self, now: Time, seen: Observation) -> bool {
-        if now - seen.observed_at >= self.lifetime {
+    pub fn receive(&mut self, now: Time, observation: Observation) -> bool {
+        if now - observation.observed_at >= self.lifetime {
             return false;
         }
-        if self.received.len() >= self.max_rows && !self.received.contains_key(&seen.run) {
+        if self.received.len() >= self.max_rows && !self.received.contains_key(&observation.run) {
             return false;
         }
         // Under a byte budget the newest rows are sent first, so earlier ones may follow them.
-        let (window, at) = self.received.entry(seen.run).or_default();
-        if !window.insert(seen.seq) {
+        let (window, at) = self.received.entry(observation.run).or_default();
+        if !window.insert(observation.seq) {
             return false;
         }
         *at = now;
-        self.insert(seen)
+        self.insert(observation)
     }
 
-    fn insert(&mut self, seen: Observation) -> bool {
-        let key = (seen.worker, seen.function);
+    fn insert(&mut self, observation: Observation) -> bool {
+        let key = (observation.worker, observation.function);
         let stamp = |s: &Observation| (s.observed_at, s.run, s.seq);
-        let newer = self.rows.get(&key).is_none_or(|k| stamp(k) < stamp(&seen));
+        let newer = self.rows.get(&key).is_none_or(|k| stamp(k) < stamp(&observation));
         let fits = self.rows.len() < self.max_rows || self.rows.contains_key(&key);
         if newer && fits {
-            self.rows.insert(key, seen);
+            self.rows.insert(key, observation);
         }
         newer && fits
     }
@@ -190,11 +190,11 @@
 const MAX_BATCH_ROWS: usize = 512;
 
 impl PendingHints {
-    pub fn push(&mut self, seen: Observation) {
+    pub fn push(&mut self, observation: Observation) {
         if self.0.len() >= MAX_PENDING_ROWS {
             self.0.pop_front();
         }
-        self.0.push_back(seen);
+        self.0.push_back(observation);
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/curlewpoint-fleet/src/instance_count.rs
+++ b/crates/curlewpoint-fleet/src/instance_count.rs
@@ -19,14 +19,14 @@
 /// every instance with a confirmed count within the time in which the joining one asks for nothing, and the
 /// configured count is at least the number of instances that start together:
 ///
-/// - an instance with a confirmed count uses all instances that it has ever heard of and that have not
+/// - an instance with a confirmed count uses all instances that it has ever learned of and that have not
 ///   announced that they leave. Those declared dead are included, because they may be behind a network
 ///   partition and still send;
-/// - a new instance that has not heard yet whether others have confirmed their counts, or has heard that they
+/// - a new instance that does not know yet whether others have confirmed their counts, or knows that they
 ///   have, uses a count so large that nothing is asked of a cold worker, until it has been known to all for a
 ///   while;
 /// - an instance that has not confirmed its count among others that have not either, or that finds no other,
-///   uses the larger of the configured count and the number it has heard of.
+///   uses the larger of the configured count and the number it knows of.
 ///
 /// This protects against a configured count that is too small, and avoids the cost of one that is too large.
 /// For ten seconds after an instance leaves, and for one second after a join, a cold worker gets a little less
@@ -67,7 +67,7 @@
     }
 
     /// Updates the count and returns it if it has changed. `converged`: a peer holds the same records, and all
-    /// seed peers have been heard of. `peer_confirmed`: whether a peer has confirmed its count or knows an
+    /// seed peers are known members. `peer_confirmed`: whether a peer has confirmed its count or knows an
     /// instance that has; `None`: no peer has reported, and one may yet.
     pub fn update(
         &mut self, now: Time, members: &MemberTable, converged: bool, peer_confirmed: Option<bool>,
@@ -75,7 +75,7 @@
         let counted = count(members);
         let admitted = self.linked_at.is_some_and(|at| now - at >= ADMISSION_DELAY);
         self.confirmed |= admitted && converged;
-        let wanted = match (self.confirmed, peer_confirmed) {
+        let target = match (self.confirmed, peer_confirmed) {
             (true, _) => counted,
             (false, Some(false)) => counted.max(self.configured),
             (false, _) => COUNT_BEFORE_ADMISSION,
@@ -83,9 +83,9 @@
         let before = self.effective;
         // Becoming confirmed takes effect at once: all others have counted this instance in by now.
         let wait = if before == COUNT_BEFORE_ADMISSION || !self.confirmed { Time(0) } else { DECREASE_DELAY };
-        let is_lower = wanted < self.effective;
+        let is_lower = target < self.effective;
         if !is_lower || now - *self.lower_since.get_or_insert(now) >= wait {
-            (self.effective, self.lower_since) = (wanted, None);
+            (self.effective, self.lower_since) = (target, None);
         }
         (self.effective != before).then_some(self.effective)
     }
--- a/crates/curlewpoint-fleet/src/members.rs
+++ b/crates/curlewpoint-fleet/src/members.rs
@@ -35,7 +35,7 @@
     pub dead: bool,
     /// By its own report it cannot reach the list service.
     pub list_service_lost: bool,
-    /// One bit for each ring on which the member that monitors it hears nothing.
+    /// One bit for each ring on which the monitoring member receives nothing from it.
     pub suspicions: u8,
 }
 
@@ -62,7 +62,7 @@
         !self.left && !self.dead
     }
 
-    /// Whether enough monitoring members hear nothing from it. Two have to agree, because one of them may be
+    /// Whether enough monitoring members receive nothing from it. Two have to agree, because one of them may be
     /// cut off itself.
     pub fn is_suspect(&self) -> bool {
         self.suspicions.count_ones() >= 2
--- a/crates/curlewpoint-fleet/tests/common/mod.rs
+++ b/crates/curlewpoint-fleet/tests/common/mod.rs
@@ -65,14 +65,14 @@
         self.list_frames += 1;
         self.list_bytes += size;
         self.list_bytes_sent.push((self.now, size));
-        self.send(link, move |f, now, out, l| {
+        self.send(link, move |f, now, driver, l| {
             assert!(
-                !out.earlier_release || frame.kind != Kind::LIST_ROWS,
+                !driver.earlier_release || frame.kind != Kind::LIST_ROWS,
                 "a frame of several entries for a peer that does not accept them"
             );
-            if frames::dispatch_list(f, now, out, Some(l), &frame).is_err() {
-                out.refuse(l, "malformed frame");
-                f.link_down(now, out, l);
+            if frames::dispatch_list(f, now, driver, Some(l), &frame).is_err() {
+                driver.refuse(l, "malformed frame");
+                f.link_down(now, driver, l);
             }
         });
     }
@@ -95,30 +95,30 @@
     }
     fn send_join(&mut self, link: LinkId, fleet: &str, me: MemberId, m: &Member, known: u64) {
         let (fleet, m, earlier_release) = (fleet.to_owned(), m.clone(), self.earlier_release);
-        self.send(link, move |f, now, out, l| {
-            if !earlier_release && !out.earlier_release {
+        self.send(link, move |f, now, driver, l| {
+            if !earlier_release && !driver.earlier_release {
                 f.peer_reads_list_rows(l);
             }
-            f.join_received(now, out, l, &fleet, me, &m.name, &m.address, m.state, known)
+            f.join_received(now, driver, l, &fleet, me, &m.name, &m.address, m.state, known)
         });
     }
     fn send_member(&mut self, link: LinkId, id: MemberId, m: &Member) {
         let m = m.clone();
-        self.send(link, move |f, now, out, l| {
-            f.member_received(now, out, l, id, &m.name, &m.address, m.state)
+        self.send(link, move |f, now, driver, l| {
+            f.member_received(now, driver, l, id, &m.name, &m.address, m.state)
         });
     }
     fn send_heartbeat(
         &mut self, link: LinkId, tags: (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>,
         confirmed: bool, answer: bool,
     ) {
-        self.send(link, move |f, now, out, l| {
-            f.heartbeat_received(now, out, l, tags, digest, held, age, confirmed, answer)
+        self.send(link, move |f, now, driver, l| {
+            f.heartbeat_received(now, driver, l, tags, digest, held, age, confirmed, answer)
         });
     }
     fn request_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
         self.list_requests.push(link);
-        self.send(link, move |f, now, out, l| f.list_requested(now, out, l, held));
+        self.send(link, move |f, now, driver, l| f.list_requested(now, driver, l, held));
     }
     fn send_list_begin(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
         self.lists_begun += 1;
@@ -155,21 +155,21 @@
         // younger.
         let sent = rows.to_vec();
         let transit = Time(2 + link.0 % 30);
-        self.send(link, move |f, now, out, l| {
+        self.send(link, move |f, now, driver, l| {
             let all = sent
                 .into_iter()
                 .map(|s| Observation { observed_at: (s.observed_at + transit).min(now), ..s })
                 .collect();
-            f.hints_received(now, out, l, all);
+            f.hints_received(now, driver, l, all);
         });
     }
     fn send_directory_frame(&mut self, link: LinkId, frame: Frame) {
         self.directory_sent.push((self.now, HEAD_BYTES + frame.head().len()));
         *self.directory_frames.entry(frame.kind).or_default() += 1;
-        self.send(link, move |f, now, out, l| {
-            if frames::dispatch(f, now, out, l, &frame).is_err() {
-                out.refuse(l, "malformed frame");
-                f.link_down(now, out, l);
+        self.send(link, move |f, now, driver, l| {
+            if frames::dispatch(f, now, driver, l, &frame).is_err() {
+                driver.refuse(l, "malformed frame");
+                f.link_down(now, driver, l);
             }
         });
     }
@@ -347,7 +347,7 @@
     }
 
     pub fn leave(&mut self, id: u64) {
-        self.call(id, |f, now, out| f.leave(now, out));
+        self.call(id, |f, now, driver| f.leave(now, driver));
         self.run(20);
         self.kill(id);
     }
@@ -441,22 +441,22 @@
 
     /// An instance's scheduler observes something of a function at a worker.
     pub fn observe(&mut self, id: u64, worker: WorkerId, function: FunctionId, hint: Hint) {
-        self.call(id, |f, now, out| f.observe(now, out, worker, function, hint, 0));
+        self.call(id, |f, now, driver| f.observe(now, driver, worker, function, hint, 0));
     }
 
     /// An instance's scheduler has an RPC for a function.
     pub fn request_function(&mut self, id: u64, function: FunctionId) {
-        self.call(id, |f, now, out| f.function_requested(now, out, function));
+        self.call(id, |f, now, driver| f.function_requested(now, driver, function));
     }
 
     /// Delivers a frame to `to` as if `from` had sent it on a link that is up between them.
     pub fn inject_frame(&mut self, from: u64, to: u64, frame: &Frame) {
         let at = self.nodes[&to].links.iter().find(|(_, (peer, _))| *peer == from).map(|(l, _)| *l);
         let link = at.expect("a link is up between them");
-        self.call(to, |f, now, out| {
-            if frames::dispatch(f, now, out, link, frame).is_err() {
-                out.refuse(link, "malformed frame");
-                f.link_down(now, out, link);
+        self.call(to, |f, now, driver| {
+            if frames::dispatch(f, now, driver, link, frame).is_err() {
+                driver.refuse(link, "malformed frame");
+                f.link_down(now, driver, link);
             }
         });
     }
@@ -485,7 +485,7 @@
             return;
         }
         if up {
-            return self.call(id, |f, now, out| f.service_up(now, out));
+            return self.call(id, |f, now, driver| f.service_up(now, driver));
         }
         let (epoch, version) = self.list_version;
         // A long list is updated by changes, as by a real service; a list of one entry is always sent whole.
@@ -501,10 +501,10 @@
         let all: Vec<(String, EndpointEntry)> =
             rows.into_iter().map(|row| (self.worker_name(row), self.entry(row, self.list_version))).collect();
         self.nodes.get_mut(&id).into_iter().for_each(|n| n.service_version = Some((epoch, version)));
-        self.call(id, |f, now, out| {
+        self.call(id, |f, now, driver| {
             f.list_begin_received(now, None, epoch, version, from.map(|(_, v)| v));
             all.into_iter().for_each(|(name, entry)| f.list_entry_received(now, None, &name, entry));
-            f.list_end_received(now, out, None);
+            f.list_end_received(now, driver, None);
         });
     }
 
@@ -581,7 +581,7 @@
         }
         match event {
             Event::Tick(id) => {
-                self.call(id, |f, now, out| f.advance(now, out));
+                self.call(id, |f, now, driver| f.advance(now, driver));
                 self.schedule(Time(1_000), Event::Tick(id));
                 let sum: f64 =
                     self.nodes.values().map(|n| 1.0 / n.fleet.instance_count().effective() as f64).sum();
@@ -591,14 +591,14 @@
             Event::Deliver(id, link, send) => {
                 self.in_flight.entry((id, link)).and_modify(|n| *n = n.saturating_sub(1));
                 if self.nodes.get(&id).is_some_and(|n| n.links.contains_key(&link)) {
-                    self.call(id, |f, now, out| send(f, now, out, link));
+                    self.call(id, |f, now, driver| send(f, now, driver, link));
                 }
             }
             Event::Down(id, link) => {
                 if let Some(n) = self.nodes.get_mut(&id) {
                     n.links.remove(&link);
                 }
-                self.call(id, |f, now, out| f.link_down(now, out, link));
+                self.call(id, |f, now, driver| f.link_down(now, driver, link));
             }
             Event::Service(id, connection, up) => self.service(id, connection, up),
         }
@@ -620,8 +620,8 @@
         let remote = LinkId((1 << 63) | remote_node.serial);
         remote_node.links.insert(remote, (id, link));
         self.nodes.get_mut(&id).expect("the dialling instance is alive").links.insert(link, (peer, remote));
-        self.call(peer, |f, now, out| f.link_accepted(now, out, remote));
-        self.call(id, |f, now, out| f.link_up(now, out, link));
+        self.call(peer, |f, now, driver| f.link_accepted(now, driver, remote));
+        self.call(id, |f, now, driver| f.link_up(now, driver, link));
     }
 
     pub fn instance_ids(&self) -> Vec<u64> {
--- a/crates/curlewpoint-fleet/tests/scenarios.rs
+++ b/crates/curlewpoint-fleet/tests/scenarios.rs
@@ -135,19 +135,19 @@
         net.run(4_999);
         let others = |net: &SimNetwork| net.nodes[&ids[5]].fleet.members().alive().count();
         assert_eq!(others(&net), 11);
-        // It resumes with the old list and holds from its first step until it has heard of the current one, and
+        // It resumes with the old list and holds from its first step until it has learned of the current one, and
         // no longer than allowed.
-        let (mut held, mut knew) = (0, 0);
+        let (mut held_ms, mut late_ms) = (0, 0);
         for _ in 0..200 {
             net.run(1);
             let node = &net.nodes[&ids[4]];
             if node.fleet.is_holding(net.now) {
-                held += 1;
-                knew += u64::from(node.driver.list_version != Some((1, 1)));
+                held_ms += 1;
+                late_ms += u64::from(node.driver.list_version != Some((1, 1)));
             }
         }
-        assert!((1..=75).contains(&held), "seed {seed}: held for {held} ms");
-        assert!(knew <= 4, "seed {seed}: still holds {knew} ms after receiving the list");
+        assert!((1..=75).contains(&held_ms), "seed {seed}: held for {held_ms} ms");
+        assert!(late_ms <= 4, "seed {seed}: still holds {late_ms} ms after receiving the list");
         net.run(5_000);
         assert_eq!(net.list_versions(), BTreeSet::from([Some((1, 2))]));
         assert_eq!(net.alive_counts(), BTreeSet::from([12]));
@@ -163,8 +163,8 @@
     let (mut net, ids) = fleet(17, 12, 12);
     net.run(6_000);
     // With half of the fleet paused, some of the paused instances monitor each other in any ring order.
-    let stopped = &ids[..6];
-    stopped.iter().for_each(|id| net.pause(*id, 10_000));
+    let paused = &ids[..6];
+    paused.iter().for_each(|id| net.pause(*id, 10_000));
     net.run(5_000);
     net.change_list();
     net.run(3_000);
@@ -180,7 +180,7 @@
     };
     for _ in 0..200 {
         net.run(1);
-        for id in stopped.iter().filter(|id| has_resumed(&net, id)) {
+        for id in paused.iter().filter(|id| has_resumed(&net, id)) {
             assert_eq!(
                 net.nodes[id].driver.list_version,
                 Some((1, 2)),
@@ -210,15 +210,15 @@
     net.run(6_000);
     let now = net.now;
     let node = net.nodes.get_mut(&ids[0]).expect("the instance is alive");
-    let mut out = std::mem::take(&mut node.driver);
+    let mut driver = std::mem::take(&mut node.driver);
     let link = node.fleet.peer_links().next().expect("the instance has peers").0;
     for epoch in [u64::MAX, 900] {
         node.fleet.list_begin_received(now, Some(link), epoch, 1, None);
-        node.fleet.list_end_received(now, &mut out, Some(link));
+        node.fleet.list_end_received(now, &mut driver, Some(link));
     }
     assert_eq!(node.fleet.endpoints().held(), Some((1, 1)));
-    assert!(out.log.iter().any(|l| l.contains("far ahead")), "{:?}", out.log);
-    node.driver = out;
+    assert!(driver.log.iter().any(|l| l.contains("far ahead")), "{:?}", driver.log);
+    node.driver = driver;
     net.change_list();
     net.run(500);
     assert_eq!(net.list_versions(), BTreeSet::from([Some((1, 2))]));
@@ -232,16 +232,26 @@
     net.run(500);
     let now = net.now;
     let node = net.nodes.get_mut(&id).expect("the instance is alive");
-    let (mut out, link) = (std::mem::take(&mut node.driver), LinkId(1 << 62));
+    let (mut driver, link) = (std::mem::take(&mut node.driver), LinkId(1 << 62));
     let of = |name: &str| MemberId { instance: InstanceId::of(name), run: Run(1) };
-    node.fleet.link_accepted(now, &mut out, link);
-    node.fleet.join_received(now, &mut out, link, "f", of("forger"), "forger", "a8", Default::default(), 1);
+    node.fleet.link_accepted(now, &mut driver, link);
+    node.fleet.join_received(
+        now,
+        &mut driver,
+        link,
+        "f",
+        of("forger"),
+        "forger",
+        "a8",
+        Default::default(),
+        1,
+    );
     for index in 0..1_000 {
         let name = format!("forged-{index}");
-        node.fleet.member_received(now, &mut out, link, of(&name), &name, "a", Default::default());
+        node.fleet.member_received(now, &mut driver, link, of(&name), &name, "a", Default::default());
     }
     assert_eq!((node.fleet.members().len(), node.fleet.refusal_count()), (64, 1));
-    assert_eq!(out.refused, ["more members than are kept"]);
+    assert_eq!(driver.refused, ["more members than are kept"]);
 }
 
 /// Two partitions that start separately cannot know of each other, so each uses the configured count, which is
@@ -269,12 +279,12 @@
     net.run(3_000);
     let now = net.now;
     let node = net.nodes.get_mut(&ids[0]).expect("the instance is alive");
-    let mut out = std::mem::take(&mut node.driver);
+    let mut driver = std::mem::take(&mut node.driver);
     let link = LinkId(1 << 62);
-    node.fleet.link_accepted(now, &mut out, link);
+    node.fleet.link_accepted(now, &mut driver, link);
     let me = node.fleet.own_id();
-    node.fleet.join_received(now, &mut out, link, "other", me, "x", "a9", Default::default(), 1);
-    assert_eq!(out.refused, ["this is fleet 'f', not 'other'"]);
+    node.fleet.join_received(now, &mut driver, link, "other", me, "x", "a9", Default::default(), 1);
+    assert_eq!(driver.refused, ["this is fleet 'f', not 'other'"]);
 }
 
 #[test]
@@ -443,7 +453,7 @@
     assert!((100..=400).contains(&received), "{received}");
 }
 
-/// Few instances watch, so nearly all hear of the restarted service from one peer first. They must not all ask
+/// Few instances watch, so nearly all learn of the restarted service from one peer first. They must not all ask
 /// the service at once, nor ask it although two peers have confirmed the list meanwhile (`herd` with 200
 /// instances: 109 connections in 100 ms).
 #[test]
