--- a/crates/curlewpoint-fleet/src/directory.rs
+++ b/crates/curlewpoint-fleet/src/directory.rs
@@ -50,8 +50,8 @@
 const ANSWER_TIMEOUT: Time = Time(3_000);
 const STRIKE_LIMIT: u8 = 2;
 const AVOIDANCE_PERIOD: Time = Time(100_000);
-/// Changes are sent no sooner than the first, except for a copy that has become ready; a repetition no sooner
-/// than the second or a quarter of the observation lifetime.
+/// Minimum time between two reports of a changed row, except for a copy that has become ready; and of an
+/// unchanged row, unless a quarter of the observation lifetime is longer.
 const CHANGE_INTERVAL: Time = Time(5_000);
 const REPEAT_INTERVAL: Time = Time(20_000);
 /// Interval between removals of expired state.
--- a/crates/curlewpoint-fleet/src/fleet.rs
+++ b/crates/curlewpoint-fleet/src/fleet.rs
@@ -34,7 +34,7 @@
 /// Tick interval while no endpoint list is held: the only work then is to get one.
 const TICK_INTERVAL_WITHOUT_LIST: Time = Time(200);
 /// Interval between heartbeats on a link. A link on which nothing arrives for `LINK_TIMEOUT` is closed and
-/// dialled again once.
+/// dialled again.
 const HEARTBEAT_INTERVAL: Time = Time(3_000);
 const LINK_TIMEOUT: Time = Time(12_000);
 /// Time in which a suspected member can refute the suspicion before it is declared dead.
--- a/crates/curlewpoint-fleet/src/fleet/directory_links.rs
+++ b/crates/curlewpoint-fleet/src/fleet/directory_links.rs
@@ -7,18 +7,18 @@
 use crate::directory::frames;
 use crate::directory::{CopyDirectory, DirectorySettings, GossipQueue};
 
-/// Maximum number of links used for the directory alone, opened from here and opened by peers. Beyond the first
-/// the link idle longest is closed; beyond the second a peer is refused and asks another.
+/// Maximum number of links used for the directory alone: opened from here, and opened by peers. When the first
+/// is exceeded, the link that has been idle longest is closed; beyond the second a peer is refused and asks
+/// another.
 const MAX_OUTBOUND_LINKS: usize = 256;
 const MAX_INBOUND_LINKS: usize = 512;
 /// Rate limit for dialling directory links: per second, and burst.
 const DIAL_RATE: (f64, f64) = (8.0, 16.0);
-/// A link without traffic for the first time is closed by the side that opened it, and after the second by the
-/// other.
+/// Idle time after which a directory link is closed by the side that opened it, and by the other side.
 const IDLE_TIMEOUT: (Time, Time) = (Time(600_000), Time(1_500_000));
 /// When all outbound links are in use, one that has been idle this long is closed for a new one.
 const EVICTABLE_AFTER: Time = Time(10_000);
-/// A peer that has not sent its join frame by then is disconnected.
+/// A peer that has not sent its join frame within this time is disconnected.
 const JOIN_TIMEOUT: Time = Time(30_000);
 /// Rate limit for rows and questions accepted from one peer: per second, and burst. What exceeds it is ignored.
 const INTAKE_RATE: (f64, f64) = (500.0, 1_000.0);
--- a/crates/curlewpoint-fleet/src/fleet/list.rs
+++ b/crates/curlewpoint-fleet/src/fleet/list.rs
@@ -17,9 +17,9 @@
 const MAX_CONCURRENT_TRANSFERS: usize = 4;
 /// Rate limit for whole lists over all links: bytes per second, and burst.
 const TRANSFER_RATE: (f64, f64) = (4e6, 4e6);
-/// A requested list is requested from another peer if nothing of it has arrived for the first time, or if it is
-/// not complete after the second. A transfer to a peer that acknowledges nothing for the first time no longer
-/// counts against `MAX_CONCURRENT_TRANSFERS`.
+/// How long without any data, and how long in total, until a requested list is requested from another peer. A
+/// transfer whose peer acknowledges nothing for the first value no longer counts against
+/// `MAX_CONCURRENT_TRANSFERS`.
 const TRANSFER_TIMEOUT: (Time, Time) = (Time(5_000), Time(50_000));
 /// A peer whose list was not accepted without confirmation is asked for it again after this time.
 const CONFIRMATION_RETRY: Time = Time(20_000);
--- a/crates/curlewpoint-fleet/src/hints.rs
+++ b/crates/curlewpoint-fleet/src/hints.rs
@@ -20,9 +20,9 @@
     pub seq: u64,
 }
 
-/// An unchanged observation is repeated no sooner than the first. A changed one is sent no sooner than the
-/// second, except for a copy that has become ready: where many RPCs are rejected, each in turn would otherwise
-/// report a load and its end.
+/// Minimum time between two reports of an unchanged row, and of a changed one, except for a copy that has
+/// become ready. Without the second limit, workers that reject many RPCs would have each load and its end
+/// reported in turn.
 const REPEAT_INTERVAL: Time = Time(20_000);
 const CHANGE_INTERVAL: Time = Time(5_000);
 /// Rate limit for observations of this instance: per second, and burst.
