--- a/crates/curlewpoint-fleet/src/endpoint_table.rs
+++ b/crates/curlewpoint-fleet/src/endpoint_table.rs
@@ -1,7 +1,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use curlewpoint::types::{Standing, Time};
+use curlewpoint::types::{Lifecycle, Time};
 
 use crate::members::InstanceId;
 
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
     pub address: String,
-    pub lifecycle: Standing,
+    pub lifecycle: Lifecycle,
     /// Identifies one start of the worker's process.
     pub start: u64,
     pub started_at: Option<Time>,
--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -2,7 +2,7 @@
 //! dispatch of received frames to its methods. The gateway sends them over sockets, the scale simulation over a
 //! simulated network.
 
-use curlewpoint::types::{FunctionId, Hint, Standing as Lifecycle, Time, WorkerId};
+use curlewpoint::types::{FunctionId, Hint, Lifecycle, Time, WorkerId};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 
 use crate::directory::frames as directory;
--- a/crates/curlewpoint-fleet/tests/common/mod.rs
+++ b/crates/curlewpoint-fleet/tests/common/mod.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use curlewpoint::types::{FunctionId, Hint, Standing as Lifecycle, Time, WorkerId};
+use curlewpoint::types::{FunctionId, Hint, Lifecycle, Time, WorkerId};
 use curlewpoint_fleet::{
     frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, MemberState,
     Observation, Run,
--- a/crates/curlewpoint-fleet/tests/lists.rs
+++ b/crates/curlewpoint-fleet/tests/lists.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use common::{SimNetwork, TestDriver, MS};
-use curlewpoint::types::{Standing as Lifecycle, Time};
+use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_fleet::{
     frames, EndpointEntry, Fleet, FleetLimits, InstanceId, LinkId, ListOutcome, ListSource, MemberId, Run,
 };
--- a/crates/curlewpoint-fleet/tests/properties.rs
+++ b/crates/curlewpoint-fleet/tests/properties.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use common::SimNetwork;
-use curlewpoint::types::{FunctionId, Hint, Standing as Lifecycle, Time, WorkerId};
+use curlewpoint::types::{FunctionId, Hint, Lifecycle, Time, WorkerId};
 use curlewpoint_fleet::{
     EndpointEntry, EndpointTable, HintTable, InstanceId, ListSource, MemberState, Observation, Run,
 };
--- a/crates/curlewpoint-gateway/src/snapshot/tests.rs
+++ b/crates/curlewpoint-gateway/src/snapshot/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use curlewpoint::types::Standing;
+use curlewpoint::types::Lifecycle;
 use curlewpoint_fleet::{FleetLimits, Run};
 
 const NOW: Time = Time(864_000_000);
@@ -24,7 +24,7 @@
     let since = Some(NOW - Time(50_000));
     let row = EndpointEntry {
         address: "w".into(),
-        lifecycle: Standing::Draining,
+        lifecycle: Lifecycle::Draining,
         start: 7,
         started_at: since,
         zone,
