--- a/crates/curlewpoint-platform/src/dns.rs
+++ b/crates/curlewpoint-platform/src/dns.rs
@@ -1,4 +1,4 @@
-//! The directory's answers: DNS records that name the workers, whole lists with the number of their last event.
+//! Discovery over DNS: each response is a complete list of workers, versioned by the serial number of its SOA record.
 
 use std::collections::BTreeMap;
 
@@ -8,53 +8,59 @@
 use hickory_proto::ProtoError;
 use thiserror::Error;
 
-use crate::Roll;
+use crate::EndpointListVisitor;
 
-const LIST: &str = "_app._tcp.cluster.lan.";
-/// Longer than any answer.
-pub const MOST_ANSWER: usize = 16 * 1024;
+const SERVICE_NAME: &str = "_app._tcp.cluster.lan.";
+/// Upper bound on the size of a response.
+pub const MAX_RESPONSE_BYTES: usize = 16 * 1024;
 
 #[derive(Debug, Error)]
-pub enum DirectoryError {
-    #[error("an answer that cannot be read: {0}")]
-    NotRead(#[from] ProtoError),
-    #[error("no answer to this question")]
-    NotMine,
-    #[error("the directory says {0}")]
-    Failed(ResponseCode),
-    #[error("an answer cut short")]
-    CutShort,
-    #[error("no number of the last event")]
-    NoNumber,
-    #[error("no {1} of worker '{0}'")]
-    Lacks(String, &'static str),
+pub enum DiscoveryError {
+    #[error("malformed response: {0}")]
+    Malformed(#[from] ProtoError),
+    #[error("the response belongs to another query")]
+    OtherQuery,
+    #[error("discovery returned {0}")]
+    ErrorCode(ResponseCode),
+    #[error("truncated response")]
+    Truncated,
+    #[error("the response has no serial number")]
+    NoSerial,
+    #[error("worker '{0}' has no {1}")]
+    Missing(String, &'static str),
 }
 
-/// The question for the whole list.
-pub fn query(id: u16) -> Result<Vec<u8>, DirectoryError> {
+/// Builds the query for the complete endpoint list.
+pub fn build_query(id: u16) -> Result<Vec<u8>, DiscoveryError> {
     let mut m = Message::new();
     m.set_id(id).set_message_type(MessageType::Query).set_op_code(OpCode::Query);
-    m.add_query(Query::query(Name::from_ascii(LIST)?, RecordType::SRV));
+    m.add_query(Query::query(Name::from_ascii(SERVICE_NAME)?, RecordType::SRV));
     Ok(m.to_vec()?)
 }
 
-/// Reads an answer to the question with this id; nothing of it counts unless all can be read.
-pub fn read(answer: &[u8], id: u16, roll: &mut impl Roll) -> Result<(), DirectoryError> {
-    let m = Message::from_vec(answer)?;
+/// Parses the response to the query with this ID and passes its endpoints to `visitor`. On an error the list is not
+/// concluded, so that nothing of a malformed response takes effect.
+///
+/// An SRV record stands for a worker: priority 0 means ready, any other priority draining; the weight is ten times the
+/// worker's size; the target is `NAME.ZONE...`. A TXT record of the target gives the start time and the cell.
+pub fn parse_response(
+    response: &[u8], id: u16, visitor: &mut impl EndpointListVisitor,
+) -> Result<(), DiscoveryError> {
+    let m = Message::from_vec(response)?;
     if m.id() != id || m.message_type() != MessageType::Response {
-        return Err(DirectoryError::NotMine);
+        return Err(DiscoveryError::OtherQuery);
     }
     if m.response_code() != ResponseCode::NoError {
-        return Err(DirectoryError::Failed(m.response_code()));
+        return Err(DiscoveryError::ErrorCode(m.response_code()));
     }
     if m.truncated() {
-        return Err(DirectoryError::CutShort);
+        return Err(DiscoveryError::Truncated);
     }
     let serial = |r: &Record| match r.data() {
         RData::SOA(soa) => Some(soa.serial()),
         _ => None,
     };
-    let version = m.name_servers().iter().find_map(serial).ok_or(DirectoryError::NoNumber)?;
+    let version = m.name_servers().iter().find_map(serial).ok_or(DiscoveryError::NoSerial)?;
     let (mut addresses, mut texts) = (BTreeMap::new(), BTreeMap::new());
     for r in m.answers().iter().chain(m.additionals()) {
         match r.data() {
@@ -63,24 +69,25 @@
             _ => {}
         }
     }
-    roll.begins(u64::from(version), None);
+    visitor.begin_list(u64::from(version), None);
     for r in m.answers() {
         let RData::SRV(srv) = r.data() else { continue };
         let target = srv.target();
-        let lacks = |what| DirectoryError::Lacks(target.to_ascii(), what);
-        let label = |no| target.iter().nth(no).and_then(|l| std::str::from_utf8(l).ok());
-        let (name, zone) = (label(0).ok_or_else(|| lacks("name"))?, label(1).ok_or_else(|| lacks("zone"))?);
-        let at = addresses.get(target).ok_or_else(|| lacks("address"))?;
-        let words = texts.get(target).ok_or_else(|| lacks("text"))?;
+        let missing = |what| DiscoveryError::Missing(target.to_ascii(), what);
+        let label = |index| target.iter().nth(index).and_then(|l| std::str::from_utf8(l).ok());
+        let (name, zone) =
+            (label(0).ok_or_else(|| missing("name"))?, label(1).ok_or_else(|| missing("zone"))?);
+        let ip = addresses.get(target).ok_or_else(|| missing("address"))?;
+        let strings = texts.get(target).ok_or_else(|| missing("TXT record"))?;
         let text = |field: &str| {
-            let words = words.iter().filter_map(|w| std::str::from_utf8(w).ok());
-            words.filter_map(|w| w.split_once('=')).find(|(n, _)| *n == field).map(|(_, v)| v)
+            let strings = strings.iter().filter_map(|s| std::str::from_utf8(s).ok());
+            strings.filter_map(|s| s.split_once('=')).find(|(name, _)| *name == field).map(|(_, v)| v)
         };
-        let started = text("started").and_then(|v| v.parse().ok()).ok_or_else(|| lacks("start"))?;
-        let standing = if srv.priority() == 0 { Lifecycle::Ready } else { Lifecycle::Draining };
-        let (address, size) = (format!("{at}:{}", srv.port()), f64::from(srv.weight()) / 10.0);
-        roll.worker(name, &address, standing, started, zone, text("cell").unwrap_or(""), size);
+        let started = text("started").and_then(|v| v.parse().ok()).ok_or_else(|| missing("start time"))?;
+        let lifecycle = if srv.priority() == 0 { Lifecycle::Ready } else { Lifecycle::Draining };
+        let (address, size) = (format!("{ip}:{}", srv.port()), f64::from(srv.weight()) / 10.0);
+        visitor.endpoint(name, &address, lifecycle, started, zone, text("cell").unwrap_or(""), size);
     }
-    roll.ends();
+    visitor.end_list();
     Ok(())
 }
