--- a/crates/curlewpoint-fleet/src/directory/frames.rs
+++ b/crates/curlewpoint-fleet/src/directory/frames.rs
@@ -17,24 +17,26 @@
 /// Sent before the join frame: this instance takes part in the directory. `only`: the link is used for nothing
 /// else; `just_started`: it has just started and knows nothing.
 pub fn announce_frame(only: bool, just_started: bool) -> Frame {
-    Frame::new(Kind::DIRECTORY).int(Field::ONLY, u64::from(only)).int(Field::STARTS, u64::from(just_started))
+    Frame::new(Kind::DIRECTORY_JOIN)
+        .int(Field::DIRECTORY_ONLY, u64::from(only))
+        .int(Field::JUST_STARTED, u64::from(just_started))
 }
 
 /// A question about functions.
 pub fn copies_request_frame(functions: &[FunctionId]) -> Frame {
-    Frame::new(Kind::ASK).ints(Field::FUNCTIONS, &function_ids(functions))
+    Frame::new(Kind::DIRECTORY_QUERY).ints(Field::FUNCTIONS, &function_ids(functions))
 }
 
 /// The answer for some functions, and changes of others.
 pub fn copies_frame(now: Time, answered: &[FunctionId], observations: &[Observation]) -> Frame {
-    let f = Frame::new(Kind::COPIES);
+    let f = Frame::new(Kind::DIRECTORY_UPDATE);
     let f = if answered.is_empty() { f } else { f.ints(Field::FUNCTIONS, &function_ids(answered)) };
     f.ints(Field::ROWS, &rows(now, observations))
 }
 
 /// Observations for the holders of their functions.
 pub fn observations_frame(now: Time, observations: &[Observation]) -> Frame {
-    Frame::new(Kind::SIGHTS).ints(Field::ROWS, &rows(now, observations))
+    Frame::new(Kind::OBSERVATIONS).ints(Field::ROWS, &rows(now, observations))
 }
 
 fn function_ids(functions: &[FunctionId]) -> Vec<u64> {
@@ -51,7 +53,7 @@
 fn read_function_ids(f: &Frame) -> Result<Vec<FunctionId>, WireError> {
     let function_ids = f.get_ints(Field::FUNCTIONS)?;
     if function_ids.len() > MAX_ROWS {
-        return Err(WireError::NotA(f.kind.0, Field::FUNCTIONS.0, "so few names"));
+        return Err(WireError::WrongType(f.kind.0, Field::FUNCTIONS.0, "so few names"));
     }
     Ok(function_ids.into_iter().map(FunctionId).collect())
 }
@@ -60,7 +62,7 @@
 fn read_observations(now: Time, f: &Frame) -> Result<Vec<Observation>, WireError> {
     let rows = f.get_ints(Field::ROWS)?;
     if rows.len() % ROW_INTEGERS != 0 || rows.len() > ROW_INTEGERS * MAX_ROWS {
-        return Err(WireError::NotA(f.kind.0, Field::ROWS.0, "rows of copies"));
+        return Err(WireError::WrongType(f.kind.0, Field::ROWS.0, "rows of copies"));
     }
     let row = |r: &[u64]| {
         let (worker, function, at) = (WorkerId(r[0]), FunctionId(r[1]), now - Time(r[4]));
@@ -84,22 +86,23 @@
     fleet: &mut Fleet, now: Time, driver: &mut impl FleetDriver, link: LinkId, f: &Frame,
 ) -> Result<bool, WireError> {
     match f.kind {
-        Kind::DIRECTORY => {
-            let (only, just_started) = (f.get_int(Field::ONLY)? == 1, f.get_int(Field::STARTS)? == 1);
+        Kind::DIRECTORY_JOIN => {
+            let (only, just_started) =
+                (f.get_int(Field::DIRECTORY_ONLY)? == 1, f.get_int(Field::JUST_STARTED)? == 1);
             fleet.peer_supports_directory(now, driver, link, only);
             if just_started {
                 fleet.peer_just_started(link);
             }
         }
-        Kind::ASK => {
+        Kind::DIRECTORY_QUERY => {
             let functions = read_function_ids(f)?;
             fleet.copies_requested(now, driver, link, functions);
         }
-        Kind::COPIES => {
+        Kind::DIRECTORY_UPDATE => {
             let (answered, observations) = (read_function_ids(f)?, read_observations(now, f)?);
             fleet.copies_received(now, driver, link, answered, observations);
         }
-        Kind::SIGHTS => {
+        Kind::OBSERVATIONS => {
             let observations = read_observations(now, f)?;
             fleet.observations_received(now, driver, link, observations);
         }
--- a/crates/curlewpoint-fleet/src/fleet/directory_links.rs
+++ b/crates/curlewpoint-fleet/src/fleet/directory_links.rs
@@ -1,7 +1,7 @@
 //! The copy directory on links: which peers take part, which links are opened for it and closed again, and what
 //! is sent on them.
 
-use curlewpoint_wire::{Frame, HEAD_BYTES};
+use curlewpoint_wire::{Frame, PREFIX_BYTES};
 
 use super::*;
 use crate::directory::frames;
@@ -512,7 +512,7 @@
                 l.last_used = now;
             }
             let mut send = |frame: Frame| {
-                directory.charge(HEAD_BYTES + frame.head().len());
+                directory.charge(PREFIX_BYTES + frame.header().len());
                 driver.send_directory_frame(link, frame);
             };
             if !batch.questions.is_empty() {
--- a/crates/curlewpoint-fleet/src/fleet/observations.rs
+++ b/crates/curlewpoint-fleet/src/fleet/observations.rs
@@ -1,7 +1,7 @@
 //! Gossip of what schedulers observe of functions at workers. Observations travel like member records, along
 //! fewer rings; where a copy directory is kept, only as far as its byte budget leaves room.
 
-use curlewpoint_wire::HEAD_BYTES;
+use curlewpoint_wire::PREFIX_BYTES;
 
 use super::*;
 use crate::directory::GossipPriority;
@@ -182,7 +182,7 @@
                 continue;
             }
             let frame = hints_frame(now, &rows);
-            let bytes = HEAD_BYTES + frame.head().len();
+            let bytes = PREFIX_BYTES + frame.header().len();
             node.directory.charge(bytes);
             spare = spare.saturating_sub(bytes);
             driver.send_directory_frame(link, frame);
--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -32,8 +32,8 @@
 
 /// Reads a worker's lifecycle; an error if the field is missing or holds an unknown number.
 pub fn read_lifecycle(f: &Frame) -> Result<Lifecycle, WireError> {
-    let code = f.get_int(Field::STANDING)?;
-    let bad = WireError::NotA(f.kind.0, Field::STANDING.0, "a standing");
+    let code = f.get_int(Field::LIFECYCLE)?;
+    let bad = WireError::WrongType(f.kind.0, Field::LIFECYCLE.0, "a standing");
     LIFECYCLES.get(code as usize).copied().ok_or(bad)
 }
 
@@ -44,18 +44,18 @@
 fn member_fields(kind: Kind, id: MemberId, m: &Member) -> Frame {
     Frame::new(kind)
         .text(Field::INSTANCE, &m.name)
-        .int(Field::RUN, id.run.0)
+        .int(Field::RUN_ID, id.run.0)
         .text(Field::ADDRESS, &m.address)
         .int(Field::INCARNATION, m.state.incarnation)
         .int(Field::STATE, state_bits(m.state))
-        .int(Field::DOUBTS, u64::from(m.state.suspicions))
+        .int(Field::UNHEARD_RINGS, u64::from(m.state.suspicions))
 }
 
 /// The first frame on every link: see [`FleetDriver::send_join`]. It also announces that this instance accepts
 /// frames with several list entries.
 pub fn join_frame(fleet: &str, me: MemberId, member: &Member, known: u64) -> Frame {
-    let f = member_fields(Kind::JOIN, me, member).text(Field::FLEET, fleet).int(Field::KNOWN, known);
-    f.int(Field::READS_ROWS, 1)
+    let f = member_fields(Kind::JOIN, me, member).text(Field::FLEET, fleet).int(Field::KNOWN_MEMBERS, known);
+    f.int(Field::READS_LIST_ENTRIES, 1)
 }
 
 /// A member record.
@@ -65,9 +65,9 @@
 
 fn read_member(f: &Frame) -> Result<(MemberId, &str, &str, MemberState), WireError> {
     let (name, bits) = (f.get_text(Field::INSTANCE)?, f.get_int(Field::STATE)?);
-    let suspicions = f.get_int(Field::DOUBTS)?;
-    let suspicions =
-        u8::try_from(suspicions).map_err(|_| WireError::NotA(f.kind.0, Field::DOUBTS.0, "a row of rings"))?;
+    let suspicions = f.get_int(Field::UNHEARD_RINGS)?;
+    let suspicions = u8::try_from(suspicions)
+        .map_err(|_| WireError::WrongType(f.kind.0, Field::UNHEARD_RINGS.0, "a row of rings"))?;
     let (left, dead, list_service_lost) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
     let state = MemberState {
         incarnation: f.get_int(Field::INCARNATION)?,
@@ -76,7 +76,7 @@
         list_service_lost,
         suspicions,
     };
-    let id = MemberId { instance: InstanceId::of(name), run: Run(f.get_int(Field::RUN)?) };
+    let id = MemberId { instance: InstanceId::of(name), run: Run(f.get_int(Field::RUN_ID)?) };
     Ok((id, name, f.get_text(Field::ADDRESS)?, state))
 }
 
@@ -96,12 +96,13 @@
     (tag, echo): (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>, confirmed: bool,
     answer: bool,
 ) -> Frame {
-    let mut f = with_held(Frame::new(Kind::BEAT).int(Field::TAG, tag).int(Field::ECHO, echo), held);
-    f = f.int(Field::DIGEST, digest).int(Field::SURE, u64::from(confirmed));
+    let mut f =
+        with_held(Frame::new(Kind::HEARTBEAT).int(Field::TAG, tag).int(Field::ECHOED_TAG, echo), held);
+    f = f.int(Field::DIGEST, digest).int(Field::COUNT_IS_SURE, u64::from(confirmed));
     if let Some(age) = age {
         f = f.int(Field::AGE, age.0);
     }
-    f.int(Field::WANTED, u64::from(answer))
+    f.int(Field::REPLY_WANTED, u64::from(answer))
 }
 
 /// Asks a peer or the list service for what is newer than the list held.
@@ -111,14 +112,14 @@
 
 /// Begins a list; `from`: the version that it changes, or `None` for a whole list.
 pub fn list_begin_frame((epoch, version): (u64, u64), from: Option<u64>) -> Frame {
-    let f = Frame::new(Kind::LIST).int(Field::EPOCH, epoch).int(Field::LIST_VERSION, version);
-    from.map_or(f.clone(), |from| f.int(Field::FROM, from))
+    let f = Frame::new(Kind::LIST_BEGIN).int(Field::EPOCH, epoch).int(Field::LIST_VERSION, version);
+    from.map_or(f.clone(), |from| f.int(Field::BASE_VERSION, from))
 }
 
 /// One entry of a list, for peers and for the snapshot on disk.
 pub fn entry_frame(now: Time, name: &str, e: &EndpointEntry) -> Frame {
-    let f = Frame::new(Kind::CHANGE).text(Field::WORKER, name).text(Field::ADDRESS, &e.address);
-    let f = f.int(Field::STANDING, lifecycle_code(e.lifecycle)).int(Field::START, e.start);
+    let f = Frame::new(Kind::LIST_ENTRY).text(Field::WORKER, name).text(Field::ADDRESS, &e.address);
+    let f = f.int(Field::LIFECYCLE, lifecycle_code(e.lifecycle)).int(Field::START_ID, e.start);
     let f = f.text(Field::ZONE, &e.zone).text(Field::CELL, &e.cell).float(Field::SIZE, e.size);
     match e.started_at {
         Some(since) => f.int(Field::AGE, (now - since).0),
@@ -132,7 +133,7 @@
     let entry = EndpointEntry {
         address: text(Field::ADDRESS)?,
         lifecycle: read_lifecycle(f)?,
-        start: f.maybe_int(Field::START)?.unwrap_or(0),
+        start: f.maybe_int(Field::START_ID)?.unwrap_or(0),
         started_at: f.maybe_int(Field::AGE)?.map(|age| now - Time(age)),
         zone: text(Field::ZONE)?,
         cell: text(Field::CELL)?,
@@ -154,15 +155,15 @@
     let mut body = Vec::new();
     for (name, e) in rows {
         let row = entry_frame(now, name, e);
-        body.extend_from_slice(&(row.head().len() as u16).to_be_bytes());
-        body.extend_from_slice(row.head());
+        body.extend_from_slice(&(row.header().len() as u16).to_be_bytes());
+        body.extend_from_slice(row.header());
     }
-    Frame::new(Kind::LIST_ROWS).body(body)
+    Frame::new(Kind::LIST_ENTRIES).body(body)
 }
 
 /// Reads all entries in a frame, or none.
 pub fn read_entries(now: Time, f: &Frame) -> Result<Vec<(String, EndpointEntry)>, WireError> {
-    let bad = || WireError::NotA(f.kind.0, Field::ROWS.0, "rows of a list");
+    let bad = || WireError::WrongType(f.kind.0, Field::ROWS.0, "rows of a list");
     let (mut left, mut rows) = (&f.body[..], Vec::new());
     while let Some((length, rest)) = left.split_first_chunk() {
         let (fields, rest) =
@@ -170,7 +171,7 @@
         if rows.len() == MAX_ROWS {
             return Err(bad());
         }
-        let row = Frame::read(Kind::CHANGE, fields, Default::default())?;
+        let row = Frame::read(Kind::LIST_ENTRY, fields, Default::default())?;
         let (name, entry) = read_entry(now, &row)?;
         rows.push((name.to_owned(), entry));
         left = rest;
@@ -201,7 +202,7 @@
 fn read_hints(now: Time, f: &Frame) -> Result<Vec<Observation>, WireError> {
     let rows = f.get_ints(Field::ROWS)?;
     if rows.len() % HINT_INTEGERS != 0 {
-        return Err(WireError::NotA(f.kind.0, Field::ROWS.0, "rows of hints"));
+        return Err(WireError::WrongType(f.kind.0, Field::ROWS.0, "rows of hints"));
     }
     let row = |r: &[u64]| {
         let (worker, function, at) = (WorkerId(r[0]), FunctionId(r[1]), now - Time(r[4]));
@@ -227,8 +228,8 @@
     match f.kind {
         Kind::JOIN => {
             let (id, name, address, state) = read_member(f)?;
-            let (of, known) = (f.get_text(Field::FLEET)?, f.get_int(Field::KNOWN)?);
-            if f.maybe_int(Field::READS_ROWS)? == Some(1) {
+            let (of, known) = (f.get_text(Field::FLEET)?, f.get_int(Field::KNOWN_MEMBERS)?);
+            if f.maybe_int(Field::READS_LIST_ENTRIES)? == Some(1) {
                 fleet.peer_reads_list_rows(link);
             }
             fleet.join_received(now, driver, link, of, id, name, address, state, known);
@@ -237,16 +238,17 @@
             let (id, name, address, state) = read_member(f)?;
             fleet.member_received(now, driver, link, id, name, address, state);
         }
-        Kind::BEAT => {
+        Kind::HEARTBEAT => {
             let (tags, digest) =
-                ((f.get_int(Field::TAG)?, f.get_int(Field::ECHO)?), f.get_int(Field::DIGEST)?);
+                ((f.get_int(Field::TAG)?, f.get_int(Field::ECHOED_TAG)?), f.get_int(Field::DIGEST)?);
             let (held, age) = (read_held(f)?, f.maybe_int(Field::AGE)?.map(Time));
-            let (confirmed, answer) = (f.get_int(Field::SURE)? == 1, f.get_int(Field::WANTED)? == 1);
+            let (confirmed, answer) =
+                (f.get_int(Field::COUNT_IS_SURE)? == 1, f.get_int(Field::REPLY_WANTED)? == 1);
             fleet.heartbeat_received(now, driver, link, tags, digest, held, age, confirmed, answer);
         }
         Kind::WATCH => fleet.list_requested(now, driver, link, read_held(f)?),
         Kind::HINTS => fleet.hints_received(now, driver, link, read_hints(now, f)?),
-        Kind::DIRECTORY | Kind::ASK | Kind::COPIES | Kind::SIGHTS => {
+        Kind::DIRECTORY_JOIN | Kind::DIRECTORY_QUERY | Kind::DIRECTORY_UPDATE | Kind::OBSERVATIONS => {
             return directory::dispatch(fleet, now, driver, link, f);
         }
         _ => return dispatch_list(fleet, now, driver, Some(link), f),
@@ -260,15 +262,15 @@
     fleet: &mut Fleet, now: Time, driver: &mut impl FleetDriver, from_link: Option<LinkId>, f: &Frame,
 ) -> Result<bool, WireError> {
     match f.kind {
-        Kind::LIST => {
+        Kind::LIST_BEGIN => {
             let (epoch, version) = (f.get_int(Field::EPOCH)?, f.get_int(Field::LIST_VERSION)?);
-            fleet.list_begin_received(now, from_link, epoch, version, f.maybe_int(Field::FROM)?);
+            fleet.list_begin_received(now, from_link, epoch, version, f.maybe_int(Field::BASE_VERSION)?);
         }
-        Kind::CHANGE => {
+        Kind::LIST_ENTRY => {
             let (name, entry) = read_entry(now, f)?;
             fleet.list_entry_received(now, from_link, name, entry);
         }
-        Kind::LIST_ROWS => {
+        Kind::LIST_ENTRIES => {
             for (name, entry) in read_entries(now, f)? {
                 fleet.list_entry_received(now, from_link, &name, entry);
             }
--- a/crates/curlewpoint-fleet/tests/common/mod.rs
+++ b/crates/curlewpoint-fleet/tests/common/mod.rs
@@ -11,7 +11,7 @@
     frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, MemberState,
     Observation, Run,
 };
-use curlewpoint_wire::{Frame, Kind, HEAD_BYTES};
+use curlewpoint_wire::{Frame, Kind, PREFIX_BYTES};
 use oorandom::Rand64;
 
 type Message = Box<dyn FnOnce(&mut Fleet, Time, &mut TestDriver, LinkId)>;
@@ -60,14 +60,14 @@
 impl TestDriver {
     /// Sends a frame of a list as encoded on the wire.
     fn send_list_frame(&mut self, link: LinkId, frame: Frame) {
-        let size = HEAD_BYTES + frame.head().len() + frame.body.len();
+        let size = PREFIX_BYTES + frame.header().len() + frame.body.len();
         assert!(size <= 64 << 10, "frame of {size} bytes");
         self.list_frames += 1;
         self.list_bytes += size;
         self.list_bytes_sent.push((self.now, size));
         self.send(link, move |f, now, driver, l| {
             assert!(
-                !driver.earlier_release || frame.kind != Kind::LIST_ROWS,
+                !driver.earlier_release || frame.kind != Kind::LIST_ENTRIES,
                 "a frame of several entries for a peer that does not accept them"
             );
             if frames::dispatch_list(f, now, driver, Some(l), &frame).is_err() {
@@ -164,7 +164,7 @@
         });
     }
     fn send_directory_frame(&mut self, link: LinkId, frame: Frame) {
-        self.directory_sent.push((self.now, HEAD_BYTES + frame.head().len()));
+        self.directory_sent.push((self.now, PREFIX_BYTES + frame.header().len()));
         *self.directory_frames.entry(frame.kind).or_default() += 1;
         self.send(link, move |f, now, driver, l| {
             if frames::dispatch(f, now, driver, l, &frame).is_err() {
--- a/crates/curlewpoint-fleet/tests/directory.rs
+++ b/crates/curlewpoint-fleet/tests/directory.rs
@@ -123,7 +123,8 @@
     }
     ids.iter().filter(|id| **id != observer).for_each(|id| net.request_function(*id, F));
     net.run(700);
-    let asked: usize = net.nodes.values().filter_map(|n| n.driver.directory_frames.get(&Kind::ASK)).sum();
+    let asked: usize =
+        net.nodes.values().filter_map(|n| n.driver.directory_frames.get(&Kind::DIRECTORY_QUERY)).sum();
     assert_eq!(asked, 0);
     // The function is asked for once gossip about it has stopped.
     net.run(4_000);
@@ -341,7 +342,7 @@
     net.run(4_000);
     (0..100).for_each(|_| net.request_function(asker, F));
     net.run(300);
-    assert_eq!(net.nodes[&asker].driver.directory_frames.get(&Kind::ASK), Some(&1));
+    assert_eq!(net.nodes[&asker].driver.directory_frames.get(&Kind::DIRECTORY_QUERY), Some(&1));
     let d = net.nodes[&asker].fleet.directory().expect("the instance takes part");
     assert_eq!((d.counts().questions, d.counts().answers, d.open_question_count()), (1, 1, 0));
 }
@@ -556,7 +557,7 @@
     let new = net.start(30, &[0, 1, 2]);
     net.run(1_500);
     assert!(hints(&net, new).len() >= 15, "{}", hints(&net, new).len());
-    assert_eq!(net.nodes[&new].driver.directory_frames.get(&Kind::ASK), None);
+    assert_eq!(net.nodes[&new].driver.directory_frames.get(&Kind::DIRECTORY_QUERY), None);
 }
 
 #[test_case(false ; "the directory alone")]
@@ -670,11 +671,11 @@
     assert!(knows(&net, asker, Hint::Warm), "an answer holds the latest rows first");
 }
 
-#[test_case(Frame::new(Kind::SIGHTS).ints(Field::ROWS, &[1, 2, 3]) ; "half a row")]
-#[test_case(Frame::new(Kind::SIGHTS).text(Field::ROWS, "rows") ; "rows encoded as text")]
-#[test_case(Frame::new(Kind::COPIES).ints(Field::ROWS, &[0; 7 * 1_025]) ; "more rows than a frame holds")]
-#[test_case(Frame::new(Kind::ASK).ints(Field::FUNCTIONS, &[0; 1_025]) ; "more function ids than a frame holds")]
-#[test_case(Frame::new(Kind::DIRECTORY) ; "an announcement without its fields")]
+#[test_case(Frame::new(Kind::OBSERVATIONS).ints(Field::ROWS, &[1, 2, 3]) ; "half a row")]
+#[test_case(Frame::new(Kind::OBSERVATIONS).text(Field::ROWS, "rows") ; "rows encoded as text")]
+#[test_case(Frame::new(Kind::DIRECTORY_UPDATE).ints(Field::ROWS, &[0; 7 * 1_025]) ; "more rows than a frame holds")]
+#[test_case(Frame::new(Kind::DIRECTORY_QUERY).ints(Field::FUNCTIONS, &[0; 1_025]) ; "more function ids than a frame holds")]
+#[test_case(Frame::new(Kind::DIRECTORY_JOIN) ; "an announcement without its fields")]
 fn a_malformed_frame_closes_only_its_link(frame: Frame) {
     let (mut net, ids) = fleet(15, 6);
     let (to, from) = (
@@ -699,7 +700,7 @@
     let (mut net, ids) = fleet(16, 3);
     let rows = [[1, F.0, 9, 0, 0, 5, 1], [2, F.0, 3, 0, 0, 5, 2]].concat();
     let from = *ids[1..].iter().find(|id| net.are_linked(ids[0], **id)).expect("the instance has neighbours");
-    net.inject_frame(from, ids[0], &Frame::new(Kind::SIGHTS).ints(Field::ROWS, &rows));
+    net.inject_frame(from, ids[0], &Frame::new(Kind::OBSERVATIONS).ints(Field::ROWS, &rows));
     assert_eq!(net.nodes[&ids[0]].fleet.directory().map(|d| d.len()), Some(1));
 }
 
@@ -723,7 +724,7 @@
     net.run(5_000);
     assert!(net.members_agree());
     assert_eq!(net.nodes[&new].fleet.directory_link_count(), 0, "no member to ask");
-    assert_eq!(net.nodes[&new].driver.directory_frames.get(&Kind::ASK), None);
+    assert_eq!(net.nodes[&new].driver.directory_frames.get(&Kind::DIRECTORY_QUERY), None);
 }
 
 #[test]
--- a/crates/curlewpoint-fleet/tests/lists.rs
+++ b/crates/curlewpoint-fleet/tests/lists.rs
@@ -10,7 +10,7 @@
 use curlewpoint_fleet::{
     frames, EndpointEntry, Fleet, FleetLimits, InstanceId, LinkId, ListOutcome, ListSource, MemberId, Run,
 };
-use curlewpoint_wire::{Field, Frame, Kind, HEAD_BYTES};
+use curlewpoint_wire::{Field, Frame, Kind, PREFIX_BYTES};
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -493,8 +493,8 @@
     let mut me = SingleInstance::new();
     let (bad, good) = (me.peer(1), me.peer(2));
     let whole = frame_of(&rows(&[("v".into(), "a".into()), ("w".into(), "b".into())]));
-    let truncated = Frame::new(Kind::LIST_ROWS).body(whole.body.slice(..whole.body.len() - 1));
-    let no_name = Frame::new(Kind::LIST_ROWS).body(vec![0, 0]);
+    let truncated = Frame::new(Kind::LIST_ENTRIES).body(whole.body.slice(..whole.body.len() - 1));
+    let no_name = Frame::new(Kind::LIST_ENTRIES).body(vec![0, 0]);
     assert!(me.read(bad, &frames::list_begin_frame((1, 1), None)) && me.read(bad, &whole));
     assert!(!me.read(bad, &no_name) && !me.read(bad, &truncated));
     me.fleet.link_down(me.now, &mut me.driver, bad);
@@ -512,8 +512,8 @@
     let member = me.fleet.members().get(me.fleet.own_id()).expect("its own record").clone();
     let id = MemberId { instance: InstanceId::of("me"), run: Run(9) };
     let join = frames::join_frame("f", id, &member, 5);
-    assert_eq!(join.get_int(Field::READS_ROWS), Ok(1));
-    let bytes = HEAD_BYTES + join.head().len();
+    assert_eq!(join.get_int(Field::READS_LIST_ENTRIES), Ok(1));
+    let bytes = PREFIX_BYTES + join.header().len();
     println!("a join of {bytes} bytes");
     assert!(me.read(LinkId(1 << 63), &join), "it is ignored on an unknown link");
 }
@@ -542,11 +542,11 @@
         let whole = frame_of(&all);
         let ends: Vec<usize> = (0..=all.len()).map(|n| frame_of(&all[..n]).body.len()).collect();
         let at = at.index(whole.body.len());
-        let cut = Frame::new(Kind::LIST_ROWS).body(whole.body.slice(..at));
+        let cut = Frame::new(Kind::LIST_ENTRIES).body(whole.body.slice(..at));
         prop_assert_eq!(frames::read_entries(now, &cut).is_ok(), ends.contains(&at));
         let mut bytes = whole.body.to_vec();
         bytes[at] = with;
-        let _ = frames::read_entries(now, &Frame::new(Kind::LIST_ROWS).body(bytes));
+        let _ = frames::read_entries(now, &Frame::new(Kind::LIST_ENTRIES).body(bytes));
     }
 }
 
