--- a/crates/curlewpoint-fleet/src/members.rs
+++ b/crates/curlewpoint-fleet/src/members.rs
@@ -3,7 +3,7 @@
 use curlewpoint::types::Time;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// An instance by its name, the same at every instance and across restarts: xxh3-64 of the name.
+/// Identifies an instance by its name, the same at every instance and across restarts: xxh3-64 of the name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u64);
 
@@ -13,76 +13,79 @@
     }
 }
 
-/// One run of an instance's process; drawn at its start.
+/// One run of an instance's process; chosen at random at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Run(pub u64);
 
-/// One run of one instance. Two runs under one name are two members until the older is known to have ended.
+/// One run of one instance. Two runs under one name are two members until the older one is known to have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberId {
     pub instance: InstanceId,
     pub run: Run,
 }
 
-/// What is believed of a member. A member alone raises its incarnation, and does so to refute what others believe.
+/// The state of a member as believed by the fleet. Only the member itself raises its incarnation, and does so
+/// to refute what others believe.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing {
+pub struct MemberState {
     pub incarnation: u64,
-    /// It has said goodbye: nothing of this run comes any more. Nothing overrides it.
+    /// The member has announced that it leaves: nothing more of this run follows. Nothing overrides this.
     pub left: bool,
-    /// Others have given it up in this incarnation.
+    /// Others have declared it dead in this incarnation.
     pub dead: bool,
-    /// It cannot reach the list service, by its own word.
-    pub blind: bool,
-    /// The rings on which whoever looks after it hears nothing, a bit each.
-    pub doubts: u8,
+    /// By its own report it cannot reach the list service.
+    pub list_service_lost: bool,
+    /// One bit for each ring on which the monitoring member receives nothing from it.
+    pub suspicions: u8,
 }
 
-impl Standing {
-    /// The one merge: a goodbye above all, then the later incarnation, and within one the graver belief. It is the join
-    /// of a lattice, so neither order nor grouping nor repeats matter.
-    pub fn merge(self, other: Standing) -> Standing {
-        let key = |s: &Standing| (s.left, s.incarnation);
+impl MemberState {
+    /// Merges two states: leaving overrides everything, then the later incarnation wins, and within one
+    /// incarnation the worse state. This is the join of a lattice, so order, grouping and repetition make no
+    /// difference.
+    pub fn merge(self, other: MemberState) -> MemberState {
+        let key = |s: &MemberState| (s.left, s.incarnation);
         match key(&self).cmp(&key(&other)) {
             std::cmp::Ordering::Less => other,
             std::cmp::Ordering::Greater => self,
-            std::cmp::Ordering::Equal => Standing {
+            std::cmp::Ordering::Equal => MemberState {
                 dead: self.dead || other.dead,
-                blind: self.blind || other.blind,
-                doubts: self.doubts | other.doubts,
+                list_service_lost: self.list_service_lost || other.list_service_lost,
+                suspicions: self.suspicions | other.suspicions,
                 ..self
             },
         }
     }
 
-    /// Neither has it left nor is it given up.
-    pub fn lives(&self) -> bool {
+    /// Whether it has neither left nor been declared dead.
+    pub fn is_alive(&self) -> bool {
         !self.left && !self.dead
     }
 
-    /// Enough of those who look after it hear nothing. Two have to agree, as one of them may be cut off itself.
+    /// Whether enough monitoring members receive nothing from it. Two have to agree, because one of them may be
+    /// cut off itself.
     pub fn is_suspect(&self) -> bool {
-        self.doubts.count_ones() >= 2
+        self.suspicions.count_ones() >= 2
     }
 }
 
-/// A member as it is known here.
+/// A member record as held here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     pub name: String,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: String,
-    pub standing: Standing,
+    pub state: MemberState,
     /// When its record last changed here.
-    pub changed: Time,
-    /// It ended so long ago that nobody speaks of it any more; it is still counted until it is forgotten.
-    pub hushed: bool,
+    pub changed_at: Time,
+    /// It ended so long ago that its record is no longer gossiped. It still counts until it is removed.
+    pub retired: bool,
 }
 
 impl Member {
     fn digest(&self, id: MemberId) -> u64 {
-        let s = &self.standing;
-        let flags = [u8::from(s.left), u8::from(s.dead), u8::from(s.blind), s.doubts];
+        let s = &self.state;
+        let flags = [u8::from(s.left), u8::from(s.dead), u8::from(s.list_service_lost), s.suspicions];
         let mut bytes = Vec::with_capacity(28);
         for part in [id.instance.0, id.run.0, s.incarnation] {
             bytes.extend_from_slice(&part.to_be_bytes());
@@ -92,68 +95,71 @@
     }
 }
 
-/// Why a record was not taken.
+/// Why a record was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// As many members are known as are kept.
-    TooMany,
-    /// The name does not belong to the id, or is too long, or there is none.
-    BadName,
+pub enum RecordError {
+    /// The maximum number of members is known.
+    TableFull,
+    /// The name does not match the id, the name or address is too long, the name is empty, or the incarnation
+    /// jumps too far.
+    Invalid,
 }
 
-/// The longest name and the longest address, in bytes.
-const MOST_TEXT: usize = 256;
-/// Incarnations grow by one for each refutation: a jump beyond this is no member's word.
-const MOST_STEP: u64 = 1 << 32;
+/// Maximum length of a name and of an address, in bytes.
+const MAX_TEXT_BYTES: usize = 256;
+/// Incarnations grow by one for each refutation; a jump beyond this is not genuine.
+const MAX_INCARNATION_STEP: u64 = 1 << 32;
 
-/// After this time nobody speaks any more of one that has left, or that was given up; after twice as long it is forgotten.
-/// In between no record of it can come from one who has not forgotten it yet.
-const SPOKEN_OF: (Time, Time) = (Time(600_000), Time(3_000_000));
+/// After this time the record of a member that has left (first value) or was declared dead (second value) is no
+/// longer gossiped; after twice as long it is removed. In between, no copy of it can arrive from an instance
+/// that still gossips it.
+const GOSSIP_PERIOD: (Time, Time) = (Time(600_000), Time(3_000_000));
 
-/// All members known, bounded in number.
-pub struct Table {
+/// All members known, up to a maximum number.
+pub struct MemberTable {
     members: BTreeMap<MemberId, Member>,
-    most: usize,
+    max_members: usize,
     digest: u64,
 }
 
-impl Table {
-    pub fn new(most: usize) -> Table {
-        Table { members: BTreeMap::new(), most, digest: 0 }
+impl MemberTable {
+    pub fn new(max_members: usize) -> MemberTable {
+        MemberTable { members: BTreeMap::new(), max_members, digest: 0 }
     }
 
-    /// Takes a record; true: it told something new.
+    /// Merges a record; returns whether it was news.
     pub fn merge(
-        &mut self, now: Time, id: MemberId, name: &str, address: &str, standing: Standing,
-    ) -> Result<bool, Refused> {
-        let long = name.len() > MOST_TEXT || address.len() > MOST_TEXT;
-        if name.is_empty() || long || InstanceId::of(name) != id.instance {
-            return Err(Refused::BadName);
+        &mut self, now: Time, id: MemberId, name: &str, address: &str, state: MemberState,
+    ) -> Result<bool, RecordError> {
+        let too_long = name.len() > MAX_TEXT_BYTES || address.len() > MAX_TEXT_BYTES;
+        if name.is_empty() || too_long || InstanceId::of(name) != id.instance {
+            return Err(RecordError::Invalid);
         }
-        let full = self.members.len() >= self.most;
+        let is_full = self.members.len() >= self.max_members;
         match self.members.get_mut(&id) {
             Some(known) => {
-                if standing.incarnation > known.standing.incarnation.saturating_add(MOST_STEP) {
-                    return Err(Refused::BadName);
+                if state.incarnation > known.state.incarnation.saturating_add(MAX_INCARNATION_STEP) {
+                    return Err(RecordError::Invalid);
                 }
-                // One run has one address; of two that are told the greater is kept, everywhere alike.
-                let (merged, moved) = (known.standing.merge(standing), address > known.address.as_str());
-                if merged == known.standing && !moved {
+                // A run has one address; of two that are reported the greater is kept, so that all instances
+                // agree.
+                let (merged, moved) = (known.state.merge(state), address > known.address.as_str());
+                if merged == known.state && !moved {
                     return Ok(false);
                 }
-                if !std::mem::take(&mut known.hushed) {
+                if !std::mem::take(&mut known.retired) {
                     self.digest ^= known.digest(id);
                 }
-                (known.standing, known.changed) = (merged, now);
+                (known.state, known.changed_at) = (merged, now);
                 if moved {
                     known.address = address.to_owned();
                 }
                 self.digest ^= known.digest(id);
             }
-            None if full => return Err(Refused::TooMany),
+            None if is_full => return Err(RecordError::TableFull),
             None => {
                 let (name, address) = (name.to_owned(), address.to_owned());
-                let new = Member { name, address, standing, changed: now, hushed: false };
+                let new = Member { name, address, state, changed_at: now, retired: false };
                 self.digest ^= new.digest(id);
                 self.members.insert(id, new);
             }
@@ -161,17 +167,17 @@
         Ok(true)
     }
 
-    /// Passes over, and later forgets, what ended long ago.
+    /// Retires, and later removes, members that ended long ago.
     pub fn sweep(&mut self, now: Time) {
         let digest = &mut self.digest;
         self.members.retain(|id, m| {
-            let span = if m.standing.left { SPOKEN_OF.0 } else { SPOKEN_OF.1 };
-            let ended = if m.standing.lives() { Time(0) } else { now - m.changed };
-            if ended >= span && !m.hushed {
+            let span = if m.state.left { GOSSIP_PERIOD.0 } else { GOSSIP_PERIOD.1 };
+            let ended_for = if m.state.is_alive() { Time(0) } else { now - m.changed_at };
+            if ended_for >= span && !m.retired {
                 *digest ^= m.digest(*id);
-                m.hushed = true;
+                m.retired = true;
             }
-            ended < Time(2 * span.0)
+            ended_for < Time(2 * span.0)
         });
     }
 
@@ -183,14 +189,14 @@
         self.members.iter().map(|(id, m)| (*id, m))
     }
 
-    /// Members that have neither left nor been given up.
-    pub fn living(&self) -> impl Iterator<Item = (MemberId, &Member)> {
-        self.iter().filter(|(_, m)| m.standing.lives())
+    /// Members that have neither left nor been declared dead.
+    pub fn alive(&self) -> impl Iterator<Item = (MemberId, &Member)> {
+        self.iter().filter(|(_, m)| m.state.is_alive())
     }
 
-    /// Members that are still spoken of.
-    pub fn spoken_of(&self) -> impl Iterator<Item = (MemberId, &Member)> {
-        self.iter().filter(|(_, m)| !m.hushed)
+    /// Members whose records are still gossiped.
+    pub fn gossiped(&self) -> impl Iterator<Item = (MemberId, &Member)> {
+        self.iter().filter(|(_, m)| !m.retired)
     }
 
     pub fn len(&self) -> usize {
@@ -201,7 +207,7 @@
         self.members.is_empty()
     }
 
-    /// The same at all instances that hold the same records.
+    /// A digest that is the same at all instances that hold the same records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
