--- a/crates/curlewpoint-fleet/src/directory/frames.rs
+++ b/crates/curlewpoint-fleet/src/directory/frames.rs
@@ -1,100 +1,110 @@
-//! The frames of the directory, as the bytes of the native protocol, and how they are read straight into calls.
+//! Frames of the copy directory in the native protocol, and their dispatch to the fleet.
 
 use curlewpoint::types::{FunctionId, Time, WorkerId};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 
+use crate::driver::{FleetDriver, LinkId};
 use crate::fleet::Fleet;
 use crate::frames::{code, HINTS};
-use crate::hints::Seen;
+use crate::hints::Observation;
 use crate::members::Run;
-use crate::outside::{LinkId, Outside};
 
-/// Numbers that a row takes.
-const ROW: usize = 7;
-/// Rows or names in one frame at most.
-const MOST: usize = 1_024;
+/// Integers per row.
+const ROW_INTEGERS: usize = 7;
+/// Maximum number of rows or function names in one frame.
+const MAX_ROWS: usize = 1_024;
 
-/// Before the frame that tells who speaks: this instance takes part; `only`: the link is for nothing else; `starts`: it
-/// has just started, and knows nothing.
-pub fn part_frame(only: bool, starts: bool) -> Frame {
+/// Sent before the join frame: this instance takes part in the directory. `only`: the link is used for nothing
+/// else; `just_started`: it has just started and knows nothing.
+pub fn announce_frame(only: bool, just_started: bool) -> Frame {
     Frame::new(Kind::DIRECTORY_JOIN)
         .int(Field::DIRECTORY_ONLY, u64::from(only))
-        .int(Field::JUST_STARTED, u64::from(starts))
+        .int(Field::JUST_STARTED, u64::from(just_started))
 }
 
-/// A question for what is known of functions.
-pub fn ask_frame(functions: &[FunctionId]) -> Frame {
-    Frame::new(Kind::DIRECTORY_QUERY).ints(Field::FUNCTIONS, &names(functions))
+/// A question about functions.
+pub fn copies_request_frame(functions: &[FunctionId]) -> Frame {
+    Frame::new(Kind::DIRECTORY_QUERY).ints(Field::FUNCTIONS, &function_ids(functions))
 }
 
 /// The answer for some functions, and changes of others.
-pub fn copies_frame(now: Time, answered: &[FunctionId], seen: &[Seen]) -> Frame {
+pub fn copies_frame(now: Time, answered: &[FunctionId], observations: &[Observation]) -> Frame {
     let f = Frame::new(Kind::DIRECTORY_UPDATE);
-    let f = if answered.is_empty() { f } else { f.ints(Field::FUNCTIONS, &names(answered)) };
-    f.ints(Field::ROWS, &rows(now, seen))
+    let f = if answered.is_empty() { f } else { f.ints(Field::FUNCTIONS, &function_ids(answered)) };
+    f.ints(Field::ROWS, &rows(now, observations))
 }
 
-/// Rows for those who hold them.
-pub fn sights_frame(now: Time, seen: &[Seen]) -> Frame {
-    Frame::new(Kind::OBSERVATIONS).ints(Field::ROWS, &rows(now, seen))
+/// Observations for the holders of their functions.
+pub fn observations_frame(now: Time, observations: &[Observation]) -> Frame {
+    Frame::new(Kind::OBSERVATIONS).ints(Field::ROWS, &rows(now, observations))
 }
 
-fn names(functions: &[FunctionId]) -> Vec<u64> {
+fn function_ids(functions: &[FunctionId]) -> Vec<u64> {
     functions.iter().map(|f| f.0).collect()
 }
 
-fn rows(now: Time, seen: &[Seen]) -> Vec<u64> {
-    let row =
-        |s: &Seen| [s.worker.0, s.function.0, code(&HINTS, s.hint), s.held, (now - s.at).0, s.run.0, s.no];
-    seen.iter().flat_map(row).collect()
+fn rows(now: Time, observations: &[Observation]) -> Vec<u64> {
+    let row = |s: &Observation| {
+        [s.worker.0, s.function.0, code(&HINTS, s.hint), s.held_rpcs, (now - s.observed_at).0, s.run.0, s.seq]
+    };
+    observations.iter().flat_map(row).collect()
 }
 
-fn read_names(f: &Frame) -> Result<Vec<FunctionId>, WireError> {
-    let names = f.get_ints(Field::FUNCTIONS)?;
-    if names.len() > MOST {
+fn read_function_ids(f: &Frame) -> Result<Vec<FunctionId>, WireError> {
+    let function_ids = f.get_ints(Field::FUNCTIONS)?;
+    if function_ids.len() > MAX_ROWS {
         return Err(WireError::WrongType(f.kind.0, Field::FUNCTIONS.0, "so few names"));
     }
-    Ok(names.into_iter().map(FunctionId).collect())
+    Ok(function_ids.into_iter().map(FunctionId).collect())
 }
 
-/// Rows; what a later version may tell is passed over.
-fn read_rows(now: Time, f: &Frame) -> Result<Vec<Seen>, WireError> {
+/// Reads rows; hints of kinds that only a later release knows are skipped.
+fn read_observations(now: Time, f: &Frame) -> Result<Vec<Observation>, WireError> {
     let rows = f.get_ints(Field::ROWS)?;
-    if rows.len() % ROW != 0 || rows.len() > ROW * MOST {
+    if rows.len() % ROW_INTEGERS != 0 || rows.len() > ROW_INTEGERS * MAX_ROWS {
         return Err(WireError::WrongType(f.kind.0, Field::ROWS.0, "rows of copies"));
     }
     let row = |r: &[u64]| {
         let (worker, function, at) = (WorkerId(r[0]), FunctionId(r[1]), now - Time(r[4]));
         let hint = HINTS.get(r[2] as usize).copied()?;
-        Some(Seen { worker, function, hint, held: r[3], at, run: Run(r[5]), no: r[6] })
+        Some(Observation {
+            worker,
+            function,
+            hint,
+            held_rpcs: r[3],
+            observed_at: at,
+            run: Run(r[5]),
+            seq: r[6],
+        })
     };
-    Ok(rows.chunks_exact(ROW).filter_map(row).collect())
+    Ok(rows.chunks_exact(ROW_INTEGERS).filter_map(row).collect())
 }
 
-/// Reads a frame into a call; false: it is none of the directory's. An error: it is spoilt, and its link is to be closed.
-pub fn read(
-    fleet: &mut Fleet, now: Time, out: &mut impl Outside, link: LinkId, f: &Frame,
+/// Passes a frame to the fleet; false if it is not a directory frame. On an error the frame is malformed and
+/// its link is to be closed.
+pub fn dispatch(
+    fleet: &mut Fleet, now: Time, driver: &mut impl FleetDriver, link: LinkId, f: &Frame,
 ) -> Result<bool, WireError> {
     match f.kind {
         Kind::DIRECTORY_JOIN => {
-            let (only, starts) =
+            let (only, just_started) =
                 (f.get_int(Field::DIRECTORY_ONLY)? == 1, f.get_int(Field::JUST_STARTED)? == 1);
-            fleet.takes_part(now, out, link, only);
-            if starts {
-                fleet.just_started(link);
+            fleet.peer_supports_directory(now, driver, link, only);
+            if just_started {
+                fleet.peer_just_started(link);
             }
         }
         Kind::DIRECTORY_QUERY => {
-            let functions = read_names(f)?;
-            fleet.copies_asked(now, out, link, functions);
+            let functions = read_function_ids(f)?;
+            fleet.copies_requested(now, driver, link, functions);
         }
         Kind::DIRECTORY_UPDATE => {
-            let (answered, seen) = (read_names(f)?, read_rows(now, f)?);
-            fleet.copies_told(now, out, link, answered, seen);
+            let (answered, observations) = (read_function_ids(f)?, read_observations(now, f)?);
+            fleet.copies_received(now, driver, link, answered, observations);
         }
         Kind::OBSERVATIONS => {
-            let seen = read_rows(now, f)?;
-            fleet.copies_sighted(now, out, link, seen);
+            let observations = read_observations(now, f)?;
+            fleet.observations_received(now, driver, link, observations);
         }
         _ => return Ok(false),
     }
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -11,7 +11,7 @@
 use curlewpoint_config::Config;
 use curlewpoint_engine::Engine;
 use curlewpoint_fleet::{
-    frames, Bounds as FleetBounds, Entry, Fleet, LinkId, Member, MemberId, Outside as Others, Run, Seen,
+    frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, Observation, Run,
 };
 use curlewpoint_link::{handshake, Link, LinkError, LinkLimits, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
@@ -176,7 +176,7 @@
     Run(oorandom::Rand64::new(mixed).rand_u64())
 }
 
-impl Others for PeerDriver<'_> {
+impl FleetDriver for PeerDriver<'_> {
     fn dial(&mut self, link: LinkId, address: &str) {
         let context = self.links.context.clone();
         let task = self.links.context.tasks.spawn(context.dial(link, address.to_owned()));
@@ -195,42 +195,42 @@
         self.close(link);
     }
 
-    fn join(&mut self, link: LinkId, fleet: &str, me: MemberId, member: &Member, known: u64) {
+    fn send_join(&mut self, link: LinkId, fleet: &str, me: MemberId, member: &Member, known: u64) {
         self.send(link, frames::join_frame(fleet, me, member, known));
     }
 
-    fn member(&mut self, link: LinkId, id: MemberId, member: &Member) {
+    fn send_member(&mut self, link: LinkId, id: MemberId, member: &Member) {
         self.send(link, frames::member_frame(id, member));
     }
 
-    fn beat(
+    fn send_heartbeat(
         &mut self, link: LinkId, tags: (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>,
         sure: bool, answer: bool,
     ) {
-        self.send(link, frames::beat_frame(tags, digest, held, age, sure, answer));
+        self.send(link, frames::heartbeat_frame(tags, digest, held, age, sure, answer));
     }
 
-    fn ask_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
-        self.send(link, frames::ask_list_frame(held));
+    fn request_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
+        self.send(link, frames::list_request_frame(held));
     }
 
-    fn list_begins(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
-        self.send(link, frames::list_frame(version, from));
+    fn send_list_begin(&mut self, link: LinkId, version: (u64, u64), from: Option<u64>) {
+        self.send(link, frames::list_begin_frame(version, from));
     }
 
-    fn list_row(&mut self, link: LinkId, name: &str, e: &Entry) {
+    fn send_list_entry(&mut self, link: LinkId, name: &str, e: &EndpointEntry) {
         self.send(link, frames::entry_frame(self.now, name, e));
     }
 
-    fn list_rows(&mut self, link: LinkId, rows: &[(&str, &Entry)]) {
-        self.send(link, frames::rows_frame(self.now, rows));
+    fn send_list_entries(&mut self, link: LinkId, rows: &[(&str, &EndpointEntry)]) {
+        self.send(link, frames::entries_frame(self.now, rows));
     }
 
-    fn list_ends(&mut self, link: LinkId) {
+    fn send_list_end(&mut self, link: LinkId) {
         self.send(link, frames::list_end_frame());
     }
 
-    fn watch(&mut self, on: bool) {
+    fn set_watching(&mut self, on: bool) {
         self.links.list_connection_number += 1;
         self.links.wanted_list_connection.send_replace(on.then_some(self.links.list_connection_number));
         if !on {
@@ -238,39 +238,39 @@
         }
     }
 
-    fn ask_service(&mut self, held: Option<(u64, u64)>) {
+    fn request_service_list(&mut self, held: Option<(u64, u64)>) {
         if let Some(outbox) = &self.engine.driver().list_outbox {
-            let _ = outbox.send(frames::ask_list_frame(held), None);
+            let _ = outbox.send(frames::list_request_frame(held), None);
         }
     }
 
-    fn take_begins(&mut self, (epoch, version): (u64, u64), from: Option<u64>) {
+    fn deliver_list_begin(&mut self, (epoch, version): (u64, u64), from: Option<u64>) {
         self.engine.list_begins(epoch, version, from);
     }
 
-    fn take_row(&mut self, name: &str, e: &Entry) {
-        let age = e.since.map(|since| self.now - since);
+    fn deliver_list_entry(&mut self, name: &str, e: &EndpointEntry) {
+        let age = e.started_at.map(|since| self.now - since);
         let (address, zone, cell) = (&e.address, &e.zone, &e.cell);
-        self.engine.list_row(self.now, name, address, e.standing, e.start, age, zone, cell, e.size);
+        self.engine.list_row(self.now, name, address, e.lifecycle, e.start, age, zone, cell, e.size);
     }
 
-    fn take_ends(&mut self) {
+    fn deliver_list_end(&mut self) {
         self.engine.list_ends(self.now);
     }
 
-    fn hints(&mut self, link: LinkId, seen: &[Seen]) {
+    fn send_hints(&mut self, link: LinkId, seen: &[Observation]) {
         self.send(link, frames::hints_frame(self.now, seen));
     }
 
-    fn directory(&mut self, link: LinkId, frame: Frame) {
+    fn send_directory_frame(&mut self, link: LinkId, frame: Frame) {
         self.send(link, frame);
     }
 
-    fn take_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time) {
+    fn deliver_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time) {
         self.engine.hinted(self.now, worker, function, hint, held, age);
     }
 
-    fn instances(&mut self, number: u64) {
+    fn set_instance_count(&mut self, number: u64) {
         self.engine.set_instance_count(number);
     }
 
@@ -291,13 +291,13 @@
         let local_address = listener.local_addr()?.to_string();
         let address = config.value("fleet", "reached-at").unwrap_or(&local_address);
         let number = |name| config.number("fleet", name) as usize;
-        let limits = FleetBounds {
-            instances: number("most-instances"),
-            links: number("most-links"),
+        let limits = FleetLimits {
+            max_instances: number("most-instances"),
+            max_inbound_links: number("most-links"),
             watchers: number("watchers"),
-            slack: Time::from_ms(config.number("rpcs", "answer-slack")),
-            hints: Time::from_ms(config.number("workers", "keep-alive")),
-            hinted: config.value("fleet", "hints").is_some_and(|h| h == "yes"),
+            answer_slack: Time::from_ms(config.number("rpcs", "answer-slack")),
+            hint_lifetime: Time::from_ms(config.number("workers", "keep-alive")),
+            exchange_hints: config.value("fleet", "hints").is_some_and(|h| h == "yes"),
         };
         let (fleet_name, name) = (config.value("fleet", "name").unwrap_or(""), config.text("name"));
         let (peers, configured_instances) =
@@ -314,7 +314,7 @@
             seed,
         );
         if config.value("fleet", "directory").is_some() {
-            fleet.keep_directory(now, config.number("fleet", "directory") as u64);
+            fleet.enable_directory(now, config.number("fleet", "directory") as u64);
         }
         let snapshot_file = config.value("fleet", "snapshot").map(|file| {
             let path = config.resolve_path(file);
@@ -336,7 +336,11 @@
                 failed: false,
             }
         });
-        info!(address = local_address, run = format!("{:016x}", fleet.me().run.0), "fleet: peers may come");
+        info!(
+            address = local_address,
+            run = format!("{:016x}", fleet.own_id().run.0),
+            "fleet: peers may come"
+        );
         let bounds = LinkLimits {
             max_frame: MAX_FRAME_BYTES,
             max_outbox: (16 << 10, 4 << 20),
@@ -350,7 +354,8 @@
             event_tx: event_tx.clone(),
             tasks: tasks.clone(),
         };
-        let accepting = tokio::spawn(context.clone().accept(listener, limits.links)).abort_handle();
+        let accepting =
+            tokio::spawn(context.clone().accept(listener, limits.max_inbound_links)).abort_handle();
         let (outboxes, dials) = Default::default();
         let links = PeerLinks { context, outboxes, dials, wanted_list_connection, list_connection_number: 0 };
         Ok(Some((FleetMembership { fleet, links, snapshot: snapshot_file }, accepting)))
@@ -362,7 +367,7 @@
 
     /// Whether new work is held back after this process has been stalled.
     pub fn holds(&self, now: Time) -> bool {
-        self.fleet.holds(now)
+        self.fleet.is_holding(now)
     }
 
     /// Calls the fleet with a driver for the links to peers and the local engine.
@@ -379,7 +384,7 @@
 
     pub fn link_in(&mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, outbox: Outbox) {
         self.links.outboxes.insert(link, outbox);
-        self.call(now, engine, |fleet, driver| fleet.link_in(now, driver, link));
+        self.call(now, engine, |fleet, driver| fleet.link_accepted(now, driver, link));
     }
 
     pub fn link_up(&mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, outbox: Outbox) {
@@ -420,7 +425,7 @@
                 self.call(now, engine, |_, driver| driver.send(link, reply));
             }
             _ => {
-                self.call(now, engine, |me, driver| frames::read(me, now, driver, link, f))?;
+                self.call(now, engine, |me, driver| frames::dispatch(me, now, driver, link, f))?;
             }
         }
         Ok(())
@@ -430,7 +435,7 @@
     pub fn list_frame(
         &mut self, now: Time, engine: &mut Engine<GatewayDriver>, on: Option<LinkId>, f: &Frame,
     ) -> Result<(), WireError> {
-        self.call(now, engine, |me, driver| frames::read_list(me, now, driver, on, f)).map(drop)
+        self.call(now, engine, |me, driver| frames::dispatch_list(me, now, driver, on, f)).map(drop)
     }
 
     /// Passes on what the decision module observed of functions at workers, and the functions of newly accepted RPCs.
@@ -439,13 +444,13 @@
         observations: Vec<(WorkerId, FunctionId, Hint, u64)>,
     ) {
         for (worker, function, hint, held) in observations {
-            self.call(now, engine, |me, driver| me.saw(now, driver, worker, function, hint, held));
+            self.call(now, engine, |me, driver| me.observe(now, driver, worker, function, hint, held));
         }
         if self.fleet.directory().is_none() {
             return;
         }
         for function in engine.driver().wanted_functions.replace(BTreeSet::new()).into_iter().flatten() {
-            self.call(now, engine, |me, driver| me.wanted(now, driver, function));
+            self.call(now, engine, |me, driver| me.function_requested(now, driver, function));
         }
     }
 
@@ -460,7 +465,7 @@
     /// Writes a snapshot on a blocking thread if something has changed. Only one write runs at a time.
     pub fn save_snapshot(&mut self, now: Time) {
         let Some(file) = &mut self.snapshot else { return };
-        let (held, digest) = (self.fleet.book().held(), self.fleet.table().digest());
+        let (held, digest) = (self.fleet.endpoints().held(), self.fleet.members().digest());
         if file.writing.as_ref().is_some_and(|w| !w.is_finished()) {
             return;
         }
@@ -502,23 +507,24 @@
     /// The status text: this instance's view of the fleet.
     fn status(&self, now: Time) -> String {
         let (fleet, mut out) = (&self.fleet, String::new());
-        let (table, number) = (fleet.table(), fleet.number());
+        let (table, number) = (fleet.members(), fleet.instance_count());
         // Writing to a String cannot fail.
         let _ = writeln!(
             out,
             "{} run {:016x}: {} live, {} known, reckons with {} ({}), {} links, {} not reached, {} refused",
             self.links.context.name,
-            fleet.me().run.0,
-            table.living().count(),
+            fleet.own_id().run.0,
+            table.alive().count(),
             table.len(),
-            number.acted(),
-            if number.is_sure() { "sure" } else { "unsure" },
-            fleet.links(),
-            fleet.unheard(),
-            fleet.refusals(),
+            number.effective(),
+            if number.is_confirmed() { "sure" } else { "unsure" },
+            fleet.link_count(),
+            fleet.unreachable_count(),
+            fleet.refusal_count(),
         );
-        let (epoch, version) = fleet.book().held().unwrap_or_default();
-        let age = fleet.age(now).map_or("of unknown age".to_owned(), |a| format!("{:.0} ms old", a.ms()));
+        let (epoch, version) = fleet.endpoints().held().unwrap_or_default();
+        let age =
+            fleet.list_age(now).map_or("of unknown age".to_owned(), |a| format!("{:.0} ms old", a.ms()));
         let _ = writeln!(out, "{} hints of functions at workers", fleet.hints().len());
         if let Some(d) = fleet.directory() {
             let c = d.counts();
@@ -527,21 +533,22 @@
                 "directory: {} rows held, {} subscribers, {} links, {} questions, {} answers, {} unanswered, \
                  {} bytes sent, {} left out, {} passed over",
                 d.len(),
-                d.subscribers(),
-                fleet.ask_links(),
+                d.subscriber_count(),
+                fleet.directory_link_count(),
                 c.questions,
                 c.answers,
                 c.unanswered,
                 c.bytes,
-                c.left_out,
-                c.passed_over,
+                c.dropped,
+                c.ignored,
             );
         }
         let watching = if fleet.is_watching() { "watched from here" } else { "heard from peers" };
-        let _ = writeln!(out, "list {epoch}.{version}: {} workers, {age}, {watching}", fleet.book().len());
+        let _ =
+            writeln!(out, "list {epoch}.{version}: {} workers, {age}, {watching}", fleet.endpoints().len());
         let watchers = fleet.watchers();
         for (id, m) in table.iter() {
-            let s = m.standing;
+            let s = m.state;
             let state = match (s.left, s.dead, s.is_suspect()) {
                 (true, ..) => "left",
                 (_, true, _) => "given-up",
@@ -549,8 +556,8 @@
                 _ => "lives",
             };
             let watches = if watchers.contains(&id) { " watches" } else { "" };
-            let blind = if s.blind { " blind" } else { "" };
-            let since = (now - m.changed).ms() / 1000.0;
+            let blind = if s.list_service_lost { " blind" } else { "" };
+            let since = (now - m.changed_at).ms() / 1000.0;
             let _ = writeln!(
                 out,
                 "{} run {:016x} at {}: {state}{watches}{blind}, incarnation {}, for {since:.1} s",
