--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -342,7 +342,7 @@
             "fleet: peers may come"
         );
         let bounds = LinkLimits {
-            max_frame: MAX_FRAME_BYTES,
+            max_frame_bytes: MAX_FRAME_BYTES,
             max_outbox: (16 << 10, 4 << 20),
             hello_timeout: config.duration("connections", "hello-limit"),
             write_timeout: config.duration("connections", "write-limit"),
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -145,7 +145,7 @@
     };
     let http = http_listener.as_ref().and_then(|l| l.local_addr().ok());
     let bounds = LinkLimits {
-        max_frame: number("most-frame") as usize,
+        max_frame_bytes: number("most-frame") as usize,
         max_outbox: (number("outbox-frames") as usize, number("outbox") as usize),
         hello_timeout: config.duration("connections", "hello-limit"),
         write_timeout: config.duration("connections", "write-limit"),
@@ -187,8 +187,10 @@
     let (tasks, closing) = (TaskTracker::new(), CancellationToken::new());
     let max_clients = number("clients") as usize;
     // A client's frame must fit into a frame to a worker with the longer header of an attempt.
-    let client_bounds =
-        LinkLimits { max_frame: bounds.max_frame.saturating_sub(ATTEMPT_HEADER_MARGIN_BYTES), ..bounds };
+    let client_bounds = LinkLimits {
+        max_frame_bytes: bounds.max_frame_bytes.saturating_sub(ATTEMPT_HEADER_MARGIN_BYTES),
+        ..bounds
+    };
     let client_context = clients::ClientContext {
         name: name.clone(),
         bounds: client_bounds,
@@ -204,7 +206,7 @@
     if let Some(listener) = http_listener {
         let limits = Limits {
             connections: number("http-clients") as usize,
-            body_bytes: client_bounds.max_frame,
+            body_bytes: client_bounds.max_frame_bytes,
             receive_timeout: config.duration("connections", "http-slow"),
             header_bytes: number("http-head") as usize,
         };
--- a/crates/curlewpoint-link/src/link.rs
+++ b/crates/curlewpoint-link/src/link.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LinkLimits {
     /// The longest frame, in bytes.
-    pub max_frame: usize,
+    pub max_frame_bytes: usize,
     /// Frames and bytes that may wait to be written.
     pub max_outbox: (usize, usize),
     /// How long the peer may take for its hello.
@@ -31,7 +31,7 @@
 impl Default for LinkLimits {
     fn default() -> Self {
         LinkLimits {
-            max_frame: 17 << 20,
+            max_frame_bytes: 17 << 20,
             max_outbox: (1024, 32 << 20),
             hello_timeout: Duration::from_secs(2),
             write_timeout: Duration::from_secs(10),
@@ -112,7 +112,7 @@
     // A delay for the sake of fuller packets would add to every answer.
     stream.set_nodelay(true).map_err(WireError::from)?;
     let (read, write) = split(stream);
-    let mut reader = FramedRead::new(read, Codec { max_frame_bytes: bounds.max_frame });
+    let mut reader = FramedRead::new(read, Codec { max_frame_bytes: bounds.max_frame_bytes });
     let (outbox, writer) = spawn_writer(write, bounds);
     let hello = Frame::new(Kind::HELLO).int(Field::VERSION, VERSION).text(Field::INSTANCE, name);
     let _ = outbox.send(hello, None);
--- a/crates/curlewpoint-link/src/outbox.rs
+++ b/crates/curlewpoint-link/src/outbox.rs
@@ -60,7 +60,7 @@
 /// What an outbox holds: its front is gathered with those of others, its body may be written from where it lies.
 pub trait OutboxMessage: Send + 'static {
     fn encoded_len(&self) -> usize;
-    fn encode_head(&self, dst: &mut BytesMut);
+    fn encode_header(&self, dst: &mut BytesMut);
     fn body(&self) -> Bytes;
 }
 
@@ -69,7 +69,7 @@
         self.body.len() + self.header().len() + PREFIX_BYTES
     }
 
-    fn encode_head(&self, dst: &mut BytesMut) {
+    fn encode_header(&self, dst: &mut BytesMut) {
         Codec::encode_header(self, dst);
     }
 
@@ -84,7 +84,7 @@
         self.len()
     }
 
-    fn encode_head(&self, _dst: &mut BytesMut) {}
+    fn encode_header(&self, _dst: &mut BytesMut) {}
 
     fn body(&self) -> Bytes {
         self.clone()
@@ -231,7 +231,7 @@
                 continue;
             }
             starts.push(small.len());
-            frame.encode_head(&mut small);
+            frame.encode_header(&mut small);
             let body = frame.body();
             if body.len() < LARGE {
                 small.extend_from_slice(&body);
--- a/crates/curlewpoint-node/src/clients.rs
+++ b/crates/curlewpoint-node/src/clients.rs
@@ -165,7 +165,7 @@
 ) {
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let codec = CommandDecoder { max_words: 8, max_word_len: context.bounds.max_frame };
+    let codec = CommandDecoder { max_words: 8, max_word_len: context.bounds.max_frame_bytes };
     let mut reader = FramedRead::new(read, codec);
     // Neither an outbox nor state in the engine is allocated before the first command.
     let first_command_deadline = Instant::now() + 2 * SILENCE_INTERVAL;
--- a/crates/curlewpoint-node/src/clients/tests.rs
+++ b/crates/curlewpoint-node/src/clients/tests.rs
@@ -12,7 +12,7 @@
     let ((priority_tx, priority_rx), (command_tx, command_rx)) = (mpsc::channel(64), mpsc::channel(1));
     command_tx.try_send(Event::Stop).unwrap_or_default();
     let (shutdown, tasks, clock) = (CancellationToken::new(), TaskTracker::new(), Clock::start());
-    let bounds = LinkLimits { max_frame: 1024, ..LinkLimits::default() };
+    let bounds = LinkLimits { max_frame_bytes: 1024, ..LinkLimits::default() };
     tokio::spawn(accept(
         listener,
         max_clients,
--- a/crates/curlewpoint-node/src/scheduler.rs
+++ b/crates/curlewpoint-node/src/scheduler.rs
@@ -137,7 +137,7 @@
     let (priority_tx, priority_rx) = mpsc::channel(PRIORITY_CHANNEL_CAPACITY);
     let (command_tx, command_rx) = mpsc::channel(COMMAND_CHANNEL_CAPACITY);
     let bounds =
-        LinkLimits { max_frame: MAX_LINE_BYTES, max_outbox: (512, 1 << 20), ..LinkLimits::default() };
+        LinkLimits { max_frame_bytes: MAX_LINE_BYTES, max_outbox: (512, 1 << 20), ..LinkLimits::default() };
     let dial_timeout = Duration::from_millis(limit(&settings, "dialTimeout", 250));
     let dialer = Dialer { bounds, timeout: dial_timeout, event_tx: priority_tx.clone() };
     let limits = PoolLimits {
@@ -169,7 +169,7 @@
 
     let (tasks, shutdown) = (TaskTracker::new(), CancellationToken::new());
     let context = clients::ClientContext {
-        bounds: LinkLimits { max_frame: MAX_BODY_BYTES, ..bounds },
+        bounds: LinkLimits { max_frame_bytes: MAX_BODY_BYTES, ..bounds },
         clock,
         priority_tx: priority_tx.clone(),
         command_tx,
--- a/crates/curlewpoint-node/src/worker_line.rs
+++ b/crates/curlewpoint-node/src/worker_line.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    fn encode_head(&self, to: &mut BytesMut) {
+    fn encode_header(&self, to: &mut BytesMut) {
         match self {
             WorkerLine::Attempt { invoke, deadline, clock } => invoke.write(*deadline - clock.now(), to),
             WorkerLine::Encoded(line) => to.extend_from_slice(line),
--- a/crates/curlewpoint-node/src/workers.rs
+++ b/crates/curlewpoint-node/src/workers.rs
@@ -67,7 +67,7 @@
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
     let (outbox, mut writer) = spawn_writer::<WorkerLine>(write, bounds);
-    let mut reader = FramedRead::new(read, LineDecoder { max_len: bounds.max_frame, scanned: 0 });
+    let mut reader = FramedRead::new(read, LineDecoder { max_len: bounds.max_frame_bytes, scanned: 0 });
     if event_tx.send(Event::WorkerConnected(conn, outbox)).await.is_err() {
         return;
     }
