--- a/crates/curlewpoint-link/src/lib.rs
+++ b/crates/curlewpoint-link/src/lib.rs
@@ -1,22 +1,23 @@
-//! Connections that speak the native protocol: a hello each way, a bounded outbox, and exact word of what was begun.
+//! Connections that speak the native protocol: a handshake of hellos, a bounded outbox, and exact knowledge of which
+//! frames the kernel has taken a byte of.
 //!
-//! Whether an attempt may have run hangs on whether one byte of it was handed to the kernel. A [`Ticket`] goes with
-//! each frame for which that matters: whoever waits may take it back until the writer has begun it, and never after.
+//! An attempt may have run once a single byte of it was handed to the kernel. Each frame for which that matters has a
+//! [`Ticket`]: its sender can withdraw the frame until the writer has begun it, and never after.
 
-mod ahead;
 mod clock;
-mod ending;
+mod event_queue;
 mod link;
 mod metrics;
 mod outbox;
+mod read_ahead;
+mod socket;
 mod stream;
-mod turn;
 
-pub use ahead::{next_if_ready, now_or_never, ReadAhead};
 pub use clock::Clock;
-pub use ending::{dial, is_local_error, is_transient_accept_error, linger, LINGER_LIMITS};
+pub use event_queue::EventQueue;
 pub use link::{handshake, listen, listen_with_retry, spawn_writer, Link, LinkError, LinkLimits, Reader};
 pub use metrics::{Counter, Metrics, METRICS};
 pub use outbox::{Outbox, OutboxMessage, SendError, Ticket, SLOW_FRAME_MS};
+pub use read_ahead::{next_if_ready, now_or_never, ReadAhead};
+pub use socket::{dial, is_local_error, is_transient_accept_error, linger, LINGER_LIMITS};
 pub use stream::{split, ReadHalf, WriteHalf};
-pub use turn::EventQueue;
--- a/crates/curlewpoint-link/src/link.rs
+++ b/crates/curlewpoint-link/src/link.rs
@@ -10,21 +10,21 @@
 use tokio_util::codec::FramedRead;
 use tracing::Instrument;
 
-use crate::ending::{is_local_error, linger, LINGER_LIMITS};
 use crate::metrics::METRICS;
 use crate::outbox::{write_all, Outbox, OutboxMessage};
+use crate::socket::{is_local_error, linger, LINGER_LIMITS};
 use crate::stream::{split, ReadHalf, WriteHalf};
 
-/// What a connection may take.
+/// Limits of one connection.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkLimits {
-    /// The longest frame, in bytes.
+    /// The longest frame that is accepted, in bytes.
     pub max_frame_bytes: usize,
     /// Frames and bytes that may wait to be written.
     pub max_outbox: (usize, usize),
-    /// How long the peer may take for its hello.
+    /// Time within which the peer has to send its hello.
     pub hello_timeout: Duration,
-    /// A peer that takes not a byte for so long is cut off.
+    /// A connection is closed if the peer accepts no byte for this long.
     pub write_timeout: Duration,
 }
 
@@ -55,24 +55,24 @@
     Ended,
 }
 
-/// Frames as they come; `next` loses nothing when its wait is cancelled.
+/// The frames of a connection in order of arrival. Cancelling `next` while it waits loses nothing.
 pub type Reader = FramedRead<ReadHalf, Codec>;
 
-/// A connection after both hellos.
+/// A connection after the handshake.
 pub struct Link {
-    /// What the peer calls itself.
+    /// The instance name that the peer gave in its hello.
     pub peer: String,
     pub outbox: Outbox,
     pub reader: Reader,
-    /// Ends when all is written after the last outbox was dropped, or when the connection breaks.
+    /// Ends once everything is written after the last outbox was dropped, or when the connection breaks.
     pub writer: JoinHandle<std::io::Result<()>>,
 }
 
-/// The system's own limit holds where it is lower.
+/// Accept backlog; the system's own limit applies if it is lower.
 const BACKLOG: u32 = 16_384;
 
-/// Listens with as long a queue as the system allows: where it overflows, clients that come at once wait a second each
-/// for their next try.
+/// Listens with the longest accept queue that the system allows: if it overflows, clients that connect at the same
+/// time wait a second before TCP retries.
 pub fn listen(address: &str) -> std::io::Result<TcpListener> {
     let address: SocketAddr = address.parse().map_err(std::io::Error::other)?;
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
@@ -81,44 +81,45 @@
     socket.listen(BACKLOG)
 }
 
-/// Tries to listen, and the pause between them, where something on this side lacks for a moment.
-const LISTEN_TRIES: u32 = 50;
-const LISTEN_PAUSE: Duration = Duration::from_millis(20);
+/// Attempts to listen while they fail with a local error, and the pause between them.
+const LISTEN_ATTEMPTS: u32 = 50;
+const LISTEN_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// The same, tried again where something on this side lacks for a moment: a start does not fail for it.
+/// Like [`listen`], but retries local errors for a second, so that a passing shortage does not fail a start.
 pub async fn listen_with_retry(address: &str) -> std::io::Result<TcpListener> {
-    for _ in 1..LISTEN_TRIES {
+    for _ in 1..LISTEN_ATTEMPTS {
         match listen(address) {
-            Err(why) if is_local_error(&why) => {
+            Err(error) if is_local_error(&error) => {
                 METRICS.local_errors.add(1);
-                sleep(LISTEN_PAUSE).await;
+                sleep(LISTEN_RETRY_PAUSE).await;
             }
-            done => return done,
+            result => return result,
         }
     }
     listen(address)
 }
 
-/// The outbox of a connection, whatever is spoken on it, and the task that writes.
+/// Starts the task that writes to a connection, for any protocol, and returns its outbox and handle.
 pub fn spawn_writer<P: OutboxMessage>(
-    write: WriteHalf, bounds: LinkLimits,
+    write: WriteHalf, limits: LinkLimits,
 ) -> (Outbox<P>, JoinHandle<std::io::Result<()>>) {
-    let (outbox, inside) = Outbox::new(bounds.max_outbox.0, bounds.max_outbox.1);
-    (outbox, tokio::spawn(write_all(inside, write, bounds.write_timeout).in_current_span()))
+    let (outbox, receiver) = Outbox::new(limits.max_outbox.0, limits.max_outbox.1);
+    (outbox, tokio::spawn(write_all(receiver, write, limits.write_timeout).in_current_span()))
 }
 
-/// Says hello on a new connection and waits for the peer's. A peer of another version is told so.
-pub async fn handshake(stream: TcpStream, name: &str, bounds: LinkLimits) -> Result<Link, LinkError> {
-    // A delay for the sake of fuller packets would add to every answer.
+/// Sends a hello on a new connection and waits for the peer's. If it fails, as for another protocol version, the peer
+/// is sent the reason in a FAULT frame.
+pub async fn handshake(stream: TcpStream, name: &str, limits: LinkLimits) -> Result<Link, LinkError> {
+    // Nagle's algorithm would delay every answer.
     stream.set_nodelay(true).map_err(WireError::from)?;
     let (read, write) = split(stream);
-    let mut reader = FramedRead::new(read, Codec { max_frame_bytes: bounds.max_frame_bytes });
-    let (outbox, writer) = spawn_writer(write, bounds);
+    let mut reader = FramedRead::new(read, Codec { max_frame_bytes: limits.max_frame_bytes });
+    let (outbox, writer) = spawn_writer(write, limits);
     let hello = Frame::new(Kind::HELLO).int(Field::VERSION, VERSION).text(Field::INSTANCE, name);
     let _ = outbox.send(hello, None);
-    let first = tokio::time::timeout(bounds.hello_timeout, reader.next()).await;
-    let told = match first {
-        Err(_) => Err(LinkError::NoHello(bounds.hello_timeout)),
+    let first = tokio::time::timeout(limits.hello_timeout, reader.next()).await;
+    let peer = match first {
+        Err(_) => Err(LinkError::NoHello(limits.hello_timeout)),
         Ok(None) => Err(LinkError::Ended),
         Ok(Some(Err(e))) => Err(e.into()),
         Ok(Some(Ok(f))) if f.kind == Kind::FAULT => {
@@ -131,17 +132,18 @@
             Err(e) => Err(e.into()),
         },
     };
-    match told {
+    match peer {
         Ok(peer) => Ok(Link { peer, outbox, reader, writer }),
-        Err(why) => {
-            let _ = outbox.send(Frame::new(Kind::FAULT).text(Field::REASON, &why.to_string()), None);
+        Err(error) => {
+            let _ = outbox.send(Frame::new(Kind::FAULT).text(Field::REASON, &error.to_string()), None);
             drop(outbox);
-            // Flushed and shut, then read to its end: a peer that sends on would not read why else.
+            // Flush, shut down, then read to the end: otherwise a peer that is still sending may get a reset instead
+            // of the FAULT frame.
             tokio::spawn(async move {
                 let _ = writer.await;
                 linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
             });
-            Err(why)
+            Err(error)
         }
     }
 }
--- a/crates/curlewpoint-link/src/metrics.rs
+++ b/crates/curlewpoint-link/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Counters of what happens at sockets, one set a process: told when it is asked for and when it ends.
+//! Process-wide counters of socket events, logged on request and at exit.
 
 use std::fmt::{Display, Formatter, Result};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// A number that only grows.
+/// A number that never decreases.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
@@ -12,17 +12,17 @@
         Counter(AtomicU64::new(0))
     }
 
-    pub fn add(&self, more: u64) {
-        self.0.fetch_add(more, Relaxed);
+    pub fn add(&self, amount: u64) {
+        self.0.fetch_add(amount, Relaxed);
     }
 
-    /// Raises a counter that keeps the largest value seen.
+    /// Raises the counter to `value` if it is lower, for counters that hold a maximum.
     pub fn raise_to(&self, value: u64) {
         self.0.fetch_max(value, Relaxed);
     }
 
-    /// Adds one; true where that is the first.
-    pub fn is_first(&self) -> bool {
+    /// Adds one and returns whether this was the first.
+    pub fn add_is_first(&self) -> bool {
         self.0.fetch_add(1, Relaxed) == 0
     }
 
@@ -31,20 +31,20 @@
     }
 }
 
-/// What this process's connections have met.
+/// Events on all connections of this process.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Reads and writes that a signal interrupted, made again.
+    /// Reads and writes that were interrupted by a signal and retried.
     pub interrupted: Counter,
-    /// Writes of which the kernel took a part only.
+    /// Writes that the kernel accepted only in part.
     pub short_writes: Counter,
-    /// Frames that took longer than [`SLOW_FRAME_MS`](crate::SLOW_FRAME_MS) from their first byte to their last.
+    /// Frames that took longer than [`SLOW_FRAME_MS`](crate::SLOW_FRAME_MS) to write, from first byte to last.
     pub slow_frames: Counter,
-    /// The longest that a frame took from its first byte to its last, in milliseconds.
+    /// The longest time that a frame took to write, from first byte to last, in milliseconds.
     pub slowest_frame_ms: Counter,
-    /// Frames that nobody waited for any more when a part of them was written: their connections were closed.
+    /// Frames that were abandoned when partly written; their connections were closed.
     pub frames_cut: Counter,
-    /// Connections, sockets and accepts that failed for want of something on this side, and were tried again.
+    /// Dials, listens and accepts that failed with a local or transient error and were retried.
     pub local_errors: Counter,
 }
 
--- a/crates/curlewpoint-link/src/outbox.rs
+++ b/crates/curlewpoint-link/src/outbox.rs
@@ -16,48 +16,53 @@
 
 use crate::metrics::METRICS;
 
+// States of a ticket.
 const QUEUED: u8 = 0;
+/// The kernel may have a byte of the frame.
 const BEGUN: u8 = 1;
-const TAKEN_BACK: u8 = 2;
-/// Taken back while it was being handed to the kernel: nobody waits for it, and it may have been begun.
-const UNWANTED: u8 = 3;
+const WITHDRAWN: u8 = 2;
+/// Withdrawn too late: the frame may have been begun, and its sender no longer wants it.
+const ABANDONED: u8 = 3;
 
-/// Follows one frame: queued, begun (a byte of it may have been handed to the kernel) or taken back.
+/// The state of one frame, shared by its sender and the writer.
 #[derive(Clone, Debug, Default)]
 pub struct Ticket(Arc<AtomicU8>);
 
 impl Ticket {
-    fn step(&self, from: u8, to: u8) -> bool {
+    fn transition(&self, from: u8, to: u8) -> bool {
         self.0.compare_exchange(from, to, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// True: not one byte was, or ever will be, handed to the kernel.
+    /// Withdraws the frame. Returns true if no byte of it was or will be handed to the kernel; otherwise the writer
+    /// abandons what is left of it.
     pub fn withdraw(&self) -> bool {
-        let back = self.step(QUEUED, TAKEN_BACK) || self.0.load(Ordering::Acquire) == TAKEN_BACK;
-        if !back {
-            self.step(BEGUN, UNWANTED);
+        let withdrawn = self.transition(QUEUED, WITHDRAWN) || self.0.load(Ordering::Acquire) == WITHDRAWN;
+        if !withdrawn {
+            self.transition(BEGUN, ABANDONED);
         }
-        back
+        withdrawn
     }
 
-    /// The same for one that may finish once it is begun: true, or false with nothing changed.
+    /// Like [`Ticket::withdraw`], but a frame that was begun is left to finish.
     pub fn withdraw_if_queued(&self) -> bool {
-        self.step(QUEUED, TAKEN_BACK) || self.0.load(Ordering::Acquire) == TAKEN_BACK
+        self.transition(QUEUED, WITHDRAWN) || self.0.load(Ordering::Acquire) == WITHDRAWN
     }
 
-    fn is_unwanted(&self) -> bool {
-        self.0.load(Ordering::Acquire) == UNWANTED
+    fn is_abandoned(&self) -> bool {
+        self.0.load(Ordering::Acquire) == ABANDONED
     }
 
-    /// Not a byte of it was taken after all: it is queued again, or dropped where nobody waits for it any more.
-    fn unbegin(&self) {
-        if !self.step(BEGUN, QUEUED) {
-            self.step(UNWANTED, TAKEN_BACK);
+    /// Reverts a frame of which the kernel took no byte: it is queued again, or withdrawn if it was abandoned
+    /// meanwhile.
+    fn revert_to_queued(&self) {
+        if !self.transition(BEGUN, QUEUED) {
+            self.transition(ABANDONED, WITHDRAWN);
         }
     }
 }
 
-/// What an outbox holds: its front is gathered with those of others, its body may be written from where it lies.
+/// A message that an outbox can hold. Heads are copied into a shared write buffer; a large body is written without a
+/// copy.
 pub trait OutboxMessage: Send + 'static {
     fn encoded_len(&self) -> usize;
     fn encode_header(&self, dst: &mut BytesMut);
@@ -78,7 +83,7 @@
     }
 }
 
-/// Bytes of another protocol, already as they are to be written.
+/// Encoded bytes of another protocol.
 impl OutboxMessage for Bytes {
     fn encoded_len(&self) -> usize {
         self.len()
@@ -91,43 +96,43 @@
     }
 }
 
-struct Item<P> {
+struct QueuedFrame<P> {
     frame: P,
     ticket: Option<Ticket>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SendError {
-    /// The peer does not read as fast as it is written to.
+    /// The limit in frames or in bytes is reached, as when the peer reads too slowly.
     Full,
     Closed,
 }
 
-/// What waits to be written on a connection, bounded in frames and in bytes. Dropping the last one ends the
-/// connection once all is written.
+/// The sending side of a connection's write queue, bounded in frames and in bytes. Dropping the last clone ends the
+/// connection once everything is written.
 #[derive(Clone, Debug)]
 pub struct Outbox<P = Frame> {
-    items: mpsc::Sender<Item<P>>,
+    queue: mpsc::Sender<QueuedFrame<P>>,
     bytes: Arc<AtomicUsize>,
-    most_bytes: usize,
+    max_bytes: usize,
 }
 
 impl<P: OutboxMessage> Outbox<P> {
-    pub(crate) fn new(most_frames: usize, most_bytes: usize) -> (Outbox<P>, Inside<P>) {
-        let (items, taken) = mpsc::channel(most_frames);
+    pub(crate) fn new(max_frames: usize, max_bytes: usize) -> (Outbox<P>, OutboxReceiver<P>) {
+        let (queue, frames) = mpsc::channel(max_frames);
         let bytes = Arc::new(AtomicUsize::new(0));
-        (Outbox { items, bytes: Arc::clone(&bytes), most_bytes }, Inside { taken, bytes })
+        (Outbox { queue, bytes: Arc::clone(&bytes), max_bytes }, OutboxReceiver { frames, bytes })
     }
 
-    /// Queues a frame. One frame is taken whatever its size while nothing else waits.
+    /// Queues a frame. An empty outbox accepts one frame of any size.
     pub fn send(&self, frame: P, ticket: Option<Ticket>) -> Result<(), SendError> {
         let size = frame.encoded_len();
         let before = self.bytes.fetch_add(size, Ordering::AcqRel);
-        if before > 0 && before + size > self.most_bytes {
+        if before > 0 && before + size > self.max_bytes {
             self.bytes.fetch_sub(size, Ordering::AcqRel);
             return Err(SendError::Full);
         }
-        self.items.try_send(Item { frame, ticket }).map_err(|e| {
+        self.queue.try_send(QueuedFrame { frame, ticket }).map_err(|e| {
             self.bytes.fetch_sub(size, Ordering::AcqRel);
             match e {
                 mpsc::error::TrySendError::Full(_) => SendError::Full,
@@ -138,31 +143,32 @@
 }
 
 /// The writer's side of an outbox.
-pub(crate) struct Inside<P> {
-    taken: mpsc::Receiver<Item<P>>,
+pub(crate) struct OutboxReceiver<P> {
+    frames: mpsc::Receiver<QueuedFrame<P>>,
     bytes: Arc<AtomicUsize>,
 }
 
-/// Frames are gathered up to this size for one write; a larger body is written from where it lies.
-const BATCH: usize = 64 * 1024;
-const LARGE: usize = 16 * 1024;
+/// Frames are gathered into one write up to this many bytes.
+const BATCH_BYTES: usize = 64 * 1024;
+/// Bodies of at least this many bytes are written without being copied into the batch.
+const LARGE_BODY_BYTES: usize = 16 * 1024;
 
-/// From its first byte to its last a frame takes as long as one write, unless the peer reads too slowly. Longer than this is
-/// logged, as what was due to go out by then has not.
+/// A frame that takes longer to write than this, from first byte to last, is counted and logged. Usually one write
+/// takes the whole frame; a longer time means that the peer reads too slowly and later frames are delayed.
 pub const SLOW_FRAME_MS: u64 = 100;
 
-/// Counts a write of which the kernel took a part only; the first is logged.
-fn note_short_write(taken: usize, of: usize) {
-    if taken < of && METRICS.short_writes.is_first() {
-        info!(taken, of, "a write was cut short, said once");
+/// Counts a write that the kernel accepted only in part; the first one is logged.
+fn count_short_write(taken: usize, of: usize) {
+    if taken < of && METRICS.short_writes.add_is_first() {
+        info!(taken, of, "short write: the kernel accepted only a part; logged once");
     }
 }
 
-/// What the writer has taken out of its outbox.
-struct Taken<P> {
-    /// Not begun: each may still be taken back, however long the peer takes nothing.
-    queued: VecDeque<Item<P>>,
-    /// What is left of the one frame that was begun and not finished, and what its outbox counts it for.
+/// Frames that the writer has taken from its outbox and not yet written.
+struct WriteState<P> {
+    /// Frames not begun; each can still be withdrawn, however long the peer accepts nothing.
+    queued: VecDeque<QueuedFrame<P>>,
+    /// The unwritten rest of the one frame that was begun, and the bytes for which its outbox counts the whole frame.
     rest: VecDeque<Bytes>,
     rest_size: usize,
     /// When the first byte of that frame was written, and its ticket.
@@ -170,13 +176,19 @@
     rest_ticket: Option<Ticket>,
 }
 
-impl<P: OutboxMessage> Taken<P> {
-    fn new() -> Taken<P> {
-        Taken { queued: VecDeque::new(), rest: VecDeque::new(), rest_size: 0, begun: None, rest_ticket: None }
+impl<P: OutboxMessage> WriteState<P> {
+    fn new() -> WriteState<P> {
+        WriteState {
+            queued: VecDeque::new(),
+            rest: VecDeque::new(),
+            rest_size: 0,
+            begun: None,
+            rest_ticket: None,
+        }
     }
 
-    /// Notes that a frame is written in part, or no frame is any more.
-    fn note_progress(&mut self) {
+    /// Starts the timer of a frame that is partly written, or evaluates it once the frame is complete.
+    fn track_frame_time(&mut self) {
         if !self.rest.is_empty() {
             self.begun.get_or_insert_with(Instant::now);
             return;
@@ -186,7 +198,7 @@
         METRICS.slowest_frame_ms.raise_to(took);
         if took > SLOW_FRAME_MS {
             METRICS.slow_frames.add(1);
-            info!(took, "a frame was written in part for so many milliseconds");
+            info!(took, "slow frame write: milliseconds from first byte to last");
         }
     }
 
@@ -194,83 +206,84 @@
         self.queued.is_empty() && self.rest.is_empty()
     }
 
-    /// Hands bytes to the kernel once. A frame counts as begun only while the kernel is asked to take it, and where a
-    /// byte of it was taken; what it took nothing of is queued again. Guards against frames that were gathered for a peer
-    /// that takes nothing: they would go out long after whoever sent them had gone, or after a worker's drain. For the same
-    /// reason the rest of a frame that nobody waits for any more is not written: nothing can follow it, and the connection ends.
+    /// Hands bytes to the kernel once. A frame counts as begun only during the write call, and afterwards if the
+    /// kernel took a byte of it; frames of which it took none are queued again. Otherwise frames gathered for a peer
+    /// that accepts nothing could no longer be withdrawn, and would go out long after their sender had gone or the
+    /// worker had drained. For the same reason the rest of an abandoned frame is not written; as no other frame can
+    /// follow a partial one, the connection is closed.
     fn poll_write(
-        &mut self, inside: &mut Inside<P>, to: Pin<&mut impl AsyncWrite>, cx: &mut Context<'_>,
+        &mut self, receiver: &mut OutboxReceiver<P>, to: Pin<&mut impl AsyncWrite>, cx: &mut Context<'_>,
     ) -> Poll<std::io::Result<()>> {
-        let freed = |size| inside.bytes.fetch_sub(size, Ordering::AcqRel);
-        if !self.rest.is_empty() && self.rest_ticket.as_ref().is_some_and(Ticket::is_unwanted) {
+        let release = |size| receiver.bytes.fetch_sub(size, Ordering::AcqRel);
+        if !self.rest.is_empty() && self.rest_ticket.as_ref().is_some_and(Ticket::is_abandoned) {
             METRICS.frames_cut.add(1);
             return Poll::Ready(Err(ErrorKind::ConnectionAborted.into()));
         }
         if let Some(part) = self.rest.front_mut() {
             let n = ready!(to.poll_write(cx, part))?;
-            note_short_write(n, part.len());
+            count_short_write(n, part.len());
             part.advance(n);
             if part.is_empty() {
                 self.rest.pop_front();
             }
             if self.rest.is_empty() {
-                freed(std::mem::take(&mut self.rest_size));
+                release(std::mem::take(&mut self.rest_size));
             }
             return Poll::Ready(if n > 0 { Ok(()) } else { Err(ErrorKind::WriteZero.into()) });
         }
-        let (mut small, mut starts, mut large) = (BytesMut::new(), Vec::new(), None);
-        while small.len() < BATCH && large.is_none() {
+        let (mut batch, mut starts, mut large_body) = (BytesMut::new(), Vec::new(), None);
+        while batch.len() < BATCH_BYTES && large_body.is_none() {
             if self.queued.len() == starts.len() {
-                let Ok(more) = inside.taken.try_recv() else { break };
-                self.queued.push_back(more);
+                let Ok(next) = receiver.frames.try_recv() else { break };
+                self.queued.push_back(next);
             }
-            let Item { frame, ticket } = &self.queued[starts.len()];
-            if ticket.as_ref().is_some_and(|t| !t.step(QUEUED, BEGUN)) {
-                freed(frame.encoded_len());
+            let QueuedFrame { frame, ticket } = &self.queued[starts.len()];
+            if ticket.as_ref().is_some_and(|t| !t.transition(QUEUED, BEGUN)) {
+                release(frame.encoded_len());
                 self.queued.remove(starts.len());
                 continue;
             }
-            starts.push(small.len());
-            frame.encode_header(&mut small);
+            starts.push(batch.len());
+            frame.encode_header(&mut batch);
             let body = frame.body();
-            if body.len() < LARGE {
-                small.extend_from_slice(&body);
+            if body.len() < LARGE_BODY_BYTES {
+                batch.extend_from_slice(&body);
             } else {
-                large = Some(body);
+                large_body = Some(body);
             }
         }
         if starts.is_empty() {
             return Poll::Ready(Ok(()));
         }
-        // A large body without a front, as of bytes that are already as they are to be written, goes by itself.
-        let alone = if small.is_empty() { large.take() } else { None };
-        let small = alone.unwrap_or_else(|| small.freeze());
-        let asked = to.poll_write(cx, &small);
-        let n = match &asked {
+        // A large body without a head, as of another protocol's encoded bytes, is written by itself.
+        let body_only = if batch.is_empty() { large_body.take() } else { None };
+        let batch = body_only.unwrap_or_else(|| batch.freeze());
+        let written = to.poll_write(cx, &batch);
+        let n = match &written {
             Poll::Ready(Ok(n)) => *n,
             _ => 0,
         };
-        if matches!(asked, Poll::Ready(Ok(_))) {
-            note_short_write(n, small.len());
+        if matches!(written, Poll::Ready(Ok(_))) {
+            count_short_write(n, batch.len());
         }
-        for (start, item) in starts.iter().zip(&self.queued) {
+        for (start, queued) in starts.iter().zip(&self.queued) {
             if *start >= n {
-                item.ticket.iter().for_each(Ticket::unbegin);
+                queued.ticket.iter().for_each(Ticket::revert_to_queued);
             }
         }
-        for (no, _) in starts.iter().enumerate().take_while(|(_, start)| **start < n) {
-            let Some(Item { frame, ticket }) = self.queued.pop_front() else { break };
+        for (index, _) in starts.iter().enumerate().take_while(|(_, start)| **start < n) {
+            let Some(QueuedFrame { frame, ticket }) = self.queued.pop_front() else { break };
             let size = frame.encoded_len();
-            let end = starts.get(no + 1).copied().unwrap_or(small.len());
-            let body = large.take_if(|_| no + 1 == starts.len());
-            self.rest.extend((n < end).then(|| small.slice(n..end)).into_iter().chain(body));
+            let end = starts.get(index + 1).copied().unwrap_or(batch.len());
+            let body = large_body.take_if(|_| index + 1 == starts.len());
+            self.rest.extend((n < end).then(|| batch.slice(n..end)).into_iter().chain(body));
             if self.rest.is_empty() {
-                freed(size);
+                release(size);
             } else {
                 (self.rest_size, self.rest_ticket) = (size, ticket);
             }
         }
-        match ready!(asked) {
+        match ready!(written) {
             Ok(0) => Poll::Ready(Err(ErrorKind::WriteZero.into())),
             Ok(_) => Poll::Ready(Ok(())),
             Err(e) => Poll::Ready(Err(e)),
@@ -278,23 +291,23 @@
     }
 }
 
-/// Writes until the outbox is dropped or the connection breaks. After that the tickets of frames that had no byte
-/// written can be taken back.
+/// Writes until the outbox is dropped or the connection breaks. After that, frames of which no byte was written can
+/// still be withdrawn.
 pub(crate) async fn write_all<P: OutboxMessage>(
-    mut inside: Inside<P>, mut to: impl AsyncWrite + Unpin, limit: Duration,
+    mut receiver: OutboxReceiver<P>, mut to: impl AsyncWrite + Unpin, limit: Duration,
 ) -> std::io::Result<()> {
-    let mut taken = Taken::new();
+    let mut state = WriteState::new();
     loop {
-        if taken.is_empty() {
-            let Some(first) = inside.taken.recv().await else { return to.shutdown().await };
-            taken.queued.push_back(first);
+        if state.is_empty() {
+            let Some(first) = receiver.frames.recv().await else { return to.shutdown().await };
+            state.queued.push_back(first);
         }
-        let write = poll_fn(|cx| taken.poll_write(&mut inside, Pin::new(&mut to), cx));
-        if let Err(why) = timeout(limit, write).await.unwrap_or(Err(ErrorKind::TimedOut.into())) {
-            inside.taken.close();
-            return Err(why);
+        let write = poll_fn(|cx| state.poll_write(&mut receiver, Pin::new(&mut to), cx));
+        if let Err(error) = timeout(limit, write).await.unwrap_or(Err(ErrorKind::TimedOut.into())) {
+            receiver.frames.close();
+            return Err(error);
         }
-        taken.note_progress();
+        state.track_frame_time();
     }
 }
 
--- a/crates/curlewpoint-link/src/stream.rs
+++ b/crates/curlewpoint-link/src/stream.rs
@@ -1,8 +1,8 @@
-//! The two halves of a TCP connection, on which a call that is interrupted or cut short says nothing of what comes next.
+//! The read and write halves of a TCP connection, which draw no conclusion from a short or interrupted call.
 //!
-//! tokio's own halves take a read or write cut short as proof that the socket has no more to give or take, and wait for the
-//! driver's next event; where the call was cut short for another reason that event may never come. Here readiness is given up
-//! only when the kernel says `EWOULDBLOCK`. And a call interrupted by a signal is made again.
+//! tokio's own halves take a short read or write as proof that the socket is drained or full, and wait for the I/O
+//! driver's next event. If the call was short for another reason, that event may never come. These halves give up
+//! readiness only when the kernel returns `EWOULDBLOCK`, and retry a call that was interrupted by a signal.
 
 use std::io::{ErrorKind, Result};
 use std::pin::Pin;
@@ -16,38 +16,38 @@
 
 use crate::metrics::METRICS;
 
-/// A call interrupted so often in a row is made again only after other tasks had their turn.
-const MOST_INTERRUPTS: usize = 16;
+/// Attempts at a call within one poll; after that the task yields, so that other tasks can run.
+const MAX_CALLS_PER_POLL: usize = 16;
 
-/// The half that reads.
+/// The read half.
 #[derive(Debug)]
 pub struct ReadHalf(Arc<TcpStream>);
 
-/// The half that writes; dropping it shuts down that direction.
+/// The write half; dropping it shuts down that direction.
 #[derive(Debug)]
 pub struct WriteHalf(Arc<TcpStream>);
 
-/// Splits a connection into its two halves.
+/// Splits a connection into its read and write halves.
 pub fn split(stream: TcpStream) -> (ReadHalf, WriteHalf) {
     let stream = Arc::new(stream);
     (ReadHalf(Arc::clone(&stream)), WriteHalf(stream))
 }
 
-/// Makes a call until it is neither interrupted nor would block.
-fn persist<T>(
+/// Repeats a call until it neither is interrupted nor would block.
+fn retry_call<T>(
     cx: &mut Context<'_>, mut ready: impl FnMut(&mut Context<'_>) -> Poll<Result<()>>,
     mut call: impl FnMut() -> Result<T>,
 ) -> Poll<Result<T>> {
-    for _ in 0..MOST_INTERRUPTS {
+    for _ in 0..MAX_CALLS_PER_POLL {
         ready!(ready(cx))?;
         match call() {
-            Err(why) if why.kind() == ErrorKind::Interrupted => {
-                if METRICS.interrupted.is_first() {
-                    info!("a read or write was interrupted, said once");
+            Err(error) if error.kind() == ErrorKind::Interrupted => {
+                if METRICS.interrupted.add_is_first() {
+                    info!("a read or write was interrupted by a signal; logged once");
                 }
             }
-            Err(why) if why.kind() == ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            result => return Poll::Ready(result),
         }
     }
     cx.waker().wake_by_ref();
@@ -61,7 +61,7 @@
         }
         let stream = &self.0;
         let read =
-            persist(cx, |cx| stream.poll_read_ready(cx), || stream.try_read(buf.initialize_unfilled()));
+            retry_call(cx, |cx| stream.poll_read_ready(cx), || stream.try_read(buf.initialize_unfilled()));
         let n = ready!(read)?;
         buf.advance(n);
         Poll::Ready(Ok(()))
@@ -71,7 +71,7 @@
 impl AsyncWrite for WriteHalf {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
         let stream = &self.0;
-        persist(cx, |cx| stream.poll_write_ready(cx), || stream.try_write(bytes))
+        retry_call(cx, |cx| stream.poll_write_ready(cx), || stream.try_write(bytes))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<Result<()>> {
--- a/crates/curlewpoint-link/tests/ahead.rs
+++ b/crates/curlewpoint-link/tests/read_ahead.rs
@@ -1,9 +1,9 @@
-//! What is read ahead of the one task that owns a scheduler.
+//! The queue of messages read ahead of the task that owns a scheduler.
 
 use curlewpoint_link::{now_or_never, ReadAhead};
 
 #[test]
-fn what_is_read_ahead_is_bounded_in_number_and_in_bytes() {
+fn reading_ahead_is_bounded_in_number_and_in_bytes() {
     for (size, count) in [(1, 64), (16, 2), (100, 1)] {
         let mut ahead = ReadAhead::new((64, 32));
         let mut pushed = 0;
@@ -18,22 +18,22 @@
 }
 
 #[test]
-fn the_last_one_is_withdrawn_and_gives_its_bytes_back() {
+fn removing_the_last_match_releases_its_bytes() {
     let mut ahead = ReadAhead::new((8, 4));
-    for (what, no) in [("a", 1), ("b", 2), ("a", 1)] {
-        ahead.push((what, no), no);
+    for (name, bytes) in [("a", 1), ("b", 2), ("a", 1)] {
+        ahead.push((name, bytes), bytes);
     }
     assert!(!ahead.has_room());
-    assert_eq!(ahead.remove_last(|(what, _)| *what == "a"), Some(("a", 1)));
-    assert!(ahead.has_room() && ahead.remove_last(|(what, _)| *what == "c").is_none());
+    assert_eq!(ahead.remove_last(|(name, _)| *name == "a"), Some(("a", 1)));
+    assert!(ahead.has_room() && ahead.remove_last(|(name, _)| *name == "c").is_none());
     assert_eq!(ahead.iter().collect::<Vec<_>>(), [&("a", 1), &("b", 2)]);
 }
 
-/// Guards against a look that waits for a tick of the timers: here their clock stands still.
+/// Guards against a poll that waits for a tick of the timer: in this test the timer's clock is paused.
 #[tokio::test(start_paused = true)]
-async fn a_look_at_what_is_there_takes_no_time() {
-    let begun = tokio::time::Instant::now();
+async fn now_or_never_does_not_wait_for_the_timer() {
+    let started = tokio::time::Instant::now();
     assert_eq!(now_or_never(std::future::pending::<()>()).await, None);
     assert_eq!(now_or_never(async { 7 }).await, Some(7));
-    assert_eq!(begun.elapsed(), std::time::Duration::ZERO);
+    assert_eq!(started.elapsed(), std::time::Duration::ZERO);
 }
