--- a/crates/curlewpoint-engine/benches/held.rs
+++ b/crates/curlewpoint-engine/benches/open_rpcs.rs
@@ -1,4 +1,4 @@
-//! What an open RPC costs the engine: memory beyond its body, and time for an RPC beside many that are open.
+//! The cost of open RPCs: memory per RPC beyond its body, and the time for a further RPC while many are open.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -8,17 +8,17 @@
 use curlewpoint_engine::{Answer, ClientId, Engine, EngineDriver, RequestId, UpstreamRequest};
 use serde_json::json;
 
-/// Keeps the last attempt, and ends nothing by itself.
+/// A driver that records the last attempt and ends no request by itself.
 #[derive(Default)]
-struct Quiet {
-    last: Option<RequestId>,
-    ended: VecDeque<(RequestId, Outcome)>,
+struct NullDriver {
+    last_attempt: Option<RequestId>,
+    local_ends: VecDeque<(RequestId, Outcome)>,
 }
 
-impl EngineDriver for Quiet {
+impl EngineDriver for NullDriver {
     fn request(&mut self, _: Time, id: RequestId, _: WorkerId, request: UpstreamRequest<'_>) {
         if let UpstreamRequest::Attempt { .. } = request {
-            self.last = Some(id);
+            self.last_attempt = Some(id);
         }
     }
     fn withdraw(&mut self, _: Time, _: RequestId) -> bool {
@@ -26,7 +26,7 @@
     }
     fn answer(&mut self, _: RpcId, _: ClientId, _: u64, _: Answer, _: &str, _: Time, _: Bytes) {}
     fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
-        self.ended.pop_front()
+        self.local_ends.pop_front()
     }
     fn unload(&mut self, _: Time, _: WorkerId, _: &str) {}
     fn watch_list(&mut self, _: Option<(u64, u64)>) {}
@@ -38,7 +38,8 @@
     fn log(&mut self, _: Option<RpcId>, _: &str) {}
 }
 
-fn resident() -> usize {
+/// The resident memory of this process, in bytes.
+fn resident_bytes() -> usize {
     let pages = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     pages.split(' ').nth(1).and_then(|n| n.parse::<usize>().ok()).unwrap_or(0) * 4096
 }
@@ -56,15 +57,15 @@
         });
         let settings = settings.as_object().expect("an object").clone();
         let mut now = Time(1_000_000);
-        let mut engine = Engine::start(now, Quiet::default(), 1, settings);
+        let mut engine = Engine::start(now, NullDriver::default(), 1, settings);
         engine.list_begins(1, 1, None);
-        for no in 0..87 {
-            engine.list_row(now, &format!("w{no}"), "x", Lifecycle::Ready, 1, None, "", "", 1.0);
+        for index in 0..87 {
+            engine.list_row(now, &format!("w{index}"), "addr", Lifecycle::Ready, 1, None, "", "", 1.0);
         }
         engine.list_ends(now);
         let body = Bytes::from_static(&[7; 256]);
-        let before = resident();
-        let ask = |engine: &mut Engine<Quiet>, now, tag: u64| {
+        let before = resident_bytes();
+        let submit = |engine: &mut Engine<NullDriver>, now, tag: u64| {
             let model = format!("model-{}", tag % 100);
             engine.submit_rpc(
                 now,
@@ -78,25 +79,34 @@
                 body.clone(),
             )
         };
-        let taken = (0..open).filter(|tag| ask(&mut engine, now, *tag).is_ok()).count();
-        let held = resident().saturating_sub(before);
-        const MORE: u64 = 20_000;
-        let began = Instant::now();
+        let accepted = (0..open).filter(|tag| submit(&mut engine, now, *tag).is_ok()).count();
+        let bytes = resident_bytes().saturating_sub(before);
+        const FURTHER: u64 = 20_000;
+        let started = Instant::now();
         let mut answered = 0;
-        for tag in open..open + MORE {
+        for tag in open..open + FURTHER {
             now = now + Time(1);
             engine.advance(now);
-            engine.driver().last = None;
-            let _ = ask(&mut engine, now, tag);
-            if let Some(out) = engine.driver().last {
+            engine.driver().last_attempt = None;
+            let _ = submit(&mut engine, now, tag);
+            if let Some(attempt) = engine.driver().last_attempt {
                 answered += 1;
-                engine.request_ended(now, out, Outcome::Ok, CopyReport::Warm, 0, 0, Vec::new(), Bytes::new());
+                engine.request_ended(
+                    now,
+                    attempt,
+                    Outcome::Ok,
+                    CopyReport::Warm,
+                    0,
+                    0,
+                    Vec::new(),
+                    Bytes::new(),
+                );
             }
         }
-        let us = began.elapsed().as_secs_f64() * 1e6 / MORE as f64;
-        let each = held.checked_div(taken).unwrap_or(0);
+        let us = started.elapsed().as_secs_f64() * 1e6 / FURTHER as f64;
+        let bytes_each = bytes.checked_div(accepted).unwrap_or(0);
         println!(
-            "{open} asked, {taken} taken, {} open after; {each} bytes each; {us:.1} us an RPC beside them, {answered} of {MORE} called out at once",
+            "{open} submitted, {accepted} accepted, {} open afterwards; {bytes_each} bytes each; {us:.1} us per further RPC, {answered} of {FURTHER} sent at once",
             engine.open_rpcs()
         );
     }
--- a/crates/curlewpoint-engine/benches/wheel.rs
+++ b/crates/curlewpoint-engine/benches/timer_wheel.rs
@@ -1,4 +1,4 @@
-//! Wake-ups at 100,000 pending: the wheel beside a plain heap, in one run.
+//! Timers at 100,000 pending: the timer wheel compared with a binary heap in one run.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,6 +10,7 @@
 use oorandom::Rand64;
 
 const PENDING: u64 = 100_000;
+/// Timers are set up to this far ahead, in tenths of a millisecond.
 const SPAN: u64 = 60_000;
 
 fn set_one_take_one(c: &mut Criterion) {
@@ -26,17 +27,17 @@
                     return black_box(got);
                 }
             }
-            unreachable!("one was set")
+            unreachable!("a timer was set")
         })
     });
     group.bench_function("heap", |b| {
         let (mut rng, mut heap) = (Rand64::new(1), BinaryHeap::new());
         (0..PENDING).for_each(|i| heap.push(Reverse((rng.rand_range(1..SPAN), i, i))));
-        let (mut now, mut no) = (0, PENDING);
+        let (mut now, mut seq) = (0, PENDING);
         b.iter(|| {
-            no += 1;
-            heap.push(Reverse((now + rng.rand_range(1..SPAN), no, 0)));
-            let got = heap.pop().expect("one was set");
+            seq += 1;
+            heap.push(Reverse((now + rng.rand_range(1..SPAN), seq, 0)));
+            let got = heap.pop().expect("a timer was set");
             now = got.0 .0;
             black_box(got)
         })
--- a/crates/curlewpoint-engine/src/engine.rs
+++ b/crates/curlewpoint-engine/src/engine.rs
@@ -6,12 +6,12 @@
 use curlewpoint::types::*;
 use serde_json::{Map, Value};
 
+use crate::endpoint_list::{EndpointList, ListOutcome};
 use crate::ids::{ClientId, NameTable, RequestId};
-use crate::lifecycle::{describe, Lifecycles, Transition};
-use crate::roster::{EndpointList, ListOutcome};
-use crate::wheel::TimerWheel;
+use crate::lifecycle::{describe, LifecycleTracker, Transition};
+use crate::timer_wheel::TimerWheel;
 
-/// The final answer for an RPC.
+/// The final answer to an RPC.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Answer {
     Ok,
@@ -19,27 +19,27 @@
     Aborted,
 }
 
-/// Why an RPC was not taken. Nothing is owed for it, and repeating it is harmless.
+/// The reason for which an RPC was not accepted. No answer is owed for it, and repeating it is harmless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
     NoSuchMethod,
-    /// It was withdrawn a short while ago.
+    /// The method was withdrawn a short while ago.
     Withdrawn,
     NoSuchTenant,
-    /// As many RPCs are open as this scheduler holds.
+    /// This scheduler holds its maximum of open RPCs.
     Full,
-    /// So little time is left that no answer could be in time.
+    /// Too little time is left for an answer.
     NoTime,
     Stopping,
-    /// The client has used this tag for an RPC that is open.
+    /// The client already uses this tag for an open RPC.
     TagInUse,
-    /// The model's name cannot be taken: it is too long, there are too many, or its id is another's.
+    /// The model's name is too long, there are too many names, or another name has the same id.
     BadModel,
-    /// The token is too long, or the method needs one and there is none: without it no worker could know a repeat.
+    /// The token is too long, or missing for a method that needs one: without it no worker could recognize a repeat.
     BadToken,
 }
 
-/// What a worker is asked.
+/// A request to a worker.
 pub enum UpstreamRequest<'a> {
     Attempt {
         rpc: RpcId,
@@ -58,65 +58,69 @@
     Probe,
 }
 
-/// What the engine acts through.
+/// The engine's interface to connections, clients and logs. It is implemented by the process around the engine.
 pub trait EngineDriver {
-    /// Asks a worker; one `request_ended` follows, unless it is taken back.
+    /// Sends a request to a worker. It ends once, by `Engine::request_ended` or `next_local_end`, unless it is
+    /// withdrawn.
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>);
-    /// Nobody waits for the upstream request any more. True: not one byte of it was, or ever will be, sent.
+    /// Ends the wait for an upstream request. Returns true if it was withdrawn before send, so that no byte of it was
+    /// or will be sent.
     fn withdraw(&mut self, now: Time, id: RequestId) -> bool;
-    /// The final answer for the RPC that `client` calls `tag`.
+    /// Sends the final answer to the RPC that `client` identifies by `tag`.
     fn answer(
-        &mut self, rpc: RpcId, client: ClientId, tag: u64, answer: Answer, why: &str, retry_after: Time,
+        &mut self, rpc: RpcId, client: ClientId, tag: u64, answer: Answer, reason: &str, retry_after: Time,
         body: Bytes,
     );
-    /// The next of the upstream requests that ended on this side, without an answer.
+    /// The next upstream request that ended on this side, without an answer from the worker.
     fn next_local_end(&mut self) -> Option<(RequestId, Outcome)>;
     fn unload(&mut self, now: Time, worker: WorkerId, model: &str);
-    /// The list is wanted from the version held on; none: the whole.
+    /// Requests the list of workers: the changes since version `held`, or the full list if there is none.
     fn watch_list(&mut self, held: Option<(u64, u64)>);
-    /// Where a worker is reached; `since` tells one start of its process from another.
+    /// Reports the address of a worker; `since` is the start time of its process, which tells restarts apart.
     fn set_worker_address(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time);
-    /// It drains: what has not been begun is not sent to it any more.
+    /// Reports that a worker drains: requests to it that were not begun are withdrawn.
     fn worker_draining(&mut self, now: Time, worker: WorkerId);
+    /// Reports that a worker is no longer listed.
     fn worker_gone(&mut self, now: Time, worker: WorkerId);
-    /// The module has seen this of a function at a worker; others may be told.
+    /// Reports an observation of a function at a worker by the module, which may be shared with other schedulers.
     fn observed(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _held: u64) {}
-    /// An RPC of a function comes in; others may be asked what they know of it. Nothing waits for their answer.
+    /// Reports that an RPC asks for a function, so that other schedulers may be asked what they know of it. Nothing
+    /// waits for their answer.
     fn function_requested(&mut self, _function: FunctionId) {}
-    /// An RPC has been taken: what it needs until it is forgotten is to be kept.
+    /// Reports that an RPC was accepted; the driver keeps what the RPC needs until `rpc_forgotten`.
     fn rpc_accepted(&mut self, rpc: RpcId);
-    /// It has its answer and no attempt of it is open: nothing comes for it any more.
+    /// Reports that an RPC has its answer and no open attempt; no further call refers to it.
     fn rpc_forgotten(&mut self, rpc: RpcId);
     fn log(&mut self, rpc: Option<RpcId>, line: &str);
 }
 
-/// Where every RPC went: taken = ok + denied + aborted + left + open.
+/// Counters of RPCs and upstream requests. For RPCs, taken = ok + denied + aborted + left + open.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounters {
     pub taken: u64,
     pub ok: u64,
     pub denied: u64,
     pub aborted: u64,
-    /// Their client went away first.
+    /// RPCs whose client disconnected before the answer.
     pub left: u64,
     pub refused: u64,
     pub attempts: u64,
     pub loads: u64,
     pub probes: u64,
-    /// Answered here because the module had said nothing in time.
+    /// RPCs aborted by the engine because the module did not answer them in time.
     pub guarded: u64,
-    /// Open when this scheduler ended, and aborted for that.
+    /// RPCs aborted because this scheduler stopped.
     pub cut_off: u64,
-    /// Asked for by the module and passed over.
+    /// Actions of the module that were ignored because the RPC had its answer.
     pub passed_over: u64,
 }
 
-/// More sets of terms than this have been served since this scheduler started: the next need a restart.
+/// Too many versions of methods were served since this scheduler started: further ones need a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooManyMethodVersions;
 
-/// A method as it was served at some time.
-struct Terms {
+/// A method with one set of settings. A method whose settings change gets a new version.
+struct MethodVersion {
     name: String,
     tokened: bool,
     give_up: Option<Time>,
@@ -127,10 +131,10 @@
     settings.get("name").and_then(Value::as_str).unwrap_or_default()
 }
 
-impl Terms {
-    fn of(settings: &Value) -> Terms {
+impl MethodVersion {
+    fn of(settings: &Value) -> MethodVersion {
         let number = |name| settings.get(name).and_then(Value::as_f64);
-        Terms {
+        MethodVersion {
             name: name_of(settings).to_owned(),
             tokened: settings.get("effect").is_some_and(|e| e == "idempotency_key"),
             give_up: number("giveUp").map(Time::from_ms),
@@ -139,7 +143,7 @@
     }
 }
 
-struct Owed {
+struct RpcEntry {
     client: ClientId,
     tag: u64,
     method: MethodId,
@@ -154,26 +158,29 @@
 }
 
 #[derive(Clone, Copy)]
-enum What {
+enum RequestKind {
     Attempt(RpcId, AttemptNumber),
     Load(FunctionId),
     Probe,
 }
 
-struct Out {
-    what: What,
+struct OpenRequest {
+    kind: RequestKind,
     worker: WorkerId,
     sent: Time,
 }
 
-enum Wake {
+enum Timer {
+    /// A wake-up that the module asked for.
     Module(TimerId),
-    Guard(RpcId),
-    UpstreamRequest(RequestId),
+    /// The latest time for the answer to an RPC.
+    RpcGuard(RpcId),
+    /// The time limit of an upstream request.
+    RequestLimit(RequestId),
 }
 
-/// The end of an upstream request, as it is told to the module. Ends are told in the order in which they came.
-struct End {
+/// The end of an upstream request. Ends are reported to the module in order of arrival.
+struct RequestEnd {
     id: RequestId,
     outcome: Outcome,
     copy: CopyReport,
@@ -183,134 +190,146 @@
     body: Bytes,
 }
 
-/// All that the engine holds beside the module; it is the module's host.
-struct Desk<W: EngineDriver> {
-    world: W,
+/// The open RPCs and upstream requests, and the rest of the engine's state outside the module. It is the module's
+/// host.
+struct RequestTable<D: EngineDriver> {
+    driver: D,
     now: Time,
-    rpcs: BTreeMap<RpcId, Owed>,
+    rpcs: BTreeMap<RpcId, RpcEntry>,
     tags: BTreeMap<(ClientId, u64), RpcId>,
-    outs: BTreeMap<RequestId, Out>,
-    /// Ends that are known and not yet told: the module is not called from within its own call.
-    ends: VecDeque<End>,
-    wheel: TimerWheel<Wake>,
-    /// The names of functions that RPCs held ask for, and how many do.
-    functions: NameTable,
-    asked_for: BTreeMap<FunctionId, usize>,
-    roster: EndpointList,
-    lifecycles: Lifecycles,
-    /// All that were ever served here, by their ids; and which of them are now.
-    methods: Vec<Terms>,
-    /// The same by their settings, written out.
-    known: BTreeMap<String, MethodId>,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    /// Ends not yet reported to the module, which must not be called from within its own call.
+    ends: VecDeque<RequestEnd>,
+    timers: TimerWheel<Timer>,
+    /// The names of the functions that held RPCs ask for, and the number of such RPCs.
+    function_names: NameTable,
+    function_refs: BTreeMap<FunctionId, usize>,
+    endpoints: EndpointList,
+    lifecycles: LifecycleTracker,
+    /// All method versions served since the start, by id.
+    methods: Vec<MethodVersion>,
+    /// The ids of method versions by their settings as JSON text.
+    method_ids: BTreeMap<String, MethodId>,
+    /// The methods served now, by name.
     served: BTreeMap<String, MethodId>,
     tenants: Vec<String>,
     next_request: u64,
     order_limit: Time,
     probe_limit: Time,
-    most_attempts: usize,
-    figures: EngineCounters,
+    max_attempts: usize,
+    counters: EngineCounters,
 }
 
-impl<W: EngineDriver> Desk<W> {
-    fn open_request(&mut self, what: What, worker: WorkerId) -> RequestId {
+impl<D: EngineDriver> RequestTable<D> {
+    fn open_request(&mut self, kind: RequestKind, worker: WorkerId) -> RequestId {
         self.next_request += 1;
         let id = RequestId(self.next_request);
-        self.outs.insert(id, Out { what, worker, sent: self.now });
+        self.requests.insert(id, OpenRequest { kind, worker, sent: self.now });
         id
     }
 
-    fn end(&mut self, id: RequestId, outcome: Outcome) {
+    fn queue_end(&mut self, id: RequestId, outcome: Outcome) {
         let (copy, held, copies) = (CopyReport::Unreported, 0, 0);
-        self.ends.push_back(End { id, outcome, copy, held, copies, report: Vec::new(), body: Bytes::new() });
+        self.ends.push_back(RequestEnd {
+            id,
+            outcome,
+            copy,
+            held,
+            copies,
+            report: Vec::new(),
+            body: Bytes::new(),
+        });
     }
 
-    /// Ends an upstream request from here; one that was never begun provably never ran.
+    /// Withdraws an upstream request. If no byte of it was sent it provably never ran, and ends as `NotSent` instead
+    /// of `outcome`.
     fn withdraw(&mut self, id: RequestId, outcome: Outcome) {
-        if self.outs.contains_key(&id) {
-            let untouched = self.world.withdraw(self.now, id);
-            self.end(id, if untouched { Outcome::NotSent } else { outcome });
+        if self.requests.contains_key(&id) {
+            let unsent = self.driver.withdraw(self.now, id);
+            self.queue_end(id, if unsent { Outcome::NotSent } else { outcome });
         }
     }
 
-    /// Logs what the list held now has changed.
-    fn log_changes(&mut self, changes: &[Transition]) {
-        let version = self.roster.held().map_or(0, |(_, version)| version);
-        if let Some(line) = describe(version, changes, |worker| self.roster.name(worker)) {
-            self.world.log(None, &line);
+    /// Logs the transitions that the current list caused.
+    fn log_transitions(&mut self, transitions: &[Transition]) {
+        let version = self.endpoints.version().map_or(0, |(_, version)| version);
+        if let Some(line) = describe(version, transitions, |worker| self.endpoints.name(worker)) {
+            self.driver.log(None, &line);
         }
     }
 
-    fn pass_over(&mut self, rpc: RpcId, what: &str) {
-        self.figures.passed_over += 1;
-        self.world.log(Some(rpc), &format!("passed over: {what} after the answer"));
+    /// Counts and logs an action of the module that comes after the RPC's answer.
+    fn ignore_action(&mut self, rpc: RpcId, action: &str) {
+        self.counters.passed_over += 1;
+        self.driver.log(Some(rpc), &format!("ignored: {action} after the final answer"));
     }
 
-    fn answer(&mut self, rpc: RpcId, answer: Answer, why: &str, retry_after: Time, body: Bytes) {
-        let Some(owed) = self.rpcs.get_mut(&rpc).filter(|o| !o.answered) else {
-            return self.pass_over(rpc, "an answer");
+    fn answer(&mut self, rpc: RpcId, answer: Answer, reason: &str, retry_after: Time, body: Bytes) {
+        let Some(entry) = self.rpcs.get_mut(&rpc).filter(|e| !e.answered) else {
+            return self.ignore_action(rpc, "an answer");
         };
-        owed.answered = true;
-        owed.body = Bytes::new();
-        self.tags.remove(&(owed.client, owed.tag));
+        entry.answered = true;
+        entry.body = Bytes::new();
+        self.tags.remove(&(entry.client, entry.tag));
         match answer {
-            Answer::Ok => self.figures.ok += 1,
-            Answer::Denied => self.figures.denied += 1,
-            Answer::Aborted => self.figures.aborted += 1,
+            Answer::Ok => self.counters.ok += 1,
+            Answer::Denied => self.counters.denied += 1,
+            Answer::Aborted => self.counters.aborted += 1,
         }
-        self.world.answer(rpc, owed.client, owed.tag, answer, why, retry_after, body);
+        self.driver.answer(rpc, entry.client, entry.tag, answer, reason, retry_after, body);
         self.forget_if_done(rpc);
     }
 
     fn forget_if_done(&mut self, rpc: RpcId) {
-        if self.rpcs.get(&rpc).is_none_or(|o| !o.answered || !o.open.is_empty()) {
+        if self.rpcs.get(&rpc).is_none_or(|e| !e.answered || !e.open.is_empty()) {
             return;
         }
-        if let Some(Owed { function, .. }) = self.rpcs.remove(&rpc) {
-            let others = self.asked_for.get_mut(&function).map_or(0, |n| {
-                *n -= 1;
-                *n
+        if let Some(RpcEntry { function, .. }) = self.rpcs.remove(&rpc) {
+            let refs_left = self.function_refs.get_mut(&function).map_or(0, |refs| {
+                *refs -= 1;
+                *refs
             });
-            // Functions are named in what is sent for an RPC only; a client that invents them fills nothing.
-            if others == 0 {
-                self.asked_for.remove(&function);
-                self.functions.forget(function.0);
+            // A name is needed only for RPCs that are held, so a client that invents names does not fill the table.
+            if refs_left == 0 {
+                self.function_refs.remove(&function);
+                self.function_names.remove(function.0);
             }
-            self.world.rpc_forgotten(rpc);
+            self.driver.rpc_forgotten(rpc);
         }
     }
 }
 
-impl<W: EngineDriver> Host for Desk<W> {
+impl<D: EngineDriver> Host for RequestTable<D> {
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, limit: Time) {
         let now = self.now;
-        let Some(owed) = self.rpcs.get_mut(&rpc) else { return self.pass_over(rpc, "an attempt") };
-        // Numbers count what the module asked for, also what is not sent.
-        let number = AttemptNumber(owed.attempts);
-        owed.attempts += 1;
-        let (answered, spent) = (owed.answered, owed.attempts > self.most_attempts);
-        let until = if limit == Time(0) { owed.deadline } else { owed.deadline.min(now + limit) };
-        let id = self.open_request(What::Attempt(rpc, number), worker);
-        let owed = self.rpcs.get_mut(&rpc).expect("looked up above");
-        owed.open.insert(number, id);
-        if answered || spent || until <= now {
+        let Some(entry) = self.rpcs.get_mut(&rpc) else { return self.ignore_action(rpc, "an attempt") };
+        // Attempt numbers also count attempts that are not sent.
+        let number = AttemptNumber(entry.attempts);
+        entry.attempts += 1;
+        let (answered, exhausted) = (entry.answered, entry.attempts > self.max_attempts);
+        let until = if limit == Time(0) { entry.deadline } else { entry.deadline.min(now + limit) };
+        let id = self.open_request(RequestKind::Attempt(rpc, number), worker);
+        let entry = self.rpcs.get_mut(&rpc).expect("looked up above");
+        entry.open.insert(number, id);
+        if answered || exhausted || until <= now {
             if answered {
-                self.pass_over(rpc, "an attempt");
+                self.ignore_action(rpc, "an attempt");
             }
-            return self.end(id, Outcome::NotSent);
+            return self.queue_end(id, Outcome::NotSent);
         }
-        self.figures.attempts += 1;
-        if until < owed.deadline {
-            self.wheel.set(until, Wake::UpstreamRequest(id));
+        self.counters.attempts += 1;
+        if until < entry.deadline {
+            self.timers.set(until, Timer::RequestLimit(id));
         }
-        let (method, tenant) = (&self.methods[owed.method.0].name, self.tenants.get(owed.tenant.0));
-        let (model, tenant) = (self.functions.name(owed.function.0), tenant.map_or("", String::as_str));
-        let (token, time_left, body) = (owed.token.as_deref(), until - now, &owed.body);
+        let (method, tenant) = (&self.methods[entry.method.0].name, self.tenants.get(entry.tenant.0));
+        let (model, tenant) = (self.function_names.name(entry.function.0), tenant.map_or("", String::as_str));
+        let (token, time_left, body) = (entry.token.as_deref(), until - now, &entry.body);
         let request = UpstreamRequest::Attempt { rpc, number, method, model, tenant, token, time_left, body };
-        self.world.request(now, id, worker, request);
+        self.driver.request(now, id, worker, request);
     }
 
-    fn cancel(&mut self, rpc: RpcId, no: AttemptNumber) {
-        if let Some(&id) = self.rpcs.get(&rpc).and_then(|o| o.open.get(&no)) {
+    fn cancel(&mut self, rpc: RpcId, number: AttemptNumber) {
+        if let Some(&id) = self.rpcs.get(&rpc).and_then(|entry| entry.open.get(&number)) {
             if !self.ends.iter().any(|e| e.id == id) {
                 self.withdraw(id, Outcome::Cancelled);
             }
@@ -326,484 +345,538 @@
     }
 
     fn load(&mut self, worker: WorkerId, function: FunctionId, copies: u64) {
-        let id = self.open_request(What::Load(function), worker);
-        self.figures.loads += 1;
-        self.wheel.set(self.now + self.order_limit, Wake::UpstreamRequest(id));
-        let model = self.functions.name(function.0);
-        self.world.request(self.now, id, worker, UpstreamRequest::Load { model, copies });
+        let id = self.open_request(RequestKind::Load(function), worker);
+        self.counters.loads += 1;
+        self.timers.set(self.now + self.order_limit, Timer::RequestLimit(id));
+        let model = self.function_names.name(function.0);
+        self.driver.request(self.now, id, worker, UpstreamRequest::Load { model, copies });
     }
 
     fn unload(&mut self, worker: WorkerId, function: FunctionId) {
-        self.world.unload(self.now, worker, self.functions.name(function.0));
+        self.driver.unload(self.now, worker, self.function_names.name(function.0));
     }
 
     fn probe(&mut self, worker: WorkerId) {
-        let id = self.open_request(What::Probe, worker);
-        self.figures.probes += 1;
-        self.wheel.set(self.now + self.probe_limit, Wake::UpstreamRequest(id));
-        self.world.request(self.now, id, worker, UpstreamRequest::Probe);
+        let id = self.open_request(RequestKind::Probe, worker);
+        self.counters.probes += 1;
+        self.timers.set(self.now + self.probe_limit, Timer::RequestLimit(id));
+        self.driver.request(self.now, id, worker, UpstreamRequest::Probe);
     }
 
     fn set_timer(&mut self, delay: Time, id: TimerId) {
-        self.wheel.set(self.now + delay, Wake::Module(id));
+        self.timers.set(self.now + delay, Timer::Module(id));
     }
 
     fn watch_list(&mut self) {
-        self.world.watch_list(self.roster.held());
+        self.driver.watch_list(self.endpoints.version());
     }
 
     fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
-        self.world.observed(worker, function, hint, held);
+        self.driver.observed(worker, function, hint, held);
     }
 
     fn log(&mut self, line: &str) {
-        self.world.log(None, line);
+        self.driver.log(None, line);
     }
 }
 
-/// One scheduler: RPCs taken and owed, upstream requests out, wake-ups and the list, around the module.
+/// One scheduler: the decision module with its open RPCs, upstream requests, timers and list of workers.
 ///
-/// The settings are the module's; the engine reads from them the names of methods and tenants, `limits.maxOpen`,
-/// `limits.maxAttempts`, `limits.probeLimit`, `familyInfo.orderLimit` and `contract.answerSlack`, the time that it
-/// keeps back of what a client has left.
-pub struct Engine<W: EngineDriver> {
-    module: Scheduler<Desk<W>>,
+/// The settings are the module's. The engine reads from them the methods and the names of tenants, `limits.maxOpen`,
+/// `limits.maxAttempts`, `limits.probeLimit`, `familyInfo.orderLimit` and `contract.answerSlack`, the part of a
+/// client's time left that is reserved for returning the answer.
+pub struct Engine<D: EngineDriver> {
+    module: Scheduler<RequestTable<D>>,
     next_rpc: u64,
-    slack: Time,
-    most_open: usize,
+    answer_slack: Time,
+    max_open: usize,
     stopping: bool,
-    gone: BTreeMap<WorkerId, Time>,
+    /// For workers no longer listed, the time at which they went.
+    gone_since: BTreeMap<WorkerId, Time>,
 }
 
-/// How long after its going the name and the start of a worker are kept: lists told late may still name it.
-const GONE_KEPT: Time = Time(6_000_000);
-/// The longest name of a model, and the longest token, in bytes: with them an attempt's head stays far below what any
-/// worker takes. A longer one would end a connection that carries others' attempts.
-const MOST_NAME: usize = 1024;
-const MOST_WORKERS: usize = 100_000;
-const MOST_MODELS: usize = 1_000_000;
-const MOST_TERMS: usize = 10_000;
+/// Time for which the name and the start of a gone worker are kept (10 min), as a delayed list may still name it.
+const GONE_WORKER_RETENTION: Time = Time(6_000_000);
+/// The longest model name and the longest token, in bytes. They keep the head of an attempt far below the limit of
+/// any worker; a head beyond it would close a connection that carries other attempts too.
+const MAX_NAME_BYTES: usize = 1024;
+const MAX_WORKERS: usize = 100_000;
+const MAX_MODELS: usize = 1_000_000;
+const MAX_METHOD_VERSIONS: usize = 10_000;
 
-fn number(settings: &Map<String, Value>, part: &str, name: &str, default: f64) -> f64 {
+fn number_setting(settings: &Map<String, Value>, part: &str, name: &str, default: f64) -> f64 {
     settings.get(part).and_then(|p| p.get(name)).and_then(Value::as_f64).unwrap_or(default)
 }
 
-fn list<'a>(settings: &'a Map<String, Value>, part: &str) -> &'a [Value] {
+fn list_setting<'a>(settings: &'a Map<String, Value>, part: &str) -> &'a [Value] {
     settings.get(part).and_then(Value::as_array).map_or(&[], Vec::as_slice)
 }
 
-impl<W: EngineDriver> Engine<W> {
-    pub fn start(now: Time, world: W, seed: u128, settings: Map<String, Value>) -> Self {
-        let of_methods = list(&settings, "requestClasses");
-        let methods: Vec<Terms> = of_methods.iter().map(Terms::of).collect();
-        let known = of_methods.iter().enumerate().map(|(no, m)| (m.to_string(), MethodId(no))).collect();
-        let served = methods.iter().enumerate().map(|(no, m)| (m.name.clone(), MethodId(no))).collect();
-        let ms = |part, name, default| Time::from_ms(number(&settings, part, name, default));
-        let desk = Desk {
-            world,
+impl<D: EngineDriver> Engine<D> {
+    pub fn start(now: Time, driver: D, seed: u128, settings: Map<String, Value>) -> Self {
+        let method_settings = list_setting(&settings, "requestClasses");
+        let methods: Vec<MethodVersion> = method_settings.iter().map(MethodVersion::of).collect();
+        let method_ids =
+            method_settings.iter().enumerate().map(|(id, m)| (m.to_string(), MethodId(id))).collect();
+        let served = methods.iter().enumerate().map(|(id, m)| (m.name.clone(), MethodId(id))).collect();
+        let ms = |part, name, default| Time::from_ms(number_setting(&settings, part, name, default));
+        let table = RequestTable {
+            driver,
             now,
             rpcs: BTreeMap::new(),
             tags: BTreeMap::new(),
-            outs: BTreeMap::new(),
+            requests: BTreeMap::new(),
             ends: VecDeque::new(),
-            wheel: TimerWheel::default(),
-            functions: NameTable::new(MOST_MODELS),
-            asked_for: BTreeMap::new(),
-            roster: EndpointList::new(MOST_WORKERS),
-            lifecycles: Lifecycles::default(),
+            timers: TimerWheel::default(),
+            function_names: NameTable::new(MAX_MODELS),
+            function_refs: BTreeMap::new(),
+            endpoints: EndpointList::new(MAX_WORKERS),
+            lifecycles: LifecycleTracker::default(),
             methods,
-            known,
+            method_ids,
             served,
-            tenants: list(&settings, "tenants").iter().map(|t| name_of(t).to_owned()).collect(),
+            tenants: list_setting(&settings, "tenants").iter().map(|t| name_of(t).to_owned()).collect(),
             next_request: 0,
             order_limit: ms("familyInfo", "orderLimit", 10_000.0),
             probe_limit: ms("limits", "probeLimit", 1_000.0),
-            most_attempts: number(&settings, "limits", "maxAttempts", 1e9) as usize,
-            figures: EngineCounters::default(),
+            max_attempts: number_setting(&settings, "limits", "maxAttempts", 1e9) as usize,
+            counters: EngineCounters::default(),
         };
-        let (slack, most_open) =
-            (ms("contract", "answerSlack", 0.0), number(&settings, "limits", "maxOpen", 1e5));
+        let (answer_slack, max_open) =
+            (ms("contract", "answerSlack", 0.0), number_setting(&settings, "limits", "maxOpen", 1e5));
         Engine {
-            module: Scheduler::start(desk, seed, settings),
+            module: Scheduler::start(table, seed, settings),
             next_rpc: 0,
-            slack,
-            most_open: most_open as usize,
+            answer_slack,
+            max_open: max_open as usize,
             stopping: false,
-            gone: BTreeMap::new(),
+            gone_since: BTreeMap::new(),
         }
     }
 
-    pub fn driver(&mut self) -> &mut W {
-        &mut self.module.host().world
+    pub fn driver(&mut self) -> &mut D {
+        &mut self.module.host().driver
     }
 
     pub fn counters(&mut self) -> EngineCounters {
-        self.module.host().figures
+        self.module.host().counters
     }
 
-    /// RPCs that are owed an answer.
+    /// The number of RPCs without an answer.
     pub fn open_rpcs(&mut self) -> usize {
         self.module.host().tags.len()
     }
 
-    /// RPCs held: those owed an answer, and those answered that still have an attempt open.
+    /// The number of RPCs held: those without an answer, and those answered that still have an open attempt.
     pub fn held_rpcs(&mut self) -> usize {
         self.module.host().rpcs.len()
     }
 
     pub fn worker_name(&mut self, worker: WorkerId) -> &str {
-        self.module.host().roster.name(worker)
+        self.module.host().endpoints.name(worker)
     }
 
-    /// Where what the module believes out differs from what is out here, or that from what the pool has open.
+    /// Describes a difference between the module's, the engine's and the pool's (`open`) view of the open requests,
+    /// if any.
     pub fn find_mismatch(&mut self, open: &BTreeMap<RequestId, WorkerId>) -> Option<String> {
-        let outs = &self.module.host().outs;
-        let out = |id: &RequestId| outs.get(id).map(|o| o.worker);
-        if let Some(id) = outs.keys().chain(open.keys()).find(|id| out(id) != open.get(id).copied()) {
-            return Some(format!("request {} is out at {:?}, and open at {:?}", id.0, out(id), open.get(id)));
+        let requests = &self.module.host().requests;
+        let worker_of = |id: &RequestId| requests.get(id).map(|r| r.worker);
+        if let Some(id) = requests.keys().chain(open.keys()).find(|id| worker_of(id) != open.get(id).copied())
+        {
+            return Some(format!(
+                "request {} is at {:?} in the engine, at {:?} in the pool",
+                id.0,
+                worker_of(id),
+                open.get(id)
+            ));
         }
         let mut attempts: BTreeMap<WorkerId, u64> = BTreeMap::new();
-        for o in outs.values().filter(|o| matches!(o.what, What::Attempt(..))) {
-            *attempts.entry(o.worker).or_default() += 1;
+        for r in requests.values().filter(|r| matches!(r.kind, RequestKind::Attempt(..))) {
+            *attempts.entry(r.worker).or_default() += 1;
         }
         let believed: BTreeMap<WorkerId, u64> = self.module.believed_in_flight().collect();
-        (believed != attempts).then(|| format!("believed out {believed:?}, and out {attempts:?}"))
+        (believed != attempts)
+            .then(|| format!("attempts by worker: {believed:?} in the module, {attempts:?} in the engine"))
     }
 
-    /// How much is kept here and by the module, by kind.
+    /// The sizes of the collections kept by the engine and the module, by kind.
     pub fn sizes(&mut self) -> Vec<(&'static str, usize)> {
-        let desk = self.module.host();
-        let here = [
-            ("rpcs", desk.rpcs.len()),
-            ("requests", desk.outs.len()),
-            ("wake-ups", desk.wheel.len()),
-            ("function names", desk.functions.len()),
-            ("worker names", desk.roster.len()),
+        let table = self.module.host();
+        let sizes = [
+            ("rpcs", table.rpcs.len()),
+            ("requests", table.requests.len()),
+            ("wake-ups", table.timers.len()),
+            ("function names", table.function_names.len()),
+            ("worker names", table.endpoints.len()),
         ];
-        here.into_iter().chain(self.module.table_sizes()).collect()
+        sizes.into_iter().chain(self.module.table_sizes()).collect()
     }
 
-    /// The RPC that an attempt which is out is for, and its method.
+    /// The RPC of an open attempt, and its method.
     pub fn rpc_of_attempt(&mut self, request: RequestId) -> Option<(RpcId, &str)> {
-        let desk = self.module.host();
-        let What::Attempt(rpc, _) = desk.outs.get(&request)?.what else { return None };
-        Some((rpc, &desk.methods[desk.rpcs.get(&rpc)?.method.0].name))
+        let table = self.module.host();
+        let RequestKind::Attempt(rpc, _) = table.requests.get(&request)?.kind else { return None };
+        Some((rpc, &table.methods[table.rpcs.get(&rpc)?.method.0].name))
     }
 
-    /// From here on these methods are served and no others, by these terms. A method whose terms have changed is another
-    /// one here and in the module: RPCs that are open go on under the terms that they were taken under.
+    /// Replaces the set of methods served. A method whose settings changed becomes a new version, here and in the
+    /// module; open RPCs continue under the version they were accepted under.
     pub fn set_methods(&mut self, methods: Vec<Value>) -> Result<(), TooManyMethodVersions> {
-        let desk = self.module.host();
+        let table = self.module.host();
         let keys: Vec<String> = methods.iter().map(Value::to_string).collect();
-        let new: BTreeSet<&String> = keys.iter().filter(|key| !desk.known.contains_key(*key)).collect();
-        if desk.methods.len() + new.len() > MOST_TERMS {
+        let new: BTreeSet<&String> = keys.iter().filter(|key| !table.method_ids.contains_key(*key)).collect();
+        if table.methods.len() + new.len() > MAX_METHOD_VERSIONS {
             return Err(TooManyMethodVersions);
         }
-        desk.served.clear();
+        table.served.clear();
         for (settings, key) in methods.into_iter().zip(keys) {
-            let desk = self.module.host();
-            let next = MethodId(desk.methods.len());
-            let id = *desk.known.entry(key).or_insert(next);
-            desk.served.insert(name_of(&settings).to_owned(), id);
+            let table = self.module.host();
+            let next = MethodId(table.methods.len());
+            let id = *table.method_ids.entry(key).or_insert(next);
+            table.served.insert(name_of(&settings).to_owned(), id);
             if id == next {
-                desk.methods.push(Terms::of(&settings));
+                table.methods.push(MethodVersion::of(&settings));
                 self.module.method_added(settings);
             }
         }
         Ok(())
     }
 
-    /// So many instances feed these workers from here on.
+    /// Sets the number of scheduler instances that send to the same workers.
     pub fn set_instance_count(&mut self, number: u64) {
         self.module.instance_count_changed(number);
     }
 
-    /// Another scheduler saw this of a function at a worker so long ago.
+    /// Passes on an observation of a function at a worker that another scheduler made `age` ago.
     pub fn hinted(
         &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time,
     ) {
         self.module.hint_received(now, worker, function, hint, held, age);
     }
 
-    /// The moment of the next wake-up, or one before it.
+    /// The time of the next timer, or an earlier one.
     pub fn next_wake(&mut self) -> Option<Time> {
-        self.module.host().wheel.next()
+        self.module.host().timers.next()
     }
 
-    /// From here on no RPC is taken; what is open goes on to its end.
+    /// Stops accepting RPCs; open ones continue to their end.
     pub fn stop_accepting(&mut self) {
         self.stopping = true;
     }
 
-    /// An RPC comes in, from a client that calls it by this tag. Once it is taken, one answer is owed until `left` less
-    /// the slack has passed. Where it tells how many a copy of its model runs at a time, that holds; else its method's.
+    /// Accepts or refuses an RPC `from` a client and its tag. An accepted RPC gets one answer before `time_left` less
+    /// the answer slack has passed. `lanes`, the RPCs that a copy of the model runs at a time, overrides the method's
+    /// setting.
     pub fn submit_rpc(
-        &mut self, now: Time, from: (ClientId, u64), method: &str, model: &str, tenant: &str, left: Time,
-        token: Option<&str>, lanes: Option<f64>, body: Bytes,
+        &mut self, now: Time, from: (ClientId, u64), method: &str, model: &str, tenant: &str,
+        time_left: Time, token: Option<&str>, lanes: Option<f64>, body: Bytes,
     ) -> Result<RpcId, Refusal> {
-        let taken = self.take(now, from, method, model, tenant, left, token, lanes, body);
-        if taken.is_err() {
-            self.module.host().figures.refused += 1;
+        let accepted = self.accept(now, from, method, model, tenant, time_left, token, lanes, body);
+        if accepted.is_err() {
+            self.module.host().counters.refused += 1;
         }
-        taken
+        accepted
     }
 
-    /// A door has refused an RPC by itself.
+    /// Counts an RPC that a listener refused itself.
     pub fn count_refused(&mut self) {
-        self.module.host().figures.refused += 1;
+        self.module.host().counters.refused += 1;
     }
 
-    fn take(
-        &mut self, now: Time, from: (ClientId, u64), method: &str, model: &str, tenant: &str, left: Time,
-        token: Option<&str>, lanes: Option<f64>, body: Bytes,
+    fn accept(
+        &mut self, now: Time, from: (ClientId, u64), method: &str, model: &str, tenant: &str,
+        time_left: Time, token: Option<&str>, lanes: Option<f64>, body: Bytes,
     ) -> Result<RpcId, Refusal> {
         let (client, tag) = from;
-        let (stopping, slack, most_open) = (self.stopping, self.slack, self.most_open);
-        let desk = self.desk(now);
-        let method = *desk.served.get(method).ok_or(Refusal::NoSuchMethod)?;
-        let tenant = match desk.tenants.iter().position(|t| t == tenant) {
-            Some(no) => no,
-            None if desk.tenants.is_empty() => 0,
+        let (stopping, answer_slack, max_open) = (self.stopping, self.answer_slack, self.max_open);
+        let table = self.table(now);
+        let method = *table.served.get(method).ok_or(Refusal::NoSuchMethod)?;
+        let tenant = match table.tenants.iter().position(|t| t == tenant) {
+            Some(index) => index,
+            None if table.tenants.is_empty() => 0,
             None => return Err(Refusal::NoSuchTenant),
         };
         if stopping {
             return Err(Refusal::Stopping);
         }
-        if desk.rpcs.len() >= most_open {
+        if table.rpcs.len() >= max_open {
             return Err(Refusal::Full);
         }
-        if desk.tags.contains_key(&from) {
+        if table.tags.contains_key(&from) {
             return Err(Refusal::TagInUse);
         }
-        let Terms { tokened, give_up, lanes: usual, .. } = desk.methods[method.0];
-        let left = give_up.map_or(left, |most| left.min(most)) - slack;
-        if left == Time(0) {
+        let MethodVersion { tokened, give_up, lanes: default_lanes, .. } = table.methods[method.0];
+        let time_left = give_up.map_or(time_left, |max| time_left.min(max)) - answer_slack;
+        if time_left == Time(0) {
             return Err(Refusal::NoTime);
         }
-        if token.map_or(tokened, |t| t.len() > MOST_NAME || (tokened && t.is_empty())) {
+        if token.map_or(tokened, |t| t.len() > MAX_NAME_BYTES || (tokened && t.is_empty())) {
             return Err(Refusal::BadToken);
         }
-        if model.len() > MOST_NAME {
+        if model.len() > MAX_NAME_BYTES {
             return Err(Refusal::BadModel);
         }
-        let function = FunctionId(self.module.host().functions.learn(model).map_err(|_| Refusal::BadModel)?);
+        let function =
+            FunctionId(self.module.host().function_names.insert(model).map_err(|_| Refusal::BadModel)?);
         self.next_rpc += 1;
         let id = RpcId(self.next_rpc);
         let tenant = TenantId(tenant);
-        let desk = self.module.host();
+        let table = self.module.host();
         let (attempts, open, answered) = (0, BTreeMap::new(), false);
-        let (deadline, token) = (now + left, token.map(str::to_owned));
-        let owed =
-            Owed { client, tag, method, tenant, function, token, deadline, body, answered, attempts, open };
-        desk.rpcs.insert(id, owed);
-        *desk.asked_for.entry(function).or_default() += 1;
-        desk.tags.insert(from, id);
-        desk.figures.taken += 1;
-        desk.world.rpc_accepted(id);
-        desk.world.function_requested(function);
-        // The module has said nothing by then: half the slack is left for the answer's way.
-        desk.wheel.set(deadline + Time(slack.0 / 2), Wake::Guard(id));
-        self.module.rpc_received(now, id, method, function, tenant, left, lanes.unwrap_or(usual));
+        let (deadline, token) = (now + time_left, token.map(str::to_owned));
+        let entry = RpcEntry {
+            client,
+            tag,
+            method,
+            tenant,
+            function,
+            token,
+            deadline,
+            body,
+            answered,
+            attempts,
+            open,
+        };
+        table.rpcs.insert(id, entry);
+        *table.function_refs.entry(function).or_default() += 1;
+        table.tags.insert(from, id);
+        table.counters.taken += 1;
+        table.driver.rpc_accepted(id);
+        table.driver.function_requested(function);
+        // For the case that the module has not answered by then; half the slack is left to return the answer.
+        table.timers.set(deadline + Time(answer_slack.0 / 2), Timer::RpcGuard(id));
+        self.module.rpc_received(
+            now,
+            id,
+            method,
+            function,
+            tenant,
+            time_left,
+            lanes.unwrap_or(default_lanes),
+        );
         self.process_ends(now);
         Ok(id)
     }
 
-    /// The client wants no answer any more; it gets one all the same, as it may not have known.
+    /// Cancels an RPC for its client. It is still answered, as aborted: the client cannot know whether its cancel
+    /// came before an answer.
     pub fn cancel(&mut self, now: Time, client: ClientId, tag: u64) {
-        let Some(&id) = self.desk(now).tags.get(&(client, tag)) else { return };
+        let Some(&id) = self.table(now).tags.get(&(client, tag)) else { return };
         self.module.host().answer(id, Answer::Aborted, "cancelled by the client", Time(0), Bytes::new());
         self.end_rpc(now, id);
     }
 
-    /// A client's connection is gone: nothing more is owed to it.
+    /// Ends all RPCs of a client whose connection is gone, without an answer.
     pub fn client_gone(&mut self, now: Time, client: ClientId) {
-        let desk = self.desk(now);
+        let table = self.table(now);
         let all: Vec<_> =
-            desk.tags.range((client, 0)..=(client, u64::MAX)).map(|(k, id)| (*k, *id)).collect();
+            table.tags.range((client, 0)..=(client, u64::MAX)).map(|(k, id)| (*k, *id)).collect();
         for (key, id) in all {
-            let desk = self.module.host();
-            desk.tags.remove(&key);
-            desk.figures.left += 1;
-            if let Some(owed) = desk.rpcs.get_mut(&id) {
-                (owed.answered, owed.body) = (true, Bytes::new());
+            let table = self.module.host();
+            table.tags.remove(&key);
+            table.counters.left += 1;
+            if let Some(entry) = table.rpcs.get_mut(&id) {
+                (entry.answered, entry.body) = (true, Bytes::new());
             }
             self.end_rpc(now, id);
         }
     }
 
-    /// The module lets go of an RPC that has its answer, and what is still out for it is taken back.
+    /// Ends an answered RPC in the module and withdraws its open attempts.
     fn end_rpc(&mut self, now: Time, id: RpcId) {
         self.module.rpc_abandoned(id);
-        let desk = self.module.host();
+        let table = self.module.host();
         let open: Vec<RequestId> =
-            desk.rpcs.get(&id).map(|o| o.open.values().copied().collect()).unwrap_or_default();
+            table.rpcs.get(&id).map(|entry| entry.open.values().copied().collect()).unwrap_or_default();
         for request in open {
-            if !desk.ends.iter().any(|e| e.id == request) {
-                desk.withdraw(request, Outcome::TimeOut);
+            if !table.ends.iter().any(|e| e.id == request) {
+                table.withdraw(request, Outcome::TimeOut);
             }
         }
-        desk.forget_if_done(id);
+        table.forget_if_done(id);
         self.process_ends(now);
     }
 
-    /// An upstream request was answered, or is known to have ended. A second end, or one for what was never asked, is nothing.
+    /// Records the end of an upstream request, by an answer or otherwise. A second end, or one of an unknown request,
+    /// is ignored.
     pub fn request_ended(
         &mut self, now: Time, id: RequestId, outcome: Outcome, copy: CopyReport, held: u64, copies: u64,
         report: Vec<f64>, body: Bytes,
     ) {
-        self.desk(now).ends.push_back(End { id, outcome, copy, held, copies, report, body });
+        self.table(now).ends.push_back(RequestEnd { id, outcome, copy, held, copies, report, body });
         self.process_ends(now);
     }
 
-    /// Time has passed.
+    /// Advances the time to `now` and runs the timers that are due.
     pub fn advance(&mut self, now: Time) {
-        self.desk(now);
-        while let Some((_, what)) = self.module.host().wheel.pop(now) {
-            match what {
-                Wake::Module(id) => self.module.timer_fired(now, id),
-                Wake::Guard(id) => self.guard(now, id),
-                Wake::UpstreamRequest(id) => self.module.host().withdraw(id, Outcome::TimeOut),
+        self.table(now);
+        while let Some((_, timer)) = self.module.host().timers.pop(now) {
+            match timer {
+                Timer::Module(id) => self.module.timer_fired(now, id),
+                Timer::RpcGuard(id) => self.guard(now, id),
+                Timer::RequestLimit(id) => self.module.host().withdraw(id, Outcome::TimeOut),
             }
             self.process_ends(now);
         }
     }
 
-    /// Guards against a module that says nothing: an abort promises nothing, so it breaks no rule.
+    /// Aborts an RPC that the module did not answer in time. An abort makes no promise about the effect, so it is
+    /// always a correct answer.
     fn guard(&mut self, now: Time, id: RpcId) {
-        let desk = self.module.host();
-        let Some(owed) = desk.rpcs.get(&id) else { return };
-        if !owed.answered {
-            desk.figures.guarded += 1;
-            desk.answer(id, Answer::Aborted, "its time was up", Time(0), Bytes::new());
+        let table = self.module.host();
+        let Some(entry) = table.rpcs.get(&id) else { return };
+        if !entry.answered {
+            table.counters.guarded += 1;
+            table.answer(id, Answer::Aborted, "its time was up", Time(0), Bytes::new());
         }
         self.end_rpc(now, id);
     }
 
-    fn desk(&mut self, now: Time) -> &mut Desk<W> {
-        let desk = self.module.host();
-        desk.now = desk.now.max(now);
-        desk
+    fn table(&mut self, now: Time) -> &mut RequestTable<D> {
+        let table = self.module.host();
+        table.now = table.now.max(now);
+        table
     }
 
-    /// What is open is answered now: this scheduler ends.
+    /// Aborts all open RPCs, as this scheduler stops.
     pub fn abort_all(&mut self, now: Time) {
-        let open: Vec<RpcId> = self.desk(now).tags.values().copied().collect();
+        let open: Vec<RpcId> = self.table(now).tags.values().copied().collect();
         for id in open {
-            self.module.host().figures.cut_off += 1;
+            self.module.host().counters.cut_off += 1;
             self.module.host().answer(id, Answer::Aborted, "the scheduler ends", Time(0), Bytes::new());
             self.end_rpc(now, id);
         }
     }
 
-    /// Tells the module of ends until none is left.
+    /// Reports ended upstream requests to the module until none is left.
     pub fn process_ends(&mut self, now: Time) {
-        self.desk(now);
+        self.table(now);
         loop {
-            let desk = self.module.host();
-            while let Some((id, outcome)) = desk.world.next_local_end() {
-                desk.end(id, outcome);
+            let table = self.module.host();
+            while let Some((id, outcome)) = table.driver.next_local_end() {
+                table.queue_end(id, outcome);
             }
-            let Some(end) = desk.ends.pop_front() else { return };
-            let Some(Out { what, worker, sent }) = desk.outs.remove(&end.id) else { continue };
-            match what {
-                What::Attempt(rpc, no) => {
-                    let Some(owed) = desk.rpcs.get_mut(&rpc) else { continue };
-                    owed.open.remove(&no);
-                    if end.outcome == Outcome::Ok && !owed.answered {
-                        desk.answer(rpc, Answer::Ok, "", Time(0), end.body);
+            let Some(end) = table.ends.pop_front() else { return };
+            let Some(OpenRequest { kind, worker, sent }) = table.requests.remove(&end.id) else { continue };
+            match kind {
+                RequestKind::Attempt(rpc, number) => {
+                    let Some(entry) = table.rpcs.get_mut(&rpc) else { continue };
+                    entry.open.remove(&number);
+                    if end.outcome == Outcome::Ok && !entry.answered {
+                        table.answer(rpc, Answer::Ok, "", Time(0), end.body);
                     }
-                    let done = desk.rpcs.get(&rpc).is_none_or(|o| o.answered);
+                    let done = table.rpcs.get(&rpc).is_none_or(|e| e.answered);
                     let (outcome, elapsed) = (end.outcome, now - sent);
                     let (copy, held) = (end.copy, end.held);
-                    self.module.attempt_ended(now, rpc, no, outcome, elapsed, done, copy, held, &end.report);
+                    self.module.attempt_ended(
+                        now,
+                        rpc,
+                        number,
+                        outcome,
+                        elapsed,
+                        done,
+                        copy,
+                        held,
+                        &end.report,
+                    );
                     self.module.host().forget_if_done(rpc);
                 }
-                What::Load(function) => {
+                RequestKind::Load(function) => {
                     self.module.load_ended(now, worker, function, end.outcome, end.copies)
                 }
-                What::Probe => self.module.load_report_received(now, worker, &end.report),
+                RequestKind::Probe => self.module.load_report_received(now, worker, &end.report),
             }
         }
     }
 
-    // The list.
+    // The list of workers.
 
     pub fn list_begins(&mut self, epoch: u64, version: u64, from: Option<u64>) {
-        self.module.host().roster.begins(epoch, version, from);
+        self.module.host().endpoints.begin(epoch, version, from);
     }
 
     pub fn list_row(
-        &mut self, now: Time, name: &str, address: &str, standing: Lifecycle, start: u64, age: Option<Time>,
+        &mut self, now: Time, name: &str, address: &str, lifecycle: Lifecycle, start: u64, age: Option<Time>,
         zone: &str, cell: &str, size: f64,
     ) {
-        let desk = self.desk(now);
-        if let Err(why) = desk.roster.row(now, name, address, standing, start, age, zone, cell, size) {
-            desk.world.log(None, &format!("list: worker '{name}' passed over: {why}"));
+        let table = self.table(now);
+        if let Err(error) =
+            table.endpoints.add_row(now, name, address, lifecycle, start, age, zone, cell, size)
+        {
+            table.driver.log(None, &format!("list: worker '{name}' ignored: {error}"));
         }
     }
 
     pub fn list_ends(&mut self, now: Time) -> ListOutcome {
-        let (mut rows, mut changes) = (Vec::new(), Vec::new());
-        let desk = self.desk(now);
-        let (read, named) = desk.roster.ends(|id, name, address, standing, since, zone, cell, size| {
-            match standing {
-                Lifecycle::Gone => desk.world.worker_gone(now, id),
-                Lifecycle::Ready => desk.world.set_worker_address(now, id, name, address, since),
-                Lifecycle::Draining => {
-                    desk.world.set_worker_address(now, id, name, address, since);
-                    desk.world.worker_draining(now, id);
+        let (mut rows, mut transitions) = (Vec::new(), Vec::new());
+        let table = self.table(now);
+        let (outcome, named) =
+            table.endpoints.finish(|id, name, address, lifecycle, since, zone, cell, size| {
+                match lifecycle {
+                    Lifecycle::Gone => table.driver.worker_gone(now, id),
+                    Lifecycle::Ready => table.driver.set_worker_address(now, id, name, address, since),
+                    Lifecycle::Draining => {
+                        table.driver.set_worker_address(now, id, name, address, since);
+                        table.driver.worker_draining(now, id);
+                    }
                 }
-            }
-            rows.push((id, standing, since, zone, cell, size));
-        });
-        match read {
+                rows.push((id, lifecycle, since, zone, cell, size));
+            });
+        match outcome {
             ListOutcome::Applied { full } => {
-                for (id, standing, since, zone, cell, size) in rows {
-                    self.module.worker_listed(now, id, standing, since, zone, cell, size);
-                    if standing == Lifecycle::Gone {
-                        self.gone.entry(id).or_insert(now);
+                for (id, lifecycle, since, zone, cell, size) in rows {
+                    self.module.worker_listed(now, id, lifecycle, since, zone, cell, size);
+                    if lifecycle == Lifecycle::Gone {
+                        self.gone_since.entry(id).or_insert(now);
                     } else {
-                        self.gone.remove(&id);
+                        self.gone_since.remove(&id);
                     }
-                    changes.extend(self.module.host().lifecycles.told(id, standing));
+                    transitions.extend(self.module.host().lifecycles.record(id, lifecycle));
                 }
                 self.module.list_received(now, full.then_some(&named));
                 if full {
-                    self.missing_are_gone(now, &named, &mut changes);
+                    self.mark_missing_gone(now, &named, &mut transitions);
                 }
-                self.module.host().log_changes(&changes);
+                self.module.host().log_transitions(&transitions);
                 self.process_ends(now);
             }
-            ListOutcome::NeedsFull => desk.world.watch_list(None),
+            ListOutcome::NeedsFull => table.driver.watch_list(None),
             ListOutcome::Stale | ListOutcome::NotStarted => {}
         }
-        read
+        outcome
     }
 
-    /// Those that a full list no longer names: their connections take nothing new either.
-    fn missing_are_gone(&mut self, now: Time, named: &BTreeSet<WorkerId>, changes: &mut Vec<Transition>) {
-        let desk = self.module.host();
-        for worker in desk.roster.missing(named) {
-            desk.world.worker_gone(now, worker);
-            changes.extend(desk.lifecycles.told(worker, Lifecycle::Gone));
-            self.gone.entry(worker).or_insert(now);
+    /// Treats known workers that a full list does not name as gone: nothing new is sent to them.
+    fn mark_missing_gone(
+        &mut self, now: Time, named: &BTreeSet<WorkerId>, transitions: &mut Vec<Transition>,
+    ) {
+        let table = self.module.host();
+        for worker in table.endpoints.missing(named) {
+            table.driver.worker_gone(now, worker);
+            transitions.extend(table.lifecycles.record(worker, Lifecycle::Gone));
+            self.gone_since.entry(worker).or_insert(now);
         }
-        let long: Vec<_> =
-            self.gone.iter().filter(|(_, at)| **at + GONE_KEPT <= now).map(|(w, _)| *w).collect();
-        for worker in long {
-            self.gone.remove(&worker);
-            self.module.host().roster.forget(worker);
+        let expired: Vec<_> = self
+            .gone_since
+            .iter()
+            .filter(|(_, at)| **at + GONE_WORKER_RETENTION <= now)
+            .map(|(w, _)| *w)
+            .collect();
+        for worker in expired {
+            self.gone_since.remove(&worker);
+            self.module.host().endpoints.forget(worker);
             self.module.host().lifecycles.forget(worker);
         }
     }
 
-    /// The list service can be asked again.
+    /// Requests the list over a new connection to the list service.
     pub fn list_connected(&mut self) {
-        let desk = self.module.host();
-        desk.world.watch_list(desk.roster.held());
+        let table = self.module.host();
+        table.driver.watch_list(table.endpoints.version());
     }
 
+    /// Discards a list that was being received, as the connection to the list service broke.
     pub fn list_disconnected(&mut self) {
-        self.module.host().roster.broke();
+        self.module.host().endpoints.discard_staged();
     }
 }
--- a/crates/curlewpoint-engine/src/ids.rs
+++ b/crates/curlewpoint-engine/src/ids.rs
@@ -2,7 +2,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A client's connection.
+/// A connection from a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
 
@@ -10,33 +10,33 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnId(pub u64);
 
-/// An attempt, a probe or a load order: whatever a worker is asked and owes an end for.
+/// An upstream request (attempt, probe or load order), which ends exactly once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// The id of a name, the same at every scheduler that ever reads it.
+/// The id of a name: its hash, equal at every scheduler and in every run.
 pub fn id_of(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// The names behind ids, up to a bound, so that two names with one id are noticed.
+/// The names behind ids, bounded in number; detects two names with the same id.
 pub struct NameTable {
     names: BTreeMap<u64, String>,
-    most: usize,
+    max: usize,
 }
 
 impl NameTable {
-    pub fn new(most: usize) -> NameTable {
-        NameTable { names: BTreeMap::new(), most }
+    pub fn new(max: usize) -> NameTable {
+        NameTable { names: BTreeMap::new(), max }
     }
 
-    /// A name's id; an error names the other name that has it, or says that there is no room for more names.
-    pub fn learn(&mut self, name: &str) -> Result<u64, String> {
+    /// Adds a name and returns its id. Fails if another name has the same id, or if the table is full.
+    pub fn insert(&mut self, name: &str) -> Result<u64, String> {
         let id = id_of(name);
         match self.names.get(&id) {
             Some(known) if known == name => Ok(id),
-            Some(known) => Err(format!("'{name}' and '{known}' have one id")),
-            None if self.names.len() >= self.most => Err(format!("more than {} names", self.most)),
+            Some(known) => Err(format!("'{name}' and '{known}' have the same id")),
+            None if self.names.len() >= self.max => Err(format!("more than {} names", self.max)),
             None => {
                 self.names.insert(id, name.to_owned());
                 Ok(id)
@@ -56,7 +56,7 @@
         self.names.is_empty()
     }
 
-    pub fn forget(&mut self, id: u64) {
+    pub fn remove(&mut self, id: u64) {
         self.names.remove(&id);
     }
 }
--- a/crates/curlewpoint-engine/src/lib.rs
+++ b/crates/curlewpoint-engine/src/lib.rs
@@ -1,21 +1,21 @@
-//! One scheduler around the decision module, without I/O: the clock and all that happens are handed in, and it
-//! acts through a [`EngineDriver`].
+//! One scheduler around the decision module, without I/O: time and events are passed in, and it acts through an
+//! [`EngineDriver`].
 //!
-//! [`Engine`] owes one final answer for each RPC taken and one end for each upstream request (attempt, probe, load order)
-//! that the module asks for. [`EndpointList`] follows the list of workers, [`Pool`] decides which connection to a worker
-//! an upstream request takes, [`TimerWheel`] holds the wake-ups.
+//! [`Engine`] gives each RPC that it accepts one final answer, and each upstream request (attempt, probe, load order)
+//! of the module one end. [`EndpointList`] keeps the list of workers, [`Pool`] assigns upstream requests to
+//! connections, [`TimerWheel`] holds the timers.
 
+mod endpoint_list;
 mod engine;
 mod ids;
 mod lifecycle;
 mod pool;
-mod roster;
-mod wheel;
+mod timer_wheel;
 
+pub use endpoint_list::{EndpointList, ListOutcome};
 pub use engine::{
     Answer, Engine, EngineCounters, EngineDriver, Refusal, TooManyMethodVersions, UpstreamRequest,
 };
 pub use ids::{id_of, ClientId, ConnId, NameTable, RequestId};
 pub use pool::{Pool, PoolDriver, PoolLimits};
-pub use roster::{EndpointList, ListOutcome};
-pub use wheel::TimerWheel;
+pub use timer_wheel::TimerWheel;
--- a/crates/curlewpoint-engine/src/lifecycle.rs
+++ b/crates/curlewpoint-engine/src/lifecycle.rs
@@ -1,10 +1,10 @@
-//! What the endpoint list has said of each worker's lifecycle, to be logged when it changes.
+//! The lifecycle state that the endpoint list last reported for each worker; changes are logged.
 
 use std::collections::BTreeMap;
 
 use curlewpoint::types::{Lifecycle, WorkerId};
 
-/// A change of one worker's lifecycle state, as a list told it.
+/// A change of one worker's lifecycle state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition {
     pub worker: WorkerId,
@@ -12,16 +12,17 @@
     pub to: Lifecycle,
 }
 
-/// The lifecycle state last told of each worker.
+/// The last reported lifecycle state of each worker.
 #[derive(Default)]
-pub struct Lifecycles(BTreeMap<WorkerId, Lifecycle>);
+pub struct LifecycleTracker(BTreeMap<WorkerId, Lifecycle>);
 
-/// Transitions that are logged one by one; those beyond are counted, so that a list of thousands is not thousands of lines.
-const MOST_LINES: usize = 16;
+/// Up to this many transitions of one list are logged by name. More are logged as counts only, so that a list with
+/// thousands of changes stays one short line.
+const MAX_NAMED_TRANSITIONS: usize = 16;
 
-impl Lifecycles {
-    /// Notes what a list says of a worker, and tells whether that is a change.
-    pub fn told(&mut self, worker: WorkerId, to: Lifecycle) -> Option<Transition> {
+impl LifecycleTracker {
+    /// Records a worker's reported state and returns the transition, if it changed.
+    pub fn record(&mut self, worker: WorkerId, to: Lifecycle) -> Option<Transition> {
         let from = self.0.insert(worker, to);
         (from != Some(to)).then_some(Transition { worker, from, to })
     }
@@ -31,23 +32,23 @@
     }
 }
 
-/// One line for a list that changed something: each transition by name, or how many there are of each kind.
+/// One log line for the transitions that a list caused, by worker name or, if there are many, as counts by state.
 pub fn describe<'a>(
     version: u64, changes: &[Transition], name: impl Fn(WorkerId) -> &'a str,
 ) -> Option<String> {
     if changes.is_empty() {
         return None;
     }
-    if changes.len() > MOST_LINES {
+    if changes.len() > MAX_NAMED_TRANSITIONS {
         let count = |to| changes.iter().filter(|c| c.to == to).count();
         let (ready, draining, gone) =
             (count(Lifecycle::Ready), count(Lifecycle::Draining), count(Lifecycle::Gone));
         return Some(format!("list {version}: {ready} ready, {draining} draining, {gone} gone"));
     }
-    let one = |c: &Transition| match c.from {
+    let describe_one = |c: &Transition| match c.from {
         Some(from) => format!("{} {from:?} -> {:?}", name(c.worker), c.to),
         None => format!("{} {:?}", name(c.worker), c.to),
     };
-    let all: Vec<String> = changes.iter().map(one).collect();
-    Some(format!("list {version}: {}", all.join(", ")))
+    let lines: Vec<String> = changes.iter().map(describe_one).collect();
+    Some(format!("list {version}: {}", lines.join(", ")))
 }
--- a/crates/curlewpoint-engine/src/wheel.rs
+++ b/crates/curlewpoint-engine/src/timer_wheel.rs
@@ -2,24 +2,25 @@
 
 const BITS: u32 = 6;
 const SLOTS: usize = 1 << BITS;
-/// Six levels of 64 slots: the lowest slot is a tenth of a millisecond, the whole some 80 days.
+/// Six levels of 64 slots; a slot of the lowest level is a tenth of a millisecond, all levels span some 80 days.
 const LEVELS: usize = 6;
 
 struct Entry<T> {
     at: u64,
-    no: u64,
-    what: T,
+    seq: u64,
+    payload: T,
 }
 
-/// Wake-ups in a hierarchical timing wheel (Varghese and Lauck): setting one costs the same however many wait.
-/// They come out in order of time, and of setting where the time is one.
+/// Timers in a hierarchical timing wheel (Varghese and Lauck): the cost of setting one does not depend on how many
+/// are pending. They expire in order of time, and in order of setting if the times are equal.
 pub struct TimerWheel<T> {
     now: u64,
-    next_no: u64,
+    next_seq: u64,
     len: usize,
     slots: Vec<Vec<Entry<T>>>,
-    /// A bit for each slot that holds something.
+    /// For each level a bit mask of the slots in use.
     used: [u64; LEVELS],
+    /// Timers beyond the highest level.
     far: Vec<Entry<T>>,
     due: Vec<Entry<T>>,
 }
@@ -27,7 +28,7 @@
 impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
         let slots = std::iter::repeat_with(Vec::new).take(LEVELS * SLOTS).collect();
-        TimerWheel { now: 0, next_no: 0, len: 0, slots, used: [0; LEVELS], far: Vec::new(), due: Vec::new() }
+        TimerWheel { now: 0, next_seq: 0, len: 0, slots, used: [0; LEVELS], far: Vec::new(), due: Vec::new() }
     }
 }
 
@@ -40,12 +41,12 @@
         self.len == 0
     }
 
-    /// Sets a wake-up; one in the past is due at once.
-    pub fn set(&mut self, at: Time, what: T) {
-        let no = self.next_no;
-        self.next_no += 1;
+    /// Sets a timer; one in the past is due at once.
+    pub fn set(&mut self, at: Time, payload: T) {
+        let seq = self.next_seq;
+        self.next_seq += 1;
         self.len += 1;
-        self.place(Entry { at: at.0, no, what });
+        self.place(Entry { at: at.0, seq, payload });
     }
 
     fn place(&mut self, entry: Entry<T>) {
@@ -53,7 +54,7 @@
             self.due.push(entry);
             return;
         }
-        // The level is that of the highest bit in which the time differs from now.
+        // The level is given by the highest bit in which the time differs from now.
         let level = ((63 - (entry.at ^ self.now).leading_zeros()) / BITS) as usize;
         if level >= LEVELS {
             self.far.push(entry);
@@ -64,38 +65,39 @@
         self.slots[level * SLOTS + slot].push(entry);
     }
 
-    /// The moment at which there is something to do: exact for what is near, not after it for what is far.
+    /// A time not after the earliest timer, and equal to it if the timer is in the lowest level.
     pub fn next(&self) -> Option<Time> {
         if !self.due.is_empty() {
             return Some(Time(self.now));
         }
         for level in 0..LEVELS {
             let shift = BITS * level as u32;
-            let here = (self.now >> shift) as usize % SLOTS;
-            // Slots at or before the present one of a level are empty: their entries are in lower levels.
-            let ahead = self.used[level] & (u64::MAX << here);
+            let current = (self.now >> shift) as usize % SLOTS;
+            // Slots up to the current one of a level are empty: their entries are in lower levels.
+            let ahead = self.used[level] & (u64::MAX << current);
             if ahead != 0 {
                 let slot = u64::from(ahead.trailing_zeros());
-                let round = self.now >> (shift + BITS) << (shift + BITS);
-                return Some(Time(round + (slot << shift)));
+                let rotation_start = self.now >> (shift + BITS) << (shift + BITS);
+                return Some(Time(rotation_start + (slot << shift)));
             }
         }
         self.far.iter().map(|e| Time(e.at)).min()
     }
 
-    /// Takes out the next wake-up that is due at `now`, the earliest first.
+    /// Removes the earliest timer that is due at `now`.
     pub fn pop(&mut self, now: Time) -> Option<(Time, T)> {
         while self.due.is_empty() {
             let at = self.next().filter(|at| *at <= now)?;
             self.advance(at.0);
         }
-        // `due` is kept with the earliest last.
+        // `due` is sorted with the earliest last.
         let entry = self.due.pop()?;
         self.len -= 1;
-        Some((Time(entry.at), entry.what))
+        Some((Time(entry.at), entry.payload))
     }
 
-    /// Moves to a time before which nothing is due, and brings down what lies in the slots that begin there.
+    /// Moves to a time before which nothing is due, and cascades the entries of the slots that begin there to lower
+    /// levels.
     fn advance(&mut self, to: u64) {
         let moved = std::mem::replace(&mut self.now, to) ^ to;
         if moved >> (BITS * LEVELS as u32) != 0 {
@@ -112,7 +114,7 @@
                 }
             }
         }
-        self.due.sort_unstable_by_key(|e| std::cmp::Reverse((e.at, e.no)));
+        self.due.sort_unstable_by_key(|e| std::cmp::Reverse((e.at, e.seq)));
     }
 }
 
@@ -125,39 +127,39 @@
     #[derive(Clone, Debug)]
     enum Step {
         Set(u64),
-        Turn(u64),
+        Advance(u64),
     }
 
     fn step() -> impl Strategy<Value = Step> {
         let span = prop_oneof![0u64..100, 0u64..10_000, 0u64..100_000_000, 0u64..(1 << 40)];
-        prop_oneof![3 => span.clone().prop_map(Step::Set), 2 => span.prop_map(Step::Turn)]
+        prop_oneof![3 => span.clone().prop_map(Step::Set), 2 => span.prop_map(Step::Advance)]
     }
 
     proptest! {
         #[test]
-        fn what_is_due_comes_out_as_from_an_ordered_map(steps in proptest::collection::vec(step(), 1..200)) {
-            let (mut wheel, mut plain) = (TimerWheel::default(), BTreeMap::new());
-            let (mut now, mut no) = (1_000u64, 0u64);
+        fn timers_expire_in_the_order_of_an_ordered_map(steps in proptest::collection::vec(step(), 1..200)) {
+            let (mut wheel, mut model) = (TimerWheel::default(), BTreeMap::new());
+            let (mut now, mut seq) = (1_000u64, 0u64);
             for s in steps {
                 match s {
                     Step::Set(after) => {
-                        wheel.set(Time(now + after), no);
-                        plain.insert((now + after, no), ());
-                        no += 1;
+                        wheel.set(Time(now + after), seq);
+                        model.insert((now + after, seq), ());
+                        seq += 1;
                     }
-                    Step::Turn(by) => {
+                    Step::Advance(by) => {
                         now += by;
-                        let first = plain.keys().next().map(|k| k.0);
+                        let first = model.keys().next().map(|k| k.0);
                         prop_assert!(wheel.next().map(|t| t.0) <= first.or(Some(u64::MAX)));
                         prop_assert_eq!(wheel.next().is_some(), first.is_some());
-                        let due: Vec<_> = plain.range(..=(now, u64::MAX)).map(|(k, _)| *k).collect();
-                        due.iter().for_each(|k| { plain.remove(k); });
+                        let due: Vec<_> = model.range(..=(now, u64::MAX)).map(|(k, _)| *k).collect();
+                        due.iter().for_each(|k| { model.remove(k); });
                         let mut got = Vec::new();
-                        while let Some((at, what)) = wheel.pop(Time(now)) {
-                            got.push((at.0, what));
+                        while let Some((at, payload)) = wheel.pop(Time(now)) {
+                            got.push((at.0, payload));
                         }
                         prop_assert_eq!(got, due);
-                        prop_assert_eq!(wheel.len(), plain.len());
+                        prop_assert_eq!(wheel.len(), model.len());
                     }
                 }
             }
