--- a/crates/curlewpoint-engine/tests/wire/mod.rs
+++ b/crates/curlewpoint-engine/tests/recording_driver/mod.rs
@@ -1,4 +1,4 @@
-//! A world that writes down what is sent; the story answers it.
+//! A driver that records requests and answers; the test supplies the ends of requests.
 
 use std::collections::VecDeque;
 
@@ -7,27 +7,27 @@
 use curlewpoint_engine::{Answer, ClientId, EngineDriver, RequestId, UpstreamRequest};
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Asked {
+pub enum RequestKind {
     Attempt,
     Load,
     Probe,
 }
 
 #[derive(Default)]
-pub struct Wire {
-    pub sent: Vec<(Time, RequestId, WorkerId, String, Asked)>,
+pub struct RecordingDriver {
+    pub sent: Vec<(Time, RequestId, WorkerId, String, RequestKind)>,
     pub answers: Vec<(u64, Answer)>,
-    pub ended: VecDeque<(RequestId, Outcome)>,
+    pub local_ends: VecDeque<(RequestId, Outcome)>,
 }
 
-impl EngineDriver for Wire {
+impl EngineDriver for RecordingDriver {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
-        let (model, asked) = match request {
-            UpstreamRequest::Attempt { model, .. } => (model, Asked::Attempt),
-            UpstreamRequest::Load { model, .. } => (model, Asked::Load),
-            UpstreamRequest::Probe => ("", Asked::Probe),
+        let (model, kind) = match request {
+            UpstreamRequest::Attempt { model, .. } => (model, RequestKind::Attempt),
+            UpstreamRequest::Load { model, .. } => (model, RequestKind::Load),
+            UpstreamRequest::Probe => ("", RequestKind::Probe),
         };
-        self.sent.push((now, id, worker, model.to_owned(), asked));
+        self.sent.push((now, id, worker, model.to_owned(), kind));
     }
     fn withdraw(&mut self, _: Time, _: RequestId) -> bool {
         false
@@ -36,7 +36,7 @@
         self.answers.push((tag, answer));
     }
     fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
-        self.ended.pop_front()
+        self.local_ends.pop_front()
     }
     fn unload(&mut self, _: Time, _: WorkerId, _: &str) {}
     fn watch_list(&mut self, _: Option<(u64, u64)>) {}
