--- a/src/host.rs
+++ b/src/host.rs
@@ -21,10 +21,9 @@
     fn set_timer(&mut self, delay: Time, id: TimerId);
     /// Subscribes to changes of the endpoint list, where the list has to be subscribed to.
     fn watch_list(&mut self);
-    /// Reports what this scheduler has just observed of a function at a worker, and how many RPCs of the function were
-    /// in flight there, so that the host can share it with other schedulers. Does nothing where schedulers share
-    /// nothing.
-    fn observed(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _in_flight: u64) {}
+    /// Reports what this scheduler has just observed of a function at a worker, and how many RPCs of the function the
+    /// worker held, so that the host can share it with other schedulers. Does nothing where schedulers share nothing.
+    fn observed(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _rpcs_held: u64) {}
     /// Writes a line to the operators' log.
     fn log(&mut self, line: &str);
 }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -36,10 +36,10 @@
 const AFFINITY_HINTED_WARM: f64 = 0.6;
 const AFFINITY_HINTED_LOADING: f64 = 0.45;
 // Constants of type `Time` are in tenths of a millisecond.
-/// Pause in loads at a worker after another scheduler reported 'full', and the most RPCs in flight taken from a hint.
+/// Pause in loads at a worker after another scheduler reported 'full', and the most RPCs held that a hint counts for.
 /// Both are bounded so that the effect of a wrong hint fades within half a minute.
 const HINTED_FULL_HOLD: Time = Time(10_000);
-const MAX_HINTED_IN_FLIGHT: u64 = 256;
+const MAX_HINTED_RPCS: u64 = 256;
 /// Affinity past keep-alive: the function's image may be left on the worker's disk.
 const AFFINITY_IMAGE: f64 = 0.4;
 /// Assumed capacity of a worker of mean size, in copies' worth of lanes. Workers whose loads take seconds run many RPCs
@@ -325,11 +325,11 @@
         }
     }
 
-    /// An attempt ended. `done`: the RPC has its final answer; `in_flight`: RPCs of the function at the worker, as the
-    /// answer reports.
+    /// An attempt ended. `done`: the RPC has its final answer; `rpcs_held`: RPCs of the function that the worker held
+    /// when the attempt arrived, as its answer reports.
     pub fn attempt_ended(
         &mut self, now: Time, id: RpcId, number: AttemptNumber, outcome: Outcome, elapsed: Time, done: bool,
-        copy: CopyReport, in_flight: u64, load_report: &[f64],
+        copy: CopyReport, rpcs_held: u64, load_report: &[f64],
     ) {
         let Some(rpc) = self.rpcs.get_mut(&id) else { return };
         let (function, method, tenant) = (rpc.function, rpc.method, rpc.tenant);
@@ -339,7 +339,7 @@
         attempt.full = outcome == Outcome::Full || copy == CopyReport::LoadFailed;
         let (worker, sent_at, was_warm, overdue) =
             (attempt.worker, attempt.sent_at, attempt.warm, attempt.overdue);
-        let others = in_flight.saturating_sub(attempt.own_ahead) as f64;
+        let others = rpcs_held.saturating_sub(attempt.own_ahead) as f64;
         if overdue == 0 {
             self.add_in_flight(tenant, was_warm, -1.0);
         }
@@ -365,7 +365,7 @@
         match outcome {
             Outcome::Ok if w.started_at <= sent_at => {
                 (belief.copy, belief.observed_at) = (CopyState::Warm(now), now);
-                self.host.observed(worker, function, Hint::Warm, in_flight);
+                self.host.observed(worker, function, Hint::Warm, rpcs_held);
                 w.ceiling = (w.ceiling + 1.0).min(slots);
                 w.consecutive_fulls = 0;
                 self.answered.push_back(now);
@@ -393,7 +393,7 @@
                     w.full_until = now + Time(FULL_HOLD.0 << w.consecutive_fulls);
                 } else {
                     (belief.observed_at, belief.hint) = (now, None);
-                    self.host.observed(worker, function, Hint::Full, in_flight);
+                    self.host.observed(worker, function, Hint::Full, rpcs_held);
                 }
             }
             Outcome::Reset | Outcome::ConnectFailed => {
@@ -773,7 +773,7 @@
     /// later. Without hints each scheduler would have to find every copy itself. A wrong hint begins a load at a worker
     /// without a copy, as a choice without hints would have.
     pub fn hint_received(
-        &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, in_flight: u64, age: Time,
+        &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64, age: Time,
     ) {
         let at = now - age;
         let Some(w) = self.workers.get_mut(&worker) else { return };
@@ -786,7 +786,7 @@
         if hint == Hint::Full {
             belief.no_load_until = belief.no_load_until.max(at + HINTED_FULL_HOLD);
         } else if hint == Hint::Warm {
-            let others = in_flight.min(MAX_HINTED_IN_FLIGHT).saturating_sub(belief.own_in_flight) as f64;
+            let others = rpcs_held.min(MAX_HINTED_RPCS).saturating_sub(belief.own_in_flight) as f64;
             belief.record_others(
                 now,
                 others,
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -46,7 +46,7 @@
     fn watch_list(&mut self) {
         self.record("watch_list".into());
     }
-    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, _in_flight: u64) {
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, _rpcs_held: u64) {
         self.record(format!("observed {} {} {hint:?}", worker.0, function.0));
     }
     fn log(&mut self, line: &str) {
@@ -58,8 +58,8 @@
     pub scheduler: Scheduler<FakeHost>,
     actions: Actions,
     pub now_ms: u64,
-    /// RPCs of the function in flight at the worker, as answers report it.
-    pub in_flight: u64,
+    /// RPCs of the function that the worker holds, as answers report.
+    pub rpcs_held: u64,
     /// Time that attempts take, in milliseconds.
     pub elapsed_ms: u64,
     last_rpc: u64,
@@ -91,7 +91,7 @@
         let settings: Map<String, Value> = settings.as_object().expect("an object").clone();
         let scheduler = Scheduler::start(FakeHost(Rc::clone(&actions)), 7, settings);
         let mut harness =
-            Harness { scheduler, actions, now_ms: 100_000, in_flight: 0, elapsed_ms: 50, last_rpc: 0 };
+            Harness { scheduler, actions, now_ms: 100_000, rpcs_held: 0, elapsed_ms: 50, last_rpc: 0 };
         (1..=workers).for_each(|w| harness.list_worker(w, Lifecycle::Ready, 0));
         harness
     }
@@ -130,7 +130,7 @@
     pub fn end_attempt(&mut self, rpc: u64, number: usize, outcome: Outcome, copy: CopyReport) {
         let (now, done) = (self.now(), outcome == Outcome::Ok);
         let (rpc, number, elapsed) = (RpcId(rpc), AttemptNumber(number), Time(self.elapsed_ms * 10));
-        self.scheduler.attempt_ended(now, rpc, number, outcome, elapsed, done, copy, self.in_flight, &[]);
+        self.scheduler.attempt_ended(now, rpc, number, outcome, elapsed, done, copy, self.rpcs_held, &[]);
     }
 
     /// Submits an RPC, answers it from a warm copy, and returns the worker that it was sent to.
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -389,7 +389,7 @@
 fn a_copy_crowded_by_other_schedulers_gets_a_second_one() {
     let mut s = Harness::new(4);
     let warm = s.answered_rpc(9);
-    s.in_flight = 30;
+    s.rpcs_held = 30;
     s.advance(1500);
     s.answered_rpc(9);
     let next = s.rpc(IDEMPOTENT, 9);
@@ -548,7 +548,7 @@
         [format!("observed {at} 9 Loading")],
         "the second RPC waits for the same load"
     );
-    s.in_flight = 3;
+    s.rpcs_held = 3;
     s.end_attempt(first, 0, Outcome::Ok, CopyReport::BeganLoad);
     assert_eq!(s.actions("observed").last(), Some(&format!("observed {at} 9 Warm")));
 }
