--- a/crates/curlewpoint-gateway/src/clients.rs
+++ b/crates/curlewpoint-gateway/src/clients.rs
@@ -4,7 +4,8 @@
 use curlewpoint_catalogue::Catalogue;
 use curlewpoint_engine::ClientId;
 use curlewpoint_link::{
-    at_once, is_of_one_accept, linger, next_at_once, open, Ahead, Bounds, Link, LINGER, METRICS,
+    handshake, is_transient_accept_error, linger, next_if_ready, now_or_never, Link, LinkLimits, ReadAhead,
+    LINGER_LIMITS, METRICS,
 };
 use curlewpoint_wire::{Field, Frame, Kind};
 use tokio::net::{TcpListener, TcpStream};
@@ -28,7 +29,7 @@
 pub(crate) struct ClientContext {
     /// Name of this instance.
     pub name: String,
-    pub bounds: Bounds,
+    pub bounds: LinkLimits,
     pub active_methods: watch::Receiver<Arc<ActiveMethods>>,
     /// For events that end something. The engine's task processes these before those of `request_tx`.
     pub priority_tx: mpsc::Sender<Event>,
@@ -83,7 +84,7 @@
         };
         match accepted {
             Ok((stream, _)) => clients.admit(stream),
-            Err(e) if is_of_one_accept(&e) => METRICS.local_errors.add(1),
+            Err(e) if is_transient_accept_error(&e) => METRICS.local_errors.add(1),
             Err(e) => {
                 // Usually out of file descriptors. Open connections go on, and closing ones free descriptors.
                 warn!("a connection could not be accepted: {e}");
@@ -93,17 +94,19 @@
     }
     // Lets the runtime poll the sockets once, so that all connections that the kernel has accepted are seen.
     yield_now().await;
-    while let Some(Ok((stream, _))) = at_once(listener.accept()).await {
+    while let Some(Ok((stream, _))) = now_or_never(listener.accept()).await {
         clients.admit(stream);
     }
 }
 
 async fn reject(stream: TcpStream, context: ClientContext, slot: OwnedSemaphorePermit) {
-    if let Ok(Link { outbox, mut reader, writer, .. }) = open(stream, &context.name, context.bounds).await {
+    if let Ok(Link { outbox, mut reader, writer, .. }) =
+        handshake(stream, &context.name, context.bounds).await
+    {
         let _ = outbox.send(Frame::new(Kind::FAULT).text(Field::REASON, "too many connections"), None);
         drop(outbox);
         let _ = writer.await;
-        linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+        linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
     }
     drop(slot);
 }
@@ -125,7 +128,7 @@
 async fn serve_client(id: ClientId, stream: TcpStream, context: ClientContext, _slot: OwnedSemaphorePermit) {
     let opened = tokio::select! {
         biased;
-        opened = open(stream, &context.name, context.bounds) => opened,
+        opened = handshake(stream, &context.name, context.bounds) => opened,
         // A client that has not sent its hello by then is not waited for.
         () = async { context.closing.cancelled().await; yield_now().await } => return,
     };
@@ -142,7 +145,7 @@
     {
         return;
     }
-    let (mut queue, mut passed_on, mut received) = (Ahead::new(READ_AHEAD), 0, None::<Frame>);
+    let (mut queue, mut passed_on, mut received) = (ReadAhead::new(READ_AHEAD), 0, None::<Frame>);
     let (mut writing, mut error) = (true, None);
     loop {
         if let Some(frame) = received.take() {
@@ -155,7 +158,7 @@
                     }
                 };
                 let after =
-                    queue.withdraw(|q: &QueuedEvent| q.tag == Some(tag)).is_none().then_some(passed_on);
+                    queue.remove_last(|q: &QueuedEvent| q.tag == Some(tag)).is_none().then_some(passed_on);
                 if context.priority_tx.send(Event::CancelRpc(id, tag, after)).await.is_err() {
                     break;
                 }
@@ -194,7 +197,7 @@
                 }
                 _ => break,
             },
-            () = context.closing.cancelled(), if queue.is_empty() => match next_at_once(&mut reader).await {
+            () = context.closing.cancelled(), if queue.is_empty() => match next_if_ready(&mut reader).await {
                 Some(Ok(frame)) => received = Some(frame),
                 Some(Err(e)) => {
                     error = Some(e);
@@ -212,7 +215,7 @@
     if writing {
         let _ = writer.await;
     }
-    linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+    linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
 }
 
 #[cfg(test)]
--- a/crates/curlewpoint-gateway/src/clients/tests.rs
+++ b/crates/curlewpoint-gateway/src/clients/tests.rs
@@ -21,7 +21,7 @@
         ActiveMethods { release: releases.in_force(), prepared, withdrawn: releases.withdrawn().clone() };
     let (_, active_methods) = watch::channel(Arc::new(active));
     let (closing, tasks) = (CancellationToken::new(), TaskTracker::new());
-    let (name, bounds) = ("x".to_owned(), Bounds::default());
+    let (name, bounds) = ("x".to_owned(), LinkLimits::default());
     let context = ClientContext { name, bounds, active_methods, priority_tx, request_tx, closing, tasks };
     let (stop_tx, stopped) = watch::channel(false);
     tokio::spawn(async move {
@@ -37,7 +37,7 @@
 }
 
 async fn connected(address: SocketAddr) -> Link {
-    open(TcpStream::connect(address).await.unwrap(), "c", Bounds::default()).await.unwrap()
+    handshake(TcpStream::connect(address).await.unwrap(), "c", LinkLimits::default()).await.unwrap()
 }
 
 fn send(outbox: &Outbox, kind: Kind, tag: u64) {
--- a/crates/curlewpoint-gateway/src/http.rs
+++ b/crates/curlewpoint-gateway/src/http.rs
@@ -12,7 +12,7 @@
 use curlewpoint::types::Time;
 use curlewpoint_catalogue::{method_in, Effect, Method as Described, Misfit, Release};
 use curlewpoint_engine::{Answer, ClientId, Refusal};
-use curlewpoint_link::{linger, Clock, LINGER};
+use curlewpoint_link::{linger, Clock, LINGER_LIMITS};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto;
@@ -147,7 +147,7 @@
     let (mut read, write) = stream.into_split();
     // Shuts the writing side down.
     drop(write);
-    linger(&mut read, LINGER.0, LINGER.1).await;
+    linger(&mut read, LINGER_LIMITS.0, LINGER_LIMITS.1).await;
 }
 
 async fn serve_connection(
@@ -187,7 +187,7 @@
         debug!(?peer, "http: {e}");
     }
     // Dropping the server has shut the writing side down.
-    linger(&mut shared_read, LINGER.0, LINGER.1).await;
+    linger(&mut shared_read, LINGER_LIMITS.0, LINGER_LIMITS.1).await;
 }
 
 /// Serves HTTP/1.1 and HTTP/2 without TLS until `stop` is set. Connections that have arrived by then are still admitted and
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -13,7 +13,7 @@
 use curlewpoint_fleet::{
     frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, Observation, Run,
 };
-use curlewpoint_link::{open, Bounds, Link, LinkError, Outbox};
+use curlewpoint_link::{handshake, Link, LinkError, LinkLimits, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 use futures_util::FutureExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -40,7 +40,7 @@
 struct LinkContext {
     /// Name of this instance.
     name: String,
-    bounds: Bounds,
+    bounds: LinkLimits,
     /// Time for connecting and exchanging hellos.
     dial_timeout: Duration,
     event_tx: mpsc::Sender<Event>,
@@ -83,7 +83,7 @@
     async fn dial(self, link: LinkId, address: String) {
         let dialled = timeout(self.dial_timeout, async {
             let stream = TcpStream::connect(&address).await.map_err(WireError::from)?;
-            open(stream, &self.name, self.bounds).await
+            handshake(stream, &self.name, self.bounds).await
         });
         match dialled.await {
             Ok(Ok(opened)) => self.read_frames(link, opened, Event::PeerConnected).await,
@@ -141,7 +141,7 @@
             last_id += 1;
             let (link, context) = (LinkId(last_id), self.clone());
             self.tasks.spawn(async move {
-                match open(stream, &context.name, context.bounds).await {
+                match handshake(stream, &context.name, context.bounds).await {
                     Ok(opened) => context.read_frames(link, opened, Event::PeerAccepted).await,
                     Err(error) => info!("fleet: no hello from a peer: {error}"),
                 }
@@ -234,12 +234,12 @@
         self.links.list_connection_number += 1;
         self.links.wanted_list_connection.send_replace(on.then_some(self.links.list_connection_number));
         if !on {
-            self.engine.world().list_outbox = None;
+            self.engine.driver().list_outbox = None;
         }
     }
 
     fn request_service_list(&mut self, held: Option<(u64, u64)>) {
-        if let Some(outbox) = &self.engine.world().list_outbox {
+        if let Some(outbox) = &self.engine.driver().list_outbox {
             let _ = outbox.send(frames::list_request_frame(held), None);
         }
     }
@@ -271,7 +271,7 @@
     }
 
     fn set_instance_count(&mut self, number: u64) {
-        self.engine.instances(number);
+        self.engine.set_instance_count(number);
     }
 
     fn log(&mut self, line: &str) {
@@ -341,11 +341,11 @@
             run = format!("{:016x}", fleet.own_id().run.0),
             "fleet: peers may come"
         );
-        let bounds = Bounds {
-            frame: MAX_FRAME_BYTES,
-            outbox: (16 << 10, 4 << 20),
-            hello: config.duration("connections", "hello-limit"),
-            write: config.duration("connections", "write-limit"),
+        let bounds = LinkLimits {
+            max_frame_bytes: MAX_FRAME_BYTES,
+            max_outbox: (16 << 10, 4 << 20),
+            hello_timeout: config.duration("connections", "hello-limit"),
+            write_timeout: config.duration("connections", "write-limit"),
         };
         let context = LinkContext {
             name: name.to_owned(),
@@ -449,7 +449,7 @@
         if self.fleet.directory().is_none() {
             return;
         }
-        for function in engine.world().wanted_functions.replace(BTreeSet::new()).into_iter().flatten() {
+        for function in engine.driver().wanted_functions.replace(BTreeSet::new()).into_iter().flatten() {
             self.call(now, engine, |me, driver| me.function_requested(now, driver, function));
         }
     }
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -7,9 +7,9 @@
 use curlewpoint_amqp::Login;
 use curlewpoint_catalogue::{Release, Releases, Standing};
 use curlewpoint_config::Config;
-use curlewpoint_engine::{ClientId, ConnId, Engine, Figures, Pool, PoolLimits, Refusal, RequestId};
+use curlewpoint_engine::{ClientId, ConnId, Engine, EngineCounters, Pool, PoolLimits, Refusal, RequestId};
 use curlewpoint_journal::{Journal, JournalError, Limits as JournalLimits};
-use curlewpoint_link::{Bounds, Clock, Turns};
+use curlewpoint_link::{Clock, EventQueue, LinkLimits};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 use thiserror::Error;
 use tokio::sync::{mpsc, watch};
@@ -61,7 +61,7 @@
     pub http: Option<SocketAddr>,
     event_tx: mpsc::Sender<Event>,
     initial_config: Arc<Config>,
-    event_loop: JoinHandle<Figures>,
+    event_loop: JoinHandle<EngineCounters>,
     /// Tasks that are aborted when the scheduler has ended.
     background_tasks: Vec<AbortHandle>,
 }
@@ -91,7 +91,7 @@
     }
 
     /// Waits for the scheduler to end and returns its counters.
-    pub async fn wait(self) -> Figures {
+    pub async fn wait(self) -> EngineCounters {
         let figures = self.event_loop.await.unwrap_or_default();
         self.background_tasks.iter().for_each(AbortHandle::abort);
         figures
@@ -144,11 +144,11 @@
         Some(at) => Some(curlewpoint_link::listen(at).map_err(|e| StartError::Listen(at.to_owned(), e))?),
     };
     let http = http_listener.as_ref().and_then(|l| l.local_addr().ok());
-    let bounds = Bounds {
-        frame: number("most-frame") as usize,
-        outbox: (number("outbox-frames") as usize, number("outbox") as usize),
-        hello: config.duration("connections", "hello-limit"),
-        write: config.duration("connections", "write-limit"),
+    let bounds = LinkLimits {
+        max_frame_bytes: number("most-frame") as usize,
+        max_outbox: (number("outbox-frames") as usize, number("outbox") as usize),
+        hello_timeout: config.duration("connections", "hello-limit"),
+        write_timeout: config.duration("connections", "write-limit"),
     };
     let seed = match config.value("", "seed") {
         Some(_) => u128::from(config.number("", "seed") as u64),
@@ -166,11 +166,11 @@
         Dialler { name: name.clone(), bounds, timeout: dial_timeout, event_tx: priority_tx.clone() };
     let ms = |name| Time::from_ms(number(name));
     let limits = PoolLimits {
-        streams: number("streams") as usize,
-        conns: number("to-worker") as usize,
+        requests_per_conn: number("streams") as usize,
+        conns_per_worker: number("to-worker") as usize,
         // The configuration has no limit on the total number of connections.
-        all: usize::MAX,
-        idle: ms("idle"),
+        total_conns: usize::MAX,
+        idle_timeout: ms("idle"),
         back_off: (ms("back-off"), ms("most-back-off")),
     };
     let run_id = format!("{name}.{:08x}", oorandom::Rand64::new(seed).rand_u64() as u32);
@@ -187,7 +187,10 @@
     let (tasks, closing) = (TaskTracker::new(), CancellationToken::new());
     let max_clients = number("clients") as usize;
     // A client's frame must fit into a frame to a worker with the longer header of an attempt.
-    let client_bounds = Bounds { frame: bounds.frame.saturating_sub(ATTEMPT_HEADER_MARGIN_BYTES), ..bounds };
+    let client_bounds = LinkLimits {
+        max_frame_bytes: bounds.max_frame_bytes.saturating_sub(ATTEMPT_HEADER_MARGIN_BYTES),
+        ..bounds
+    };
     let client_context = clients::ClientContext {
         name: name.clone(),
         bounds: client_bounds,
@@ -203,7 +206,7 @@
     if let Some(listener) = http_listener {
         let limits = Limits {
             connections: number("http-clients") as usize,
-            body_bytes: client_bounds.frame,
+            body_bytes: client_bounds.max_frame_bytes,
             receive_timeout: config.duration("connections", "http-slow"),
             header_bytes: number("http-head") as usize,
         };
@@ -308,8 +311,8 @@
     async fn run(
         mut self, priority_rx: mpsc::Receiver<Event>, request_rx: mpsc::Receiver<Event>, tasks: TaskTracker,
         stop_limit: Duration,
-    ) -> Figures {
-        let mut iterations = Turns::new(priority_rx, request_rx, MAX_EVENTS_PER_ITERATION);
+    ) -> EngineCounters {
+        let mut iterations = EventQueue::new(priority_rx, request_rx, MAX_EVENTS_PER_ITERATION);
         let mut last_sweep = Instant::now();
         loop {
             let mut wake =
@@ -323,7 +326,7 @@
                     wake
                 });
             }
-            let events = iterations.next(wake).await;
+            let events = iterations.next_batch(wake).await;
             let now = self.clock.now();
             if let Some(membership) = &mut self.membership {
                 membership.advance(now, &mut self.engine);
@@ -343,16 +346,16 @@
             }
             let now = self.clock.now();
             self.engine.advance(now);
-            let observations = std::mem::take(&mut self.engine.world().observations);
+            let observations = std::mem::take(&mut self.engine.driver().observations);
             if let Some(membership) = &mut self.membership {
                 membership.observed(now, &mut self.engine, observations);
             }
-            for client in std::mem::take(&mut self.engine.world().cut_off) {
+            for client in std::mem::take(&mut self.engine.driver().cut_off) {
                 self.engine.client_gone(now, client);
             }
             if last_sweep.elapsed() >= SWEEP_INTERVAL {
                 last_sweep = Instant::now();
-                self.engine.world().sweep(now);
+                self.engine.driver().sweep(now);
                 if let Some(membership) = &mut self.membership {
                     membership.save_snapshot(now);
                 }
@@ -361,7 +364,7 @@
                 break;
             }
         }
-        let open = self.engine.open();
+        let open = self.engine.open_rpcs();
         if open > 0 {
             warn!(open, "ended with RPCs open: they are aborted");
             self.engine.abort_all(self.clock.now());
@@ -379,12 +382,12 @@
             let events: Vec<Event> = tokio::select! {
                 () = &mut all_tasks => break,
                 () = &mut timeout => break,
-                events = iterations.next(SWEEP_INTERVAL) => events.filter(Event::is_from_client).collect(),
+                events = iterations.next_batch(SWEEP_INTERVAL) => events.filter(Event::is_from_client).collect(),
             };
             events.into_iter().for_each(|event| self.handle_event(event, stop_limit));
         }
-        let f = self.engine.figures();
-        let conns = self.engine.world().conns();
+        let f = self.engine.counters();
+        let conns = self.engine.driver().conns();
         info!(f.taken, f.ok, f.denied, f.aborted, f.left, f.refused, f.attempts, conns, "stopped");
         f
     }
@@ -395,8 +398,9 @@
         let Some(shutdown) = &self.shutdown else { return false };
         let (now, go_away_deadline, deadline) =
             (Instant::now(), shutdown.go_away_deadline, shutdown.deadline);
-        let clients_done = now >= go_away_deadline || self.engine.world().clients.values().all(|c| c.leaving);
-        self.is_stopped || now >= deadline || (clients_done && self.engine.open() == 0)
+        let clients_done =
+            now >= go_away_deadline || self.engine.driver().clients.values().all(|c| c.leaving);
+        self.is_stopped || now >= deadline || (clients_done && self.engine.open_rpcs() == 0)
     }
 
     /// Whether new work is held back after this process has been stalled.
@@ -414,18 +418,18 @@
             Event::PeerDisconnected(link) => membership.link_down(now, engine, link),
             Event::PeerFrame(link, frame) => membership.peer_frame(now, engine, link, &frame),
             Event::ListConnected(outbox) => {
-                engine.world().list_outbox = Some(outbox);
+                engine.driver().list_outbox = Some(outbox);
                 membership.service_up(now, engine);
             }
             Event::ListFrame(frame) => {
                 if let Err(e) = membership.list_frame(now, engine, None, &frame) {
                     info!("list service: {e}");
-                    engine.world().list_outbox = None;
+                    engine.driver().list_outbox = None;
                     membership.service_down(now);
                 }
             }
             Event::ListDisconnected => {
-                engine.world().list_outbox = None;
+                engine.driver().list_outbox = None;
                 membership.service_down(now);
             }
             other => return Some(other),
@@ -439,19 +443,19 @@
         let engine = &mut self.engine;
         match event {
             Event::ClientConnected(id, client) => {
-                engine.world().clients.insert(id, client);
+                engine.driver().clients.insert(id, client);
                 if self.shutdown.is_some() {
-                    engine.world().send_to_client(id, Frame::new(Kind::GO_AWAY));
+                    engine.driver().send_to_client(id, Frame::new(Kind::GO_AWAY));
                 }
             }
             Event::ClientDisconnected(id, error, dropped) => {
                 // RPCs that were read and not passed on count as refused.
-                (0..dropped).for_each(|_| engine.refused());
+                (0..dropped).for_each(|_| engine.count_refused());
                 match error {
                     Some(error) => self.close_client(now, id, &error.to_string()),
                     None => {
-                        engine.world().clients.remove(&id);
-                        engine.world().reply_txs.remove(&id);
+                        engine.driver().clients.remove(&id);
+                        engine.driver().reply_txs.remove(&id);
                         engine.client_gone(now, id);
                     }
                 }
@@ -465,9 +469,9 @@
             }
             Event::CancelRpc(id, tag, None) => self.refuse_cancelled(id, tag),
             Event::CancelRpc(id, tag, Some(passed_on)) => {
-                let Some(client) = engine.world().clients.get_mut(&id) else { return };
+                let Some(client) = engine.driver().clients.get_mut(&id) else { return };
                 if client.record_cancel(tag, passed_on) {
-                    engine.cancelled(now, id, tag);
+                    engine.cancel(now, id, tag);
                 } else {
                     self.close_client(now, id, "too much is withdrawn");
                 }
@@ -485,38 +489,38 @@
                 }
             }
             Event::WorkerConnected(conn, outbox) => {
-                engine.world().conn_up(now, conn, outbox);
-                engine.settle(now);
+                engine.driver().conn_up(now, conn, outbox);
+                engine.process_ends(now);
             }
             Event::WorkerDialFailed(conn, local) => {
-                engine.world().conn_failed(now, conn, local);
-                engine.settle(now);
+                engine.driver().conn_failed(now, conn, local);
+                engine.process_ends(now);
             }
             Event::WorkerDisconnected(conn) => {
-                engine.world().conn_broken(now, conn);
-                engine.settle(now);
+                engine.driver().conn_broken(now, conn);
+                engine.process_ends(now);
             }
             Event::WorkerFrame(conn, frame) => {
                 if let Err(e) = self.worker_frame(now, conn, &frame) {
                     info!(conn = conn.0, "connection to a worker closed: {e}");
-                    self.engine.world().conn_broken(now, conn);
-                    self.engine.settle(now);
+                    self.engine.driver().conn_broken(now, conn);
+                    self.engine.process_ends(now);
                 }
             }
             Event::ListConnected(outbox) => {
-                engine.world().list_outbox = Some(outbox);
-                engine.list_up();
+                engine.driver().list_outbox = Some(outbox);
+                engine.list_connected();
             }
             Event::ListFrame(frame) => {
                 if let Err(e) = self.list_frame(now, &frame) {
                     info!("list service: {e}");
-                    self.engine.world().list_outbox = None;
-                    self.engine.list_broke();
+                    self.engine.driver().list_outbox = None;
+                    self.engine.list_disconnected();
                 }
             }
             Event::ListDisconnected => {
-                engine.world().list_outbox = None;
-                engine.list_broke();
+                engine.driver().list_outbox = None;
+                engine.list_disconnected();
             }
             Event::PeerAccepted(..)
             | Event::PeerConnected(..)
@@ -524,17 +528,17 @@
             | Event::PeerFrame(..) => {}
             Event::Stop if self.shutdown.is_some() => self.is_stopped = true,
             Event::Stop => {
-                info!(open = engine.open(), "stopping: no more RPCs are accepted");
+                info!(open = engine.open_rpcs(), "stopping: no more RPCs are accepted");
                 let now = Instant::now();
                 self.shutdown = Some(Shutdown {
                     go_away_deadline: now + GO_AWAY_TIMEOUT.min(stop_limit),
                     deadline: now + stop_limit,
                 });
                 let _ = self.stop_tx.send(true);
-                engine.stop_taking();
-                let client_ids: Vec<ClientId> = engine.world().clients.keys().copied().collect();
+                engine.stop_accepting();
+                let client_ids: Vec<ClientId> = engine.driver().clients.keys().copied().collect();
                 for id in client_ids {
-                    engine.world().send_to_client(id, Frame::new(Kind::GO_AWAY));
+                    engine.driver().send_to_client(id, Frame::new(Kind::GO_AWAY));
                 }
             }
         }
@@ -544,10 +548,10 @@
     /// that has been cancelled in the meantime is refused.
     fn should_process(&mut self, id: ClientId, frame: &Frame) -> bool {
         let tag = frame.get_int(Field::TAG).ok().filter(|_| frame.kind == Kind::RPC);
-        match (self.engine.world().clients.get_mut(&id).map(|client| client.process(tag)), tag) {
+        match (self.engine.driver().clients.get_mut(&id).map(|client| client.process(tag)), tag) {
             (Some(true), Some(tag)) => self.refuse_cancelled(id, tag),
             (Some(_), _) => return true,
-            (None, Some(_)) => self.engine.refused(),
+            (None, Some(_)) => self.engine.count_refused(),
             (None, None) => {}
         }
         false
@@ -555,9 +559,9 @@
 
     /// Refuses an RPC that its client cancelled before it was accepted.
     fn refuse_cancelled(&mut self, id: ClientId, tag: u64) {
-        self.engine.refused();
+        self.engine.count_refused();
         let refused = Frame::new(Kind::REFUSED).int(Field::TAG, tag).text(Field::REASON, "cancelled");
-        self.engine.world().send_to_client(id, refused);
+        self.engine.driver().send_to_client(id, refused);
     }
 
     fn client_frame(
@@ -565,7 +569,7 @@
     ) -> Result<(), WireError> {
         match frame.kind {
             Kind::RPC => {
-                let releases = &self.engine.world().releases;
+                let releases = &self.engine.driver().releases;
                 let active = releases.in_force();
                 if release != active {
                     // A reload has replaced the methods since the frame was read: the RPC must match the new schema.
@@ -575,7 +579,7 @@
                     }
                 }
                 let (tag, method) = (frame.get_int(Field::TAG)?, frame.get_text(Field::METHOD)?);
-                let accepted = self.engine.rpc(
+                let accepted = self.engine.submit_rpc(
                     now,
                     (id, tag),
                     method,
@@ -589,11 +593,11 @@
                 if let Err(refusal) = accepted {
                     let reason = codes::refusal_name(self.refine_refusal(now, method, refusal));
                     let refused = Frame::new(Kind::REFUSED).int(Field::TAG, tag);
-                    self.engine.world().send_to_client(id, refused.text(Field::REASON, reason));
+                    self.engine.driver().send_to_client(id, refused.text(Field::REASON, reason));
                 }
             }
             Kind::GO_AWAY => {
-                self.engine.world().clients.get_mut(&id).into_iter().for_each(|c| c.leaving = true);
+                self.engine.driver().clients.get_mut(&id).into_iter().for_each(|c| c.leaving = true);
             }
             // Unknown kinds, possibly of later versions, are ignored.
             _ => {}
@@ -604,16 +608,16 @@
     /// Refuses an RPC whose body does not match its method's schema.
     fn refuse_invalid(&mut self, id: ClientId, frame: &Frame, reason: &str) -> Result<(), WireError> {
         let tag = frame.get_int(Field::TAG)?;
-        self.engine.refused();
+        self.engine.count_refused();
         let f =
             Frame::new(Kind::REFUSED).int(Field::TAG, tag).text(Field::REASON, &format!("unfit: {reason}"));
-        self.engine.world().send_to_client(id, f);
+        self.engine.driver().send_to_client(id, f);
         Ok(())
     }
 
     /// Distinguishes a method that was withdrawn recently from one that is unknown.
     fn refine_refusal(&mut self, now: Time, method: &str, refusal: Refusal) -> Refusal {
-        match (refusal, self.engine.world().releases.standing(now, method)) {
+        match (refusal, self.engine.driver().releases.standing(now, method)) {
             (Refusal::NoSuchMethod, Standing::Withdrawn { .. }) => Refusal::Withdrawn,
             _ => refusal,
         }
@@ -623,9 +627,9 @@
     fn reload(
         &mut self, now: Time, prepared: Arc<PreparedMethods>, method_settings: Vec<serde_json::Value>,
     ) -> Result<Release, ReloadError> {
-        self.engine.world().releases.has_room().map_err(|e| ReloadError::TooManyReleases(e.0))?;
-        self.engine.serve(method_settings).map_err(|_| ReloadError::TooManyMethodSettings)?;
-        let releases = &mut self.engine.world().releases;
+        self.engine.driver().releases.has_room().map_err(|e| ReloadError::TooManyReleases(e.0))?;
+        self.engine.set_methods(method_settings).map_err(|_| ReloadError::TooManyMethodSettings)?;
+        let releases = &mut self.engine.driver().releases;
         let release = releases
             .reload(now, Arc::clone(&prepared.catalogue))
             .map_err(|e| ReloadError::TooManyReleases(e.0))?;
@@ -641,19 +645,19 @@
         let RpcRequest { release, method, model, tenant, time_left, token, body, reply_tx } = request;
         // The requester has disconnected: the RPC is not accepted.
         if reply_tx.is_closed() {
-            return self.engine.refused();
+            return self.engine.count_refused();
         }
-        if release != self.engine.world().releases.in_force() {
+        if release != self.engine.driver().releases.in_force() {
             let _ = reply_tx.send(Reply::MethodsChanged);
             return;
         }
         // Inserted first, as the engine may answer during the call.
-        self.engine.world().reply_txs.insert(id, reply_tx);
+        self.engine.driver().reply_txs.insert(id, reply_tx);
         let token = token.as_deref();
         if let Err(refusal) =
-            self.engine.rpc(now, (id, 1), &method, &model, &tenant, time_left, token, None, body)
+            self.engine.submit_rpc(now, (id, 1), &method, &model, &tenant, time_left, token, None, body)
         {
-            if let Some(reply_tx) = self.engine.world().reply_txs.remove(&id) {
+            if let Some(reply_tx) = self.engine.driver().reply_txs.remove(&id) {
                 let _ = reply_tx.send(Reply::Refused(self.refine_refusal(now, &method, refusal)));
             }
         }
@@ -661,9 +665,9 @@
 
     /// Whether a worker's answer matches the schema under which the RPC was accepted.
     fn answer_matches_schema(&mut self, request: RequestId, body: &[u8]) -> bool {
-        let Some((rpc, method)) = self.engine.asked_by(request) else { return true };
+        let Some((rpc, method)) = self.engine.rpc_of_attempt(request) else { return true };
         let method = method.to_owned();
-        let catalogue = self.engine.world().catalogue_of(rpc);
+        let catalogue = self.engine.driver().catalogue_of(rpc);
         let checked = catalogue.and_then(|c| c.method(&method)).map_or(Ok(()), |m| m.answer.check(body));
         if let Err(error) = &checked {
             info!(method, "an answer does not fit its schema, {error}");
@@ -673,8 +677,8 @@
 
     fn close_client(&mut self, now: Time, id: ClientId, reason: &str) {
         info!(client = id.0, "closed: {reason}");
-        self.engine.world().send_to_client(id, Frame::new(Kind::FAULT).text(Field::REASON, reason));
-        self.engine.world().clients.remove(&id);
+        self.engine.driver().send_to_client(id, Frame::new(Kind::FAULT).text(Field::REASON, reason));
+        self.engine.driver().clients.remove(&id);
         self.engine.client_gone(now, id);
     }
 
@@ -693,12 +697,12 @@
                     && outcome == Outcome::Ok
                     && !self.answer_matches_schema(request, &f.body);
                 let outcome = if mismatched { Outcome::Error } else { outcome };
-                if self.engine.world().answered(now, conn, request) {
+                if self.engine.driver().answered(now, conn, request) {
                     let body = f.body.clone();
                     self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
                 }
             }
-            Kind::GO_AWAY => self.engine.world().conn_leaves(conn),
+            Kind::GO_AWAY => self.engine.driver().conn_leaves(conn),
             _ => {}
         }
         Ok(())
--- a/crates/curlewpoint-gateway/src/workers.rs
+++ b/crates/curlewpoint-gateway/src/workers.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use curlewpoint_engine::ConnId;
-use curlewpoint_link::{dial, is_ours, open, Bounds, Link, LinkError};
+use curlewpoint_link::{dial, handshake, is_local_error, Link, LinkError, LinkLimits};
 use curlewpoint_wire::WireError;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
@@ -14,7 +14,7 @@
 pub(crate) struct Dialler {
     /// Name of this instance.
     pub name: String,
-    pub bounds: Bounds,
+    pub bounds: LinkLimits,
     /// Time for connecting and exchanging hellos.
     pub timeout: Duration,
     pub event_tx: mpsc::Sender<Event>,
@@ -27,8 +27,9 @@
         tokio::spawn(async move {
             let dialled = timeout(limit, async {
                 let dialled = dial(&address).await;
-                let stream = dialled.map_err(|e| (is_ours(&e), LinkError::from(WireError::from(e))))?;
-                open(stream, &name, bounds).await.map_err(|error| (false, error))
+                let stream =
+                    dialled.map_err(|e| (is_local_error(&e), LinkError::from(WireError::from(e))))?;
+                handshake(stream, &name, bounds).await.map_err(|error| (false, error))
             });
             let (local, error) = match dialled.await {
                 Ok(Ok(link)) => return read_frames(conn, link, event_tx).await,
--- a/crates/curlewpoint-lab/tests/sockets/amqp.rs
+++ b/crates/curlewpoint-lab/tests/sockets/amqp.rs
@@ -141,7 +141,7 @@
     }
 }
 
-async fn end(gateway: RunningScheduler) -> curlewpoint_engine::Figures {
+async fn end(gateway: RunningScheduler) -> curlewpoint_engine::EngineCounters {
     gateway.stop().await;
     gateway.wait().await
 }
--- a/crates/curlewpoint-node/src/clients.rs
+++ b/crates/curlewpoint-node/src/clients.rs
@@ -6,7 +6,8 @@
 use bytes::Bytes;
 use curlewpoint_engine::ClientId;
 use curlewpoint_link::{
-    at_once, is_of_one_accept, linger, next_at_once, outbox, split, Ahead, Bounds, Clock, LINGER, METRICS,
+    is_transient_accept_error, linger, next_if_ready, now_or_never, spawn_writer, split, Clock, LinkLimits,
+    ReadAhead, LINGER_LIMITS, METRICS,
 };
 use curlewpoint_platform::commands::CANCEL;
 use curlewpoint_platform::resp::{CommandDecoder, RespError};
@@ -52,7 +53,7 @@
 /// What the tasks of all clients share.
 #[derive(Clone)]
 pub(crate) struct ClientContext {
-    pub bounds: Bounds,
+    pub bounds: LinkLimits,
     pub clock: Clock,
     /// Events that end something, processed before all others.
     pub priority_tx: mpsc::Sender<Event>,
@@ -104,7 +105,7 @@
                 }
                 pending = Some(stream);
             }
-            Err(e) if is_of_one_accept(&e) => METRICS.local_errors.add(1),
+            Err(e) if is_transient_accept_error(&e) => METRICS.local_errors.add(1),
             Err(e) => {
                 // Most likely out of file descriptors: evicts clients as if all slots were taken, and waits before the
                 // next accept so that the loop does not spin.
@@ -122,9 +123,9 @@
     yield_now().await;
     pending.into_iter().for_each(|stream| admit(&mut admission, stream, waited));
     loop {
-        match at_once(listener.accept()).await {
+        match now_or_never(listener.accept()).await {
             Some(Ok((stream, _))) => admit(&mut admission, stream, false),
-            Some(Err(e)) if is_of_one_accept(&e) => {}
+            Some(Err(e)) if is_transient_accept_error(&e) => {}
             _ => break,
         }
     }
@@ -164,7 +165,7 @@
 ) {
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let codec = CommandDecoder { max_words: 8, max_word_len: context.bounds.frame };
+    let codec = CommandDecoder { max_words: 8, max_word_len: context.bounds.max_frame_bytes };
     let mut reader = FramedRead::new(read, codec);
     // Neither an outbox nor state in the engine is allocated before the first command.
     let first_command_deadline = Instant::now() + 2 * SILENCE_INTERVAL;
@@ -173,30 +174,30 @@
             biased;
             first = timeout_at(first_command_deadline, reader.next()) => break first.unwrap_or_default(),
             () = activity.evict.notified() => {
-                let first = next_at_once(&mut reader).await;
+                let first = next_if_ready(&mut reader).await;
                 if first.is_some() || reader.read_buffer().is_empty() || activity.eviction_requested() == Some(true) {
                     break first;
                 }
                 record_activity(&activity, &context, &slot, true);
             }
-            () = context.shutdown.cancelled() => break next_at_once(&mut reader).await,
+            () = context.shutdown.cancelled() => break next_if_ready(&mut reader).await,
         }
     };
     let first = match first {
         Some(Ok(words)) => words,
         Some(Err(error)) => {
             info!(client = id.0, "malformed first command: {error}");
-            return linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+            return linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
         }
         None => return,
     };
     record_activity(&activity, &context, &slot, false);
-    let (outbox, mut writer) = outbox::<Bytes>(write, context.bounds);
+    let (outbox, mut writer) = spawn_writer::<Bytes>(write, context.bounds);
     let client = Client::new(outbox, writer.abort_handle(), Arc::clone(&activity));
     if context.priority_tx.send(Event::ClientConnected(id, client)).await.is_err() {
         return;
     }
-    let (mut ahead, mut was_partial, mut error) = (Ahead::new(READ_AHEAD_LIMIT), false, None);
+    let (mut ahead, mut was_partial, mut error) = (ReadAhead::new(READ_AHEAD_LIMIT), false, None);
     let (mut writing, mut lingers) = (true, true);
     let mut received = Some(first);
     let mut silence_check = Instant::now() + SILENCE_INTERVAL;
@@ -206,7 +207,7 @@
             activity.command_read();
             record_activity(&activity, &context, &slot, false);
             if words.first().is_some_and(|w| w == CANCEL) {
-                if ahead.withdraw(|call: &Vec<Bytes>| call.get(1) == words.get(1)).is_some() {
+                if ahead.remove_last(|call: &Vec<Bytes>| call.get(1) == words.get(1)).is_some() {
                     // The engine sees neither the call nor its cancel: both count as handled here.
                     activity.command_handled(activity.open_rpcs());
                     activity.command_handled(activity.open_rpcs());
@@ -241,7 +242,7 @@
                 _ => break,
             },
             () = activity.evict.notified() => {
-                let (next, is_partial) = (next_at_once(&mut reader).await, !reader.read_buffer().is_empty());
+                let (next, is_partial) = (next_if_ready(&mut reader).await, !reader.read_buffer().is_empty());
                 match (next, activity.eviction_requested()) {
                     (Some(Ok(words)), _) => received = Some(words),
                     (Some(Err(e)), _) => {
@@ -258,7 +259,7 @@
                     (None, None) => {}
                 }
             }
-            () = context.shutdown.cancelled(), if ahead.is_empty() => match next_at_once(&mut reader).await {
+            () = context.shutdown.cancelled(), if ahead.is_empty() => match next_if_ready(&mut reader).await {
                 Some(Ok(words)) => received = Some(words),
                 Some(Err(e)) => {
                     error = Some(e);
@@ -288,7 +289,7 @@
     }
     debug!(client = id.0, spoilt = error_text, "closed");
     if lingers {
-        linger(reader.get_mut(), LINGER.0, LINGER.1).await;
+        linger(reader.get_mut(), LINGER_LIMITS.0, LINGER_LIMITS.1).await;
     }
 }
 
--- a/crates/curlewpoint-node/src/clients/tests.rs
+++ b/crates/curlewpoint-node/src/clients/tests.rs
@@ -12,7 +12,7 @@
     let ((priority_tx, priority_rx), (command_tx, command_rx)) = (mpsc::channel(64), mpsc::channel(1));
     command_tx.try_send(Event::Stop).unwrap_or_default();
     let (shutdown, tasks, clock) = (CancellationToken::new(), TaskTracker::new(), Clock::start());
-    let bounds = Bounds { frame: 1024, ..Bounds::default() };
+    let bounds = LinkLimits { max_frame_bytes: 1024, ..LinkLimits::default() };
     tokio::spawn(accept(
         listener,
         max_clients,
@@ -75,7 +75,7 @@
 #[test_case(1, 64 ; "commands")]
 #[test_case(16 * 1024, 2 ; "bytes")]
 fn read_ahead_is_bounded(bytes: usize, max_commands: usize) {
-    let mut ahead = Ahead::new(READ_AHEAD_LIMIT);
+    let mut ahead = ReadAhead::new(READ_AHEAD_LIMIT);
     while ahead.has_room() {
         let words = vec![Bytes::from(vec![0; bytes])];
         let bytes = size(&words);
--- a/crates/curlewpoint-node/src/discovery.rs
+++ b/crates/curlewpoint-node/src/discovery.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use curlewpoint::types::Lifecycle;
-use curlewpoint_link::{is_ours, METRICS};
+use curlewpoint_link::{is_local_error, METRICS};
 use curlewpoint_platform::dns::{self, DiscoveryError, MAX_RESPONSE_BYTES};
 use curlewpoint_platform::EndpointListVisitor;
 use oorandom::Rand64;
@@ -159,7 +159,7 @@
     /// Changes the current address. Without free descriptors the sockets of all other endpoints are closed.
     async fn move_to(&mut self, address: SocketAddr) -> std::io::Result<()> {
         let endpoint = match Endpoint::connect(address).await {
-            Err(error) if is_ours(&error) && (self.current.is_some() || !self.previous.is_empty()) => {
+            Err(error) if is_local_error(&error) && (self.current.is_some() || !self.previous.is_empty()) => {
                 (self.current, self.previous) = Default::default();
                 Endpoint::connect(address).await
             }
--- a/crates/curlewpoint-node/src/driver.rs
+++ b/crates/curlewpoint-node/src/driver.rs
@@ -6,7 +6,9 @@
 
 use bytes::Bytes;
 use curlewpoint::types::{Outcome, RpcId, Time, WorkerId};
-use curlewpoint_engine::{Answer, ClientId, ConnId, Pool, RequestId, UpstreamRequest, Wires, World};
+use curlewpoint_engine::{
+    Answer, ClientId, ConnId, EngineDriver, Pool, PoolDriver, RequestId, UpstreamRequest,
+};
 use curlewpoint_link::{Clock, Outbox, Ticket};
 use curlewpoint_platform::commands::{self, TagSet};
 use curlewpoint_platform::{json_lines, resp};
@@ -71,7 +73,7 @@
     }
 }
 
-impl Wires<WorkerRequest> for WorkerConnections {
+impl PoolDriver<WorkerRequest> for WorkerConnections {
     fn dial(&mut self, conn: ConnId, worker: WorkerId, address: &str) {
         debug!(conn = conn.0, worker = worker.0, address, "dialing");
         self.dialer.dial(conn, address.to_owned());
@@ -93,20 +95,20 @@
         true
     }
 
-    fn take_back(&mut self, _conn: ConnId, request: RequestId) -> bool {
-        self.tickets.get(&request).is_some_and(|(ticket, ..)| ticket.take_back())
+    fn withdraw(&mut self, _conn: ConnId, request: RequestId) -> bool {
+        self.tickets.get(&request).is_some_and(|(ticket, ..)| ticket.withdraw())
     }
 
-    fn take_back_at_drain(&mut self, _conn: ConnId, request: RequestId) -> bool {
+    fn withdraw_on_drain(&mut self, _conn: ConnId, request: RequestId) -> bool {
         let Some((ticket, _, req)) = self.tickets.get(&request) else { return false };
         if req.starts_with(OWN_REQ_PREFIX) {
-            ticket.take_back()
+            ticket.withdraw()
         } else {
-            ticket.take_back_unbegun()
+            ticket.withdraw_if_queued()
         }
     }
 
-    fn withdraw(&mut self, conn: ConnId, request: RequestId) {
+    fn send_withdraw(&mut self, conn: ConnId, request: RequestId) {
         let (Some(outbox), Some((_, _, req))) = (self.outboxes.get(&conn), self.tickets.get(&request)) else {
             return;
         };
@@ -120,7 +122,7 @@
         self.outboxes.remove(&conn);
     }
 
-    fn ended(&mut self, request: RequestId, outcome: Outcome) {
+    fn ended_locally(&mut self, request: RequestId, outcome: Outcome) {
         self.forget(request);
         self.ended.push_back((request, outcome));
     }
@@ -230,12 +232,12 @@
 
     pub fn sweep(&mut self, now: Time) {
         self.expire_recent_ids(MAX_RECENT_IDS);
-        self.pool.sweep(now, &mut self.connections);
+        self.pool.close_idle(now, &mut self.connections);
     }
 
     /// The pool's open requests and the worker of each.
     pub fn open(&self) -> BTreeMap<RequestId, WorkerId> {
-        self.pool.open().collect()
+        self.pool.open_requests().collect()
     }
 
     /// Sizes of the tables, by name.
@@ -253,18 +255,18 @@
     }
 
     pub fn conns(&self) -> usize {
-        self.pool.conns()
+        self.pool.conn_count()
     }
 }
 
-impl World for NodeDriver {
+impl EngineDriver for NodeDriver {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
         let own_req = || Arc::from(format!("{OWN_REQ_PREFIX}{}", id.0));
         let worker_request = match request {
-            UpstreamRequest::Attempt { rpc, method, model, token, left, body, .. } => {
+            UpstreamRequest::Attempt { rpc, method, model, token, time_left, body, .. } => {
                 let req = Arc::clone(&self.open_ids[&rpc]);
                 let invoke = json_lines::Invoke::new(&req, method, model, token, body);
-                let line = WorkerLine::Attempt { invoke, deadline: now + left, clock: self.clock };
+                let line = WorkerLine::Attempt { invoke, deadline: now + time_left, clock: self.clock };
                 WorkerRequest { req, line, is_attempt: true }
             }
             UpstreamRequest::Load { model, copies } => {
@@ -294,8 +296,8 @@
         self.pool.request(now, &mut self.connections, worker, id, worker_request);
     }
 
-    fn take_back(&mut self, now: Time, id: RequestId) -> bool {
-        let was_unsent = self.pool.take_back(now, &mut self.connections, id);
+    fn withdraw(&mut self, now: Time, id: RequestId) -> bool {
+        let was_unsent = self.pool.withdraw(now, &mut self.connections, id);
         self.connections.forget(id);
         was_unsent
     }
@@ -320,12 +322,12 @@
         self.reply(client, tag, status, &commands::reply_fields(retry_after), &body);
     }
 
-    fn ended(&mut self) -> Option<(RequestId, Outcome)> {
+    fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
         self.connections.ended.pop_front()
     }
 
     fn unload(&mut self, now: Time, worker: WorkerId, model: &str) {
-        self.pool.tell(now, &mut self.connections, worker, |connections, conn| {
+        self.pool.with_open_conn(now, &mut self.connections, worker, |connections, conn| {
             if let Some(outbox) = connections.outboxes.get(&conn) {
                 let _ = outbox.send(WorkerLine::Encoded(json_lines::evict_line(model)), None);
             }
@@ -335,26 +337,26 @@
     /// Discovery is polled for the complete list regardless; there is nothing to request.
     fn watch_list(&mut self, _held: Option<(u64, u64)>) {}
 
-    fn worker_at(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time) {
+    fn set_worker_address(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time) {
         debug!(worker = worker.0, name, address, "listed");
-        self.pool.worker_at(now, &mut self.connections, worker, address, since);
+        self.pool.set_worker_address(now, &mut self.connections, worker, address, since);
     }
 
-    fn worker_drains(&mut self, now: Time, worker: WorkerId) {
-        self.pool.send_nothing_more(now, &mut self.connections, worker);
+    fn worker_draining(&mut self, now: Time, worker: WorkerId) {
+        self.pool.withdraw_unsent(now, &mut self.connections, worker);
     }
 
     fn worker_gone(&mut self, now: Time, worker: WorkerId) {
         self.pool.worker_gone(now, &mut self.connections, worker);
     }
 
-    fn taken(&mut self, rpc: RpcId) {
+    fn rpc_accepted(&mut self, rpc: RpcId) {
         let id = std::mem::replace(&mut self.next_rpc_id, "".into());
         self.known_ids.insert(Arc::clone(&id));
         self.open_ids.insert(rpc, id);
     }
 
-    fn forgotten(&mut self, rpc: RpcId) {
+    fn rpc_forgotten(&mut self, rpc: RpcId) {
         let Some(id) = self.open_ids.remove(&rpc) else { return };
         self.connections.used_reqs.remove(&id);
         self.recent_ids.push_back((Instant::now(), id));
--- a/crates/curlewpoint-node/src/scheduler.rs
+++ b/crates/curlewpoint-node/src/scheduler.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use curlewpoint::types::{CopyReport, Lifecycle, Time};
-use curlewpoint_engine::{ClientId, ConnId, Engine, Figures, Pool, PoolLimits, Refusal};
-use curlewpoint_link::{listen_again, Bounds, Clock, Turns, METRICS};
+use curlewpoint_engine::{ClientId, ConnId, Engine, EngineCounters, Pool, PoolLimits, Refusal};
+use curlewpoint_link::{listen_with_retry, Clock, EventQueue, LinkLimits, METRICS};
 use curlewpoint_platform::startup::{self, StartupConfig, StartupError};
 use curlewpoint_platform::{commands, json_lines, EndpointListVisitor};
 use oorandom::Rand64;
@@ -86,7 +86,7 @@
     /// Changes the address of discovery.
     pub resolver: watch::Sender<SocketAddr>,
     /// Completes when the scheduler has stopped, with the counters of its RPCs.
-    pub stopped: JoinHandle<Figures>,
+    pub stopped: JoinHandle<EngineCounters>,
 }
 
 /// Passes an endpoint list on to the engine.
@@ -130,21 +130,22 @@
 /// Starts a scheduler. It accepts calls once this returns.
 pub async fn start(config: StartupConfig) -> Result<SchedulerHandle, StartError> {
     let StartupConfig { name, listen, seed, sockets, memory_mb, resolver, mut settings, known } = config;
-    let listener = listen_again(&listen.to_string()).await.map_err(|e| StartError::Listen(listen, e))?;
+    let listener = listen_with_retry(&listen.to_string()).await.map_err(|e| StartError::Listen(listen, e))?;
     let address = listener.local_addr().map_err(|e| StartError::Listen(listen, e))?;
     info!(name, %address, seed = %seed, sockets, memory_mb, "serving");
 
     let (priority_tx, priority_rx) = mpsc::channel(PRIORITY_CHANNEL_CAPACITY);
     let (command_tx, command_rx) = mpsc::channel(COMMAND_CHANNEL_CAPACITY);
-    let bounds = Bounds { frame: MAX_LINE_BYTES, outbox: (512, 1 << 20), ..Bounds::default() };
+    let bounds =
+        LinkLimits { max_frame_bytes: MAX_LINE_BYTES, max_outbox: (512, 1 << 20), ..LinkLimits::default() };
     let dial_timeout = Duration::from_millis(limit(&settings, "dialTimeout", 250));
     let dialer = Dialer { bounds, timeout: dial_timeout, event_tx: priority_tx.clone() };
     let limits = PoolLimits {
-        streams: limit(&settings, "streamsPerConn", 32) as usize,
-        conns: (sockets / 64).clamp(2, 16),
-        all: sockets - sockets / 2 - RESERVED_DESCRIPTORS,
+        requests_per_conn: limit(&settings, "streamsPerConn", 32) as usize,
+        conns_per_worker: (sockets / 64).clamp(2, 16),
+        total_conns: sockets - sockets / 2 - RESERVED_DESCRIPTORS,
         // Closes an idle connection before the worker does: an attempt that crosses the worker's close may have run.
-        idle: Time::from_ms(limit(&settings, "keepalive", 15_000) as f64 * 0.6),
+        idle_timeout: Time::from_ms(limit(&settings, "keepalive", 15_000) as f64 * 0.6),
         back_off: (Time::from_ms(50.0), Time::from_ms(1_000.0)),
     };
     // Every open RPC may hold a body; half of the memory is reserved for them.
@@ -168,7 +169,7 @@
 
     let (tasks, shutdown) = (TaskTracker::new(), CancellationToken::new());
     let context = clients::ClientContext {
-        bounds: Bounds { frame: MAX_BODY_BYTES, ..bounds },
+        bounds: LinkLimits { max_frame_bytes: MAX_BODY_BYTES, ..bounds },
         clock,
         priority_tx: priority_tx.clone(),
         command_tx,
@@ -195,7 +196,7 @@
     };
     let stopped = tokio::spawn(async move {
         let figures = event_loop
-            .run(Turns::new(priority_rx, command_rx, COMMAND_CHANNEL_CAPACITY), tasks, shutdown)
+            .run(EventQueue::new(priority_rx, command_rx, COMMAND_CHANNEL_CAPACITY), tasks, shutdown)
             .await;
         polling.abort();
         accepting.abort();
@@ -219,7 +220,7 @@
     /// Logs one line if the scheduler runs but no RPC succeeds, for example with an empty endpoint list while discovery
     /// is unavailable, and one when RPCs succeed again. It only logs: polling, dialing and rejecting go on. The line also
     /// appears if the clients alone are at fault.
-    fn check(&mut self, f: Figures, list_version: u64, conns: usize) {
+    fn check(&mut self, f: EngineCounters, list_version: u64, conns: usize) {
         let not_ok = f.denied + f.aborted + f.refused;
         if f.ok > self.ok {
             if self.failed_checks >= FAILED_CHECKS_BEFORE_LOG {
@@ -263,23 +264,23 @@
 
 impl EventLoop {
     async fn run(
-        mut self, mut events: Turns<Event>, tasks: TaskTracker, shutdown: CancellationToken,
-    ) -> Figures {
+        mut self, mut events: EventQueue<Event>, tasks: TaskTracker, shutdown: CancellationToken,
+    ) -> EngineCounters {
         let mut last_sweep = Instant::now();
         while !self.is_finished() {
             self.iterate(&mut events, SWEEP_INTERVAL).await;
             if last_sweep.elapsed() >= SWEEP_INTERVAL {
                 last_sweep = Instant::now();
                 let now = self.clock.now();
-                self.engine.world().sweep(now);
+                self.engine.driver().sweep(now);
                 self.check_consistency();
-                let conns = self.engine.world().conns();
-                self.service_health.check(self.engine.figures(), self.list_version, conns);
+                let conns = self.engine.driver().conns();
+                self.service_health.check(self.engine.counters(), self.list_version, conns);
             }
         }
         // From here on all calls are rejected. Commands already received are read, answered and flushed; then each
         // connection is shut down, read to its end and closed, within the time reserved for the final flush.
-        self.engine.stop_taking();
+        self.engine.stop_accepting();
         self.engine.abort_all(self.clock.now());
         shutdown.cancel();
         tasks.close();
@@ -294,41 +295,41 @@
         }
         self.engine.abort_all(self.clock.now());
         self.log_counters("stopped");
-        self.engine.figures()
+        self.engine.counters()
     }
 
     fn log_counters(&mut self, title: &str) {
-        let conns = self.engine.world().conns();
-        let f = self.engine.figures();
+        let conns = self.engine.driver().conns();
+        let f = self.engine.counters();
         let (loads, probes, list) = (f.loads, f.probes, self.list_version);
         info!(f.taken, f.ok, f.denied, f.aborted, f.left, f.refused, f.attempts, conns, f.cut_off, "{title}");
         info!(loads, probes, list, "sockets: {METRICS}");
     }
 
     /// Runs one iteration: waits for events, at most `max_wait` or until the engine's next timer, and handles them.
-    async fn iterate(&mut self, events: &mut Turns<Event>, max_wait: Duration) {
+    async fn iterate(&mut self, events: &mut EventQueue<Event>, max_wait: Duration) {
         let wait = self.engine.next_wake().map_or(max_wait, |at| self.clock.until(at)).min(max_wait);
-        let batch = events.next(wait).await;
+        let batch = events.next_batch(wait).await;
         self.stalls.iteration_started(self.clock.now());
         for event in batch {
             self.handle(event);
         }
         let now = self.clock.now();
         self.engine.advance(now);
-        for client in std::mem::take(&mut self.engine.world().cut_off_clients) {
+        for client in std::mem::take(&mut self.engine.driver().cut_off_clients) {
             self.engine.client_gone(now, client);
         }
     }
 
     /// Compares the requests that the module considers open with those open on connections, and logs the table sizes.
     fn check_consistency(&mut self) {
-        let open = self.engine.world().open();
-        if let Some(difference) = self.engine.mismatch(&open).filter(|_| !self.mismatch_logged) {
+        let open = self.engine.driver().open();
+        if let Some(difference) = self.engine.find_mismatch(&open).filter(|_| !self.mismatch_logged) {
             self.mismatch_logged = true;
             warn!("open requests of the module and the connections differ, logged once: {difference}");
         }
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let driver = self.engine.world().sizes();
+            let driver = self.engine.driver().sizes();
             debug!("table sizes: {:?} {driver:?}", self.engine.sizes());
         }
     }
@@ -340,10 +341,10 @@
         let Some(since) = self.stop_requested.map(|at| at.elapsed()) else { return false };
         if since + FINAL_FLUSH >= self.kill_delay && !self.rejecting_all {
             self.rejecting_all = true;
-            self.engine.stop_taking();
+            self.engine.stop_accepting();
             self.engine.abort_all(self.clock.now());
         }
-        let is_idle = self.engine.open() == 0 && self.engine.world().clients.is_empty();
+        let is_idle = self.engine.open_rpcs() == 0 && self.engine.driver().clients.is_empty();
         since >= self.kill_delay + KILL_OVERDUE || (since >= STOP_GRACE && is_idle)
     }
 
@@ -351,45 +352,45 @@
         let now = self.clock.now();
         let engine = &mut self.engine;
         match event {
-            Event::ClientConnected(id, client) => drop(engine.world().clients.insert(id, client)),
+            Event::ClientConnected(id, client) => drop(engine.driver().clients.insert(id, client)),
             Event::ClientCommand(id, words) | Event::ClientCancel(id, words) => {
                 if let Err(reason) = self.client_command(now, id, words) {
                     self.close_client(now, id, reason);
                 }
-                if let Some(client) = self.engine.world().clients.get(&id) {
+                if let Some(client) = self.engine.driver().clients.get(&id) {
                     client.activity.command_handled(client.open.len());
                 }
             }
             Event::ClientSilent(id) => {
-                let Some(client) = engine.world().clients.get_mut(&id) else { return };
+                let Some(client) = engine.driver().clients.get_mut(&id) else { return };
                 client.silent_intervals += 1;
                 if client.activity.is_idle() && client.silent_intervals >= MAX_SILENT_INTERVALS {
-                    engine.world().clients.remove(&id);
+                    engine.driver().clients.remove(&id);
                 }
             }
             Event::ClientDisconnected(id, Some(error)) => self.close_client(now, id, &error.to_string()),
             Event::ClientDisconnected(id, None) => {
-                engine.world().clients.remove(&id);
+                engine.driver().clients.remove(&id);
                 engine.client_gone(now, id);
             }
             Event::WorkerConnected(conn, outbox) => {
-                engine.world().conn_up(now, conn, outbox);
-                engine.settle(now);
+                engine.driver().conn_up(now, conn, outbox);
+                engine.process_ends(now);
             }
             Event::WorkerDialFailed(conn, ours) => {
-                engine.world().conn_failed(now, conn, ours);
-                engine.settle(now);
+                engine.driver().conn_failed(now, conn, ours);
+                engine.process_ends(now);
             }
             Event::WorkerMessage(conn, message) => {
                 if let Err(error) = self.worker_message(now, conn, &message) {
                     info!(conn = conn.0, "connection to a worker closed: {error}");
-                    self.engine.world().conn_broken(now, conn);
-                    self.engine.settle(now);
+                    self.engine.driver().conn_broken(now, conn);
+                    self.engine.process_ends(now);
                 }
             }
             Event::WorkerDisconnected(conn) => {
-                engine.world().conn_broken(now, conn);
-                engine.settle(now);
+                engine.driver().conn_broken(now, conn);
+                engine.process_ends(now);
             }
             Event::EndpointList(list) => {
                 if self.list_version < list.version() {
@@ -400,7 +401,7 @@
             }
             Event::LogCounters => self.log_counters("figures"),
             Event::Stop => {
-                info!(open = self.engine.open(), "stopping");
+                info!(open = self.engine.open_rpcs(), "stopping");
                 self.stop_requested.get_or_insert_with(Instant::now);
             }
         }
@@ -409,7 +410,7 @@
     /// Handles a command. After an error the client is to be disconnected.
     fn client_command(&mut self, now: Time, id: ClientId, words: Vec<Bytes>) -> Result<(), &'static str> {
         let stopping = self.stop_requested.is_some();
-        let Some(client) = self.engine.world().clients.get_mut(&id) else { return Ok(()) };
+        let Some(client) = self.engine.driver().clients.get_mut(&id) else { return Ok(()) };
         client.silent_intervals = 0;
         let word = |index: usize| words.get(index).map_or(&b""[..], |w| &w[..]);
         let tag = commands::parse_tag(word(1)).ok_or("invalid tag")?;
@@ -422,8 +423,8 @@
                     return Ok(());
                 }
                 if client.open.len() >= MAX_OPEN_RPCS_PER_CLIENT {
-                    self.engine.refused();
-                    self.engine.world().reply(id, tag, commands::ENOUGH, "", b"");
+                    self.engine.count_refused();
+                    self.engine.driver().reply(id, tag, commands::ENOUGH, "", b"");
                     return Ok(());
                 }
                 let body = words.get(4).cloned().unwrap_or_default();
@@ -439,9 +440,9 @@
                 }
             }
             commands::CANCEL => {
-                self.engine.world().withdrawn = Some((id, tag));
-                self.engine.cancelled(now, id, tag);
-                self.engine.world().withdrawn = None;
+                self.engine.driver().withdrawn = Some((id, tag));
+                self.engine.cancel(now, id, tag);
+                self.engine.driver().withdrawn = None;
             }
             commands::CHECK => {
                 let status = if stopping { commands::UNFIT } else { commands::FIT };
@@ -449,7 +450,7 @@
                     let after = self.started.elapsed().as_millis() as u64;
                     info!(after, "first health check answered '{status}', milliseconds from the start");
                 }
-                self.engine.world().reply(id, tag, status, "", b"");
+                self.engine.driver().reply(id, tag, status, "", b"");
             }
             _ => return Err("unknown command"),
         }
@@ -458,7 +459,7 @@
 
     /// Replies to a call that was not accepted. A client that repeatedly sends malformed calls is disconnected.
     fn reject_call(&mut self, id: ClientId, tag: u64, status: &str) -> Result<(), &'static str> {
-        let driver = self.engine.world();
+        let driver = self.engine.driver();
         driver.reply(id, tag, status, "", b"");
         if let Some(client) = driver.clients.get_mut(&id).filter(|_| status == commands::BROKEN) {
             client.malformed_calls += 1;
@@ -491,19 +492,28 @@
         if lanes.is_some_and(|lanes| lanes < 1.0) {
             return Err(malformed("invalid lanes"));
         }
-        if self.engine.world().is_known_id(req) {
+        if self.engine.driver().is_known_id(req) {
             return Err(malformed("ID already in use"));
         }
         let (method, tenant) = (field("kind").unwrap_or(method), field("owner").unwrap_or(""));
-        let driver = self.engine.world();
+        let driver = self.engine.driver();
         driver.next_rpc_id = req.into();
         driver.clients.get_mut(&id).into_iter().for_each(|c| c.open.extend([tag]));
         let time_left = time_left - self.stalls.possible_delay(now);
-        let accepted =
-            self.engine.rpc(now, (id, tag), method, model, tenant, time_left, field("opkey"), lanes, body);
+        let accepted = self.engine.submit_rpc(
+            now,
+            (id, tag),
+            method,
+            model,
+            tenant,
+            time_left,
+            field("opkey"),
+            lanes,
+            body,
+        );
         let Err(refusal) = accepted else { return Ok(()) };
         debug!(client = id.0, tag, "call rejected: {refusal:?}");
-        let driver = self.engine.world();
+        let driver = self.engine.driver();
         driver.clients.get_mut(&id).into_iter().for_each(|c| c.open.retain(|t| *t != tag));
         match refusal {
             Refusal::Full | Refusal::NoTime | Refusal::Stopping => Err(commands::REFUSED),
@@ -514,11 +524,11 @@
     /// Ends a client's open RPCs with a reply each, and closes its connection.
     fn close_client(&mut self, now: Time, id: ClientId, reason: &str) {
         debug!(client = id.0, "closed: {reason}");
-        let open = self.engine.world().clients.get(&id).map(|c| c.open.clone()).unwrap_or_default();
+        let open = self.engine.driver().clients.get(&id).map(|c| c.open.clone()).unwrap_or_default();
         for tag in open {
-            self.engine.cancelled(now, id, tag);
+            self.engine.cancel(now, id, tag);
         }
-        self.engine.world().clients.remove(&id);
+        self.engine.driver().clients.remove(&id);
         self.engine.client_gone(now, id);
     }
 
@@ -527,19 +537,19 @@
         &mut self, now: Time, conn: ConnId, message: &Map<String, Value>,
     ) -> Result<(), json_lines::LineError> {
         let outcome = json_lines::outcome(message)?;
-        let Some(request) = self.engine.world().open_request(conn, json_lines::text_field(message, "req")?)
+        let Some(request) = self.engine.driver().open_request(conn, json_lines::text_field(message, "req")?)
         else {
             return Ok(());
         };
         let body = json_lines::body(message)?;
-        let is_attempt = self.engine.asked_by(request).is_some();
+        let is_attempt = self.engine.rpc_of_attempt(request).is_some();
         let copy = if is_attempt { json_lines::copy(message) } else { CopyReport::Unreported };
         let (held, copies, report) = (
             json_lines::held_rpcs(message),
             json_lines::copies(message),
             json_lines::load_report(message, &self.load_report_names),
         );
-        self.engine.world().answered(now, request);
+        self.engine.driver().answered(now, request);
         self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
         Ok(())
     }
--- a/crates/curlewpoint-node/src/workers.rs
+++ b/crates/curlewpoint-node/src/workers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use curlewpoint_engine::ConnId;
-use curlewpoint_link::{dial, is_ours, linger, outbox, split, Bounds};
+use curlewpoint_link::{dial, is_local_error, linger, spawn_writer, split, LinkLimits};
 use curlewpoint_platform::json_lines::{LineDecoder, LineError};
 use serde_json::{Map, Value};
 use tokio::net::TcpStream;
@@ -18,7 +18,7 @@
 
 /// Opens connections to workers, each in a task of its own.
 pub(crate) struct Dialer {
-    pub bounds: Bounds,
+    pub bounds: LinkLimits,
     pub timeout: Duration,
     pub event_tx: mpsc::Sender<Event>,
 }
@@ -36,7 +36,7 @@
             let dialed = timeout(dial_timeout, dial(&address)).await;
             let (reason, ours) = match dialed {
                 Ok(Ok(stream)) => return run_connection(conn, stream, bounds, event_tx).await,
-                Ok(Err(error)) => (error.to_string(), is_ours(&error)),
+                Ok(Err(error)) => (error.to_string(), is_local_error(&error)),
                 Err(_) => ("dial timed out".to_owned(), false),
             };
             debug!(ours, "not connected: {reason}");
@@ -62,12 +62,12 @@
 
 /// Passes on messages until the connection ends. A malformed message ends it, because the start of the next line can no
 /// longer be trusted.
-async fn run_connection(conn: ConnId, stream: TcpStream, bounds: Bounds, event_tx: mpsc::Sender<Event>) {
+async fn run_connection(conn: ConnId, stream: TcpStream, bounds: LinkLimits, event_tx: mpsc::Sender<Event>) {
     // Nagle's algorithm would delay every answer.
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let (outbox, mut writer) = outbox::<WorkerLine>(write, bounds);
-    let mut reader = FramedRead::new(read, LineDecoder { max_len: bounds.frame, scanned: 0 });
+    let (outbox, mut writer) = spawn_writer::<WorkerLine>(write, bounds);
+    let mut reader = FramedRead::new(read, LineDecoder { max_len: bounds.max_frame_bytes, scanned: 0 });
     if event_tx.send(Event::WorkerConnected(conn, outbox)).await.is_err() {
         return;
     }
