--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -48,14 +48,14 @@
         .text(Field::ADDRESS, &m.address)
         .int(Field::INCARNATION, m.state.incarnation)
         .int(Field::STATE, state_bits(m.state))
-        .int(Field::UNHEARD_RINGS, u64::from(m.state.suspicions))
+        .int(Field::SUSPECTED_RINGS, u64::from(m.state.suspicions))
 }
 
 /// The first frame on every link: see [`FleetDriver::send_join`]. It also announces that this instance accepts
 /// frames with several list entries.
 pub fn join_frame(fleet: &str, me: MemberId, member: &Member, known: u64) -> Frame {
     let f = member_fields(Kind::JOIN, me, member).text(Field::FLEET, fleet).int(Field::KNOWN_MEMBERS, known);
-    f.int(Field::READS_LIST_ENTRIES, 1)
+    f.int(Field::ACCEPTS_LIST_ENTRIES, 1)
 }
 
 /// A member record.
@@ -65,9 +65,9 @@
 
 fn read_member(f: &Frame) -> Result<(MemberId, &str, &str, MemberState), WireError> {
     let (name, bits) = (f.get_text(Field::INSTANCE)?, f.get_int(Field::STATE)?);
-    let suspicions = f.get_int(Field::UNHEARD_RINGS)?;
+    let suspicions = f.get_int(Field::SUSPECTED_RINGS)?;
     let suspicions = u8::try_from(suspicions)
-        .map_err(|_| WireError::WrongType(f.kind.0, Field::UNHEARD_RINGS.0, "a row of rings"))?;
+        .map_err(|_| WireError::WrongType(f.kind.0, Field::SUSPECTED_RINGS.0, "a row of rings"))?;
     let (left, dead, list_service_lost) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
     let state = MemberState {
         incarnation: f.get_int(Field::INCARNATION)?,
@@ -98,7 +98,7 @@
 ) -> Frame {
     let mut f =
         with_held(Frame::new(Kind::HEARTBEAT).int(Field::TAG, tag).int(Field::ECHOED_TAG, echo), held);
-    f = f.int(Field::DIGEST, digest).int(Field::COUNT_IS_SURE, u64::from(confirmed));
+    f = f.int(Field::DIGEST, digest).int(Field::COUNT_CONFIRMED, u64::from(confirmed));
     if let Some(age) = age {
         f = f.int(Field::AGE, age.0);
     }
@@ -229,7 +229,7 @@
         Kind::JOIN => {
             let (id, name, address, state) = read_member(f)?;
             let (of, known) = (f.get_text(Field::FLEET)?, f.get_int(Field::KNOWN_MEMBERS)?);
-            if f.maybe_int(Field::READS_LIST_ENTRIES)? == Some(1) {
+            if f.maybe_int(Field::ACCEPTS_LIST_ENTRIES)? == Some(1) {
                 fleet.peer_reads_list_rows(link);
             }
             fleet.join_received(now, driver, link, of, id, name, address, state, known);
@@ -243,7 +243,7 @@
                 ((f.get_int(Field::TAG)?, f.get_int(Field::ECHOED_TAG)?), f.get_int(Field::DIGEST)?);
             let (held, age) = (read_held(f)?, f.maybe_int(Field::AGE)?.map(Time));
             let (confirmed, answer) =
-                (f.get_int(Field::COUNT_IS_SURE)? == 1, f.get_int(Field::REPLY_WANTED)? == 1);
+                (f.get_int(Field::COUNT_CONFIRMED)? == 1, f.get_int(Field::REPLY_WANTED)? == 1);
             fleet.heartbeat_received(now, driver, link, tags, digest, held, age, confirmed, answer);
         }
         Kind::WATCH => fleet.list_requested(now, driver, link, read_held(f)?),
--- a/crates/curlewpoint-fleet/tests/lists.rs
+++ b/crates/curlewpoint-fleet/tests/lists.rs
@@ -512,7 +512,7 @@
     let member = me.fleet.members().get(me.fleet.own_id()).expect("its own record").clone();
     let id = MemberId { instance: InstanceId::of("me"), run: Run(9) };
     let join = frames::join_frame("f", id, &member, 5);
-    assert_eq!(join.get_int(Field::READS_LIST_ENTRIES), Ok(1));
+    assert_eq!(join.get_int(Field::ACCEPTS_LIST_ENTRIES), Ok(1));
     let bytes = PREFIX_BYTES + join.header().len();
     println!("a join of {bytes} bytes");
     assert!(me.read(LinkId(1 << 63), &join), "it is ignored on an unknown link");
--- a/crates/curlewpoint-gateway/src/codes.rs
+++ b/crates/curlewpoint-gateway/src/codes.rs
@@ -2,8 +2,8 @@
 
 use curlewpoint::types::{CopyReport, Outcome};
 use curlewpoint_engine::{Answer, Refusal};
-pub use curlewpoint_fleet::frames::lifecycle_code as standing_code;
-pub(crate) use curlewpoint_fleet::frames::read_lifecycle as standing;
+pub use curlewpoint_fleet::frames::lifecycle_code;
+pub(crate) use curlewpoint_fleet::frames::read_lifecycle as lifecycle;
 use curlewpoint_wire::{Field, Frame, WireError};
 
 /// The code of a value is its index in the table.
--- a/crates/curlewpoint-gateway/src/lib.rs
+++ b/crates/curlewpoint-gateway/src/lib.rs
@@ -15,6 +15,6 @@
 mod snapshot;
 mod workers;
 
-pub use codes::{answer_code, copy_code, outcome_code, read_answer, refusal_name, standing_code};
+pub use codes::{answer_code, copy_code, lifecycle_code, outcome_code, read_answer, refusal_name};
 pub use reload::{ReloadError, ReloadHandle};
 pub use run::{start, RunningScheduler, StartError, StopHandle};
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -718,7 +718,7 @@
                 now,
                 f.get_text(Field::WORKER)?,
                 f.maybe_text(Field::ADDRESS)?.unwrap_or(""),
-                codes::standing(f)?,
+                codes::lifecycle(f)?,
                 f.maybe_int(Field::START_ID)?.unwrap_or(0),
                 f.maybe_int(Field::AGE)?.map(Time),
                 f.maybe_text(Field::ZONE)?.unwrap_or(""),
--- a/crates/curlewpoint-lab/src/stand/list.rs
+++ b/crates/curlewpoint-lab/src/stand/list.rs
@@ -3,7 +3,7 @@
 
 use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_emulator::{ListModel, Row};
-use curlewpoint_gateway::standing_code;
+use curlewpoint_gateway::lifecycle_code;
 use curlewpoint_wire::{Field, Frame, Kind};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -147,7 +147,7 @@
         let mut f = Frame::new(Kind::LIST_ENTRY)
             .text(Field::WORKER, name)
             .text(Field::ADDRESS, &row.address)
-            .int(Field::LIFECYCLE, standing_code(row.standing))
+            .int(Field::LIFECYCLE, lifecycle_code(row.standing))
             .int(Field::START_ID, row.start)
             .text(Field::ZONE, &row.zone)
             .text(Field::CELL, &row.cell)
--- a/crates/curlewpoint-rig/src/forge.rs
+++ b/crates/curlewpoint-rig/src/forge.rs
@@ -17,7 +17,7 @@
 fn member(kind: Kind, name: &str, run: u64) -> Frame {
     let f = Frame::new(kind).text(Field::INSTANCE, name).int(Field::RUN_ID, run);
     let f = f.text(Field::ADDRESS, "127.0.0.1:9").int(Field::INCARNATION, 0).int(Field::STATE, 0);
-    f.int(Field::UNHEARD_RINGS, 0)
+    f.int(Field::SUSPECTED_RINGS, 0)
 }
 
 fn join(name: &str, fleet: &str, known: u64) -> Frame {
--- a/crates/curlewpoint-wire/src/frame.rs
+++ b/crates/curlewpoint-wire/src/frame.rs
@@ -72,7 +72,7 @@
     /// Between instances: observations for the members that hold the directory entries of the functions.
     pub const OBSERVATIONS: Kind = Kind(89);
     /// Between instances: several list entries in one frame, for peers that have announced
-    /// [`Field::READS_LIST_ENTRIES`].
+    /// [`Field::ACCEPTS_LIST_ENTRIES`].
     pub const LIST_ENTRIES: Kind = Kind(90);
     /// On disk only: first frame of a snapshot.
     pub const SNAPSHOT: Kind = Kind(96);
@@ -145,14 +145,14 @@
     pub const INCARNATION: Field = Field(33);
     /// State of a member as bits: 1 has left, 2 is given up, 4 does not reach the list service.
     pub const STATE: Field = Field(34);
-    /// Rings on which the member is not heard, one bit each.
-    pub const UNHEARD_RINGS: Field = Field(35);
+    /// Rings on which the member is suspected because it is not heard, one bit each.
+    pub const SUSPECTED_RINGS: Field = Field(35);
     /// Hash over all member records. Equal hashes mean equal records.
     pub const DIGEST: Field = Field(36);
     /// The tag of the last heartbeat received on this link.
     pub const ECHOED_TAG: Field = Field(37);
-    /// 1 if the sender is sure of the number of instances, or knows an instance that is.
-    pub const COUNT_IS_SURE: Field = Field(38);
+    /// 1 if the number of instances is confirmed at the sender or at an instance that it knows.
+    pub const COUNT_CONFIRMED: Field = Field(38);
     /// 1 if the receiver should answer with a heartbeat at once.
     pub const REPLY_WANTED: Field = Field(39);
     /// Number of members that the sender knows.
@@ -167,8 +167,8 @@
     pub const JUST_STARTED: Field = Field(45);
     /// Functions by their ids.
     pub const FUNCTIONS: Field = Field(44);
-    /// 1 if the sender reads [`Kind::LIST_ENTRIES`].
-    pub const READS_LIST_ENTRIES: Field = Field(46);
+    /// 1 if the sender accepts [`Kind::LIST_ENTRIES`].
+    pub const ACCEPTS_LIST_ENTRIES: Field = Field(46);
 }
 
 /// An error of a frame or of the connection. The texts are sent to the peer in [`Kind::FAULT`] frames.
