--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -163,6 +163,7 @@
     orders: VecDeque<Time>,
     retry_budget: f64,
     probe_budget: f64,
+    /// Lanes and soft deadlines (in milliseconds) of the RPCs received.
     lanes: RunningMean,
     soft_deadlines: RunningMean,
     /// Answers per millisecond. Its recent peak and that of the number of ready workers decay.
@@ -190,6 +191,7 @@
 }
 
 impl<H: Host> Scheduler<H> {
+    /// Starts a scheduler. Settings that are absent have defaults.
     pub fn start(host: H, seed: u128, settings: Map<String, Value>) -> Self {
         let mut new = Scheduler {
             host,
@@ -250,6 +252,8 @@
         self.settings.insert("instances".to_owned(), number.into());
     }
 
+    /// The endpoint list names a worker. `since`: the start of its process, zero if it has been up for long; `size`:
+    /// its capacity, in any unit that is the same for all workers.
     pub fn worker_listed(
         &mut self, now: Time, id: WorkerId, lifecycle: Lifecycle, since: Time, zone: ZoneId, cell: CellId,
         size: f64,
@@ -279,10 +283,12 @@
         self.serve_queues(now);
     }
 
+    /// The subscription to the endpoint list broke.
     pub fn list_failed(&mut self) {
         self.host.watch_list();
     }
 
+    /// An RPC arrived. `time_left`: until its deadline; `lanes`: RPCs that one copy of the function runs at a time.
     pub fn rpc_received(
         &mut self, now: Time, id: RpcId, method: MethodId, function: FunctionId, tenant: TenantId,
         time_left: Time, lanes: f64,
--- a/src/state.rs
+++ b/src/state.rs
@@ -24,11 +24,11 @@
     pub others_in_flight: f64,
     /// When `others_in_flight` was last updated.
     pub others_at: Time,
-    /// No load is begun here until then: the worker had no copy and turned the function away.
+    /// No load of the function is begun here until then, after the worker has turned an RPC of it away.
     pub no_load_until: Time,
     /// When this scheduler itself last observed whether the worker has a copy.
     pub observed_at: Time,
-    /// The latest observation of another scheduler that is newer than `observed_at`, and its time.
+    /// The latest observation of another scheduler, and its time. Only ones newer than `observed_at` are taken in.
     pub hint: Option<(Hint, Time)>,
 }
 
@@ -73,6 +73,7 @@
     pub full_until: Time,
     /// 'Full' replies in a row, as far as they lengthen the pause.
     pub consecutive_fulls: u32,
+    /// Utilization as last reported, or the number of RPCs held where reports lack it.
     pub utilization: Option<f64>,
     /// Share of its memory that can't be freed, as last reported.
     pub pinned_memory: f64,
@@ -83,6 +84,7 @@
     pub beliefs: BTreeMap<FunctionId, Belief>,
     /// Log-likelihood ratio that the worker is failing.
     pub evidence: f64,
+    /// Ejected: gets no attempts until the evidence has decayed or answers have outweighed it.
     pub suspect: bool,
     /// Position of this scheduler's slots among those of all schedulers while the worker is cold, from 0 to 1. Drawn at
     /// each start of the worker.
@@ -118,6 +120,7 @@
     pub worker: WorkerId,
     pub sent_at: Time,
     pub open: bool,
+    /// Its outcome proves that it never ran.
     pub never_ran: bool,
     /// The worker turned it away, or its load failed.
     pub full: bool,
@@ -135,6 +138,7 @@
     pub method: MethodId,
     pub function: FunctionId,
     pub tenant: TenantId,
+    /// RPCs that one copy of the function runs at a time.
     pub lanes: f64,
     pub received_at: Time,
     pub deadline: Time,
@@ -143,6 +147,7 @@
     pub waiting: bool,
     /// The final answer has been given; the entry is kept while attempts are still open.
     pub done: bool,
+    /// An attempt has begun to stream its answer.
     pub streaming: bool,
 }
 
