--- a/crates/curlewpoint-cli/tests/fleet.rs
+++ b/crates/curlewpoint-cli/tests/fleet.rs
@@ -161,7 +161,7 @@
         let clients = first_address(&mut child);
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
         let mut line = String::new();
-        while !line.contains("peers may come") {
+        while !line.contains("listening for peers") {
             line.clear();
             assert!(log.read_line(&mut line).expect("text") > 0, "the log ended");
         }
--- a/crates/curlewpoint-cli/tests/processes.rs
+++ b/crates/curlewpoint-cli/tests/processes.rs
@@ -137,7 +137,7 @@
     let amqp = format!("amqp {{\n  address {}\n  journal consumes.journal\n}}\n", broker.address);
     std::fs::write(&path, good.replace("front-1", "front-2") + &amqp).expect("written");
     let consumes = Process::start(&["serve", &path.display().to_string()]);
-    consumes.logs("the broker is there");
+    consumes.logs("connected to the broker");
     let trigger = |more: &[&str]| {
         let to =
             [&broker.address[..], "issue-extract", "births", "--reply-to", "replies", "--body", "page 1"];
--- a/crates/curlewpoint-gateway/src/amqp.rs
+++ b/crates/curlewpoint-gateway/src/amqp.rs
@@ -511,7 +511,7 @@
     loop {
         tokio::select! {
             event = broker_event_rx.recv() => match event {
-                Some(event) => trigger.event(event),
+                Some(event) => trigger.handle_event(event),
                 None => break,
             },
             _ = tick.tick() => trigger.tick(),
@@ -599,11 +599,11 @@
             .get_mut(&conn)
             .and_then(|connection| connection.session.host().events.pop_front())
         {
-            self.session_event(conn, event);
+            self.handle_session_event(conn, event);
         }
     }
 
-    fn event(&mut self, event: BrokerEvent) {
+    fn handle_event(&mut self, event: BrokerEvent) {
         let now = self.clock.now();
         match event {
             BrokerEvent::Connected(conn, slot, outgoing_tx, task) => {
@@ -659,11 +659,11 @@
         self.inbox.conn_lost(now, conn);
     }
 
-    fn session_event(&mut self, conn: u64, event: SessionEvent) {
+    fn handle_session_event(&mut self, conn: u64, event: SessionEvent) {
         let now = self.clock.now();
         match event {
             SessionEvent::Ready => {
-                info!(conn, "the broker is there");
+                info!(conn, "connected to the broker");
                 self.update_prefetch();
             }
             SessionEvent::Delivered(queue, tag, redelivered, properties, body) => {
@@ -708,7 +708,7 @@
                 info!(queue, "the broker cancelled the consumer, consuming again")
             }
             SessionEvent::Blocked(blocked) => {
-                info!(blocked, "the broker takes no answers, or does again");
+                info!(blocked, "the broker has blocked or unblocked the connection");
                 self.intakes.values_mut().for_each(|i| i.blocked(blocked));
                 self.update_prefetch();
             }
--- a/crates/curlewpoint-gateway/src/clients.rs
+++ b/crates/curlewpoint-gateway/src/clients.rs
@@ -29,7 +29,7 @@
 pub(crate) struct ClientContext {
     /// Name of this instance.
     pub name: String,
-    pub bounds: LinkLimits,
+    pub link_limits: LinkLimits,
     pub active_methods: watch::Receiver<Arc<ActiveMethods>>,
     /// For events that end something. The engine's task processes these before those of `request_tx`.
     pub priority_tx: mpsc::Sender<Event>,
@@ -69,8 +69,8 @@
     }
 }
 
-/// Accepts client connections until a stop. Connections that the kernel has accepted by then are still admitted and told
-/// to go away.
+/// Accepts client connections until a stop. Connections that the kernel has accepted by then count as accepted: they are
+/// still admitted, and told to go away.
 pub(crate) async fn accept(
     listener: TcpListener, max_clients: usize, context: ClientContext, mut stopped: watch::Receiver<bool>,
 ) {
@@ -101,7 +101,7 @@
 
 async fn reject(stream: TcpStream, context: ClientContext, slot: OwnedSemaphorePermit) {
     if let Ok(Link { outbox, mut reader, writer, .. }) =
-        handshake(stream, &context.name, context.bounds).await
+        handshake(stream, &context.name, context.link_limits).await
     {
         let _ = outbox.send(Frame::new(Kind::FAULT).text(Field::REASON, "too many connections"), None);
         drop(outbox);
@@ -128,7 +128,7 @@
 async fn serve_client(id: ClientId, stream: TcpStream, context: ClientContext, _slot: OwnedSemaphorePermit) {
     let opened = tokio::select! {
         biased;
-        opened = handshake(stream, &context.name, context.bounds) => opened,
+        opened = handshake(stream, &context.name, context.link_limits) => opened,
         // A client that has not sent its hello by then is not waited for.
         () = async { context.closing.cancelled().await; yield_now().await } => return,
     };
--- a/crates/curlewpoint-gateway/src/clients/tests.rs
+++ b/crates/curlewpoint-gateway/src/clients/tests.rs
@@ -21,8 +21,9 @@
         ActiveMethods { release: releases.in_force(), prepared, withdrawn: releases.withdrawn().clone() };
     let (_, active_methods) = watch::channel(Arc::new(active));
     let (closing, tasks) = (CancellationToken::new(), TaskTracker::new());
-    let (name, bounds) = ("x".to_owned(), LinkLimits::default());
-    let context = ClientContext { name, bounds, active_methods, priority_tx, request_tx, closing, tasks };
+    let (name, link_limits) = ("x".to_owned(), LinkLimits::default());
+    let context =
+        ClientContext { name, link_limits, active_methods, priority_tx, request_tx, closing, tasks };
     let (stop_tx, stopped) = watch::channel(false);
     tokio::spawn(async move {
         accept(listener, 8, context, stopped).await;
--- a/crates/curlewpoint-gateway/src/driver.rs
+++ b/crates/curlewpoint-gateway/src/driver.rs
@@ -68,7 +68,7 @@
 const MAX_RECORDED_CANCELS: usize = 4096;
 
 /// The connections to workers, on which the pool acts.
-pub(crate) struct Sockets {
+pub(crate) struct WorkerSockets {
     dialler: Dialler,
     outboxes: BTreeMap<ConnId, Outbox>,
     /// The ticket of each open request, and whether the request is an attempt.
@@ -76,7 +76,7 @@
     ended: VecDeque<(RequestId, Outcome)>,
 }
 
-impl PoolDriver<Frame> for Sockets {
+impl PoolDriver<Frame> for WorkerSockets {
     fn dial(&mut self, conn: ConnId, worker: WorkerId, address: &str) {
         debug!(conn = conn.0, worker = worker.0, address, "dialling");
         self.dialler.dial(conn, address.to_owned());
@@ -136,17 +136,17 @@
     /// Observations of the decision module since the last iteration, for peers.
     pub observations: Vec<(WorkerId, FunctionId, Hint, u64)>,
     /// Functions of the RPCs accepted since then. None: this instance keeps no copy directory.
-    pub wanted_functions: Option<BTreeSet<FunctionId>>,
+    pub requested_functions: Option<BTreeSet<FunctionId>>,
     /// The release under which each RPC was accepted.
     rpc_releases: BTreeMap<RpcId, Release>,
     pool: Pool<Frame>,
-    sockets: Sockets,
+    sockets: WorkerSockets,
 }
 
 impl GatewayDriver {
     pub fn new(run_id: String, releases: Releases, pool: Pool<Frame>, dialler: Dialler) -> GatewayDriver {
         let (outboxes, tickets, ended) = Default::default();
-        let sockets = Sockets { dialler, outboxes, tickets, ended };
+        let sockets = WorkerSockets { dialler, outboxes, tickets, ended };
         GatewayDriver {
             run_id,
             clients: BTreeMap::new(),
@@ -155,7 +155,7 @@
             list_outbox: None,
             releases,
             observations: Vec::new(),
-            wanted_functions: None,
+            requested_functions: None,
             rpc_releases: BTreeMap::new(),
             pool,
             sockets,
@@ -192,7 +192,7 @@
         self.sockets.outboxes.remove(&conn);
     }
 
-    pub fn conn_leaves(&mut self, conn: ConnId) {
+    pub fn drain_conn(&mut self, conn: ConnId) {
         self.pool.drain_conn(&mut self.sockets, conn);
     }
 
@@ -206,11 +206,11 @@
         is_open
     }
 
-    pub fn sweep(&mut self, now: Time) {
+    pub fn close_idle_conns(&mut self, now: Time) {
         self.pool.close_idle(now, &mut self.sockets);
     }
 
-    pub fn conns(&self) -> usize {
+    pub fn conn_count(&self) -> usize {
         self.pool.conn_count()
     }
 
@@ -248,9 +248,9 @@
     }
 
     fn withdraw(&mut self, now: Time, id: RequestId) -> bool {
-        let untouched = self.pool.withdraw(now, &mut self.sockets, id);
+        let withdrawn = self.pool.withdraw(now, &mut self.sockets, id);
         self.sockets.tickets.remove(&id);
-        untouched
+        withdrawn
     }
 
     fn answer(
@@ -262,10 +262,10 @@
             Answer::Ok => debug!(rpc = name, client = client.0, tag, "ok"),
             _ => info!(rpc = name, client = client.0, tag, "{answer:?}: {reason}"),
         }
-        if let Some(reply) = self.reply_txs.remove(&client) {
+        if let Some(reply_tx) = self.reply_txs.remove(&client) {
             let (rpc, reason) = (name, reason.to_owned());
             // Fails if the request was dropped in the meantime.
-            let _ = reply.send(Reply::Final { answer, rpc, reason, retry_after, body });
+            let _ = reply_tx.send(Reply::Final { answer, rpc, reason, retry_after, body });
             return;
         }
         let mut f =
@@ -315,12 +315,12 @@
         self.pool.worker_gone(now, &mut self.sockets, worker);
     }
 
-    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
-        self.observations.push((worker, function, hint, held));
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64) {
+        self.observations.push((worker, function, hint, held_rpcs));
     }
 
     fn function_requested(&mut self, function: FunctionId) {
-        self.wanted_functions.as_mut().map(|all| all.insert(function));
+        self.requested_functions.as_mut().map(|functions| functions.insert(function));
     }
 
     fn rpc_accepted(&mut self, rpc: RpcId) {
--- a/crates/curlewpoint-gateway/src/http.rs
+++ b/crates/curlewpoint-gateway/src/http.rs
@@ -61,7 +61,7 @@
 }
 
 #[derive(Clone, Copy)]
-pub(crate) struct Limits {
+pub(crate) struct HttpLimits {
     pub connections: usize,
     pub body_bytes: usize,
     /// Time for receiving a request's headers, and again for its body.
@@ -76,7 +76,7 @@
 pub(crate) struct HttpEndpoint {
     pub active_methods: watch::Receiver<Arc<ActiveMethods>>,
     pub clock: Clock,
-    pub limits: Limits,
+    pub limits: HttpLimits,
     /// For events that end something. The engine's task processes these before those of `request_tx`.
     pub priority_tx: mpsc::Sender<Event>,
     /// For events that start something.
@@ -87,7 +87,7 @@
 
 impl HttpEndpoint {
     pub fn new(
-        active_methods: watch::Receiver<Arc<ActiveMethods>>, clock: Clock, limits: Limits,
+        active_methods: watch::Receiver<Arc<ActiveMethods>>, clock: Clock, limits: HttpLimits,
         priority_tx: mpsc::Sender<Event>, request_tx: mpsc::Sender<Event>, tasks: TaskTracker,
     ) -> HttpEndpoint {
         HttpEndpoint {
@@ -120,7 +120,7 @@
 struct HttpListener {
     endpoint: Arc<HttpEndpoint>,
     connection_slots: Arc<Semaphore>,
-    /// Limits the tasks that close connections over the limit without a reset.
+    /// HttpLimits the tasks that close connections over the limit without a reset.
     rejection_slots: Arc<Semaphore>,
     stop: watch::Receiver<bool>,
 }
@@ -270,7 +270,7 @@
     tenant: String,
 }
 
-/// Maximum number of times that an RPC is checked because reloads replace the methods in the meantime.
+/// Maximum number of times that an RPC is checked while reloads keep replacing the methods.
 const MAX_CHECKS: usize = 8;
 
 impl HttpEndpoint {
--- a/crates/curlewpoint-gateway/src/http/tests.rs
+++ b/crates/curlewpoint-gateway/src/http/tests.rs
@@ -20,7 +20,7 @@
     let active =
         ActiveMethods { release: releases.in_force(), prepared, withdrawn: releases.withdrawn().clone() };
     let (_, active_methods) = watch::channel(Arc::new(active));
-    let limits = Limits {
+    let limits = HttpLimits {
         connections: 8,
         body_bytes: 4096,
         receive_timeout: Duration::from_secs(9),
--- a/crates/curlewpoint-gateway/src/list.rs
+++ b/crates/curlewpoint-gateway/src/list.rs
@@ -18,8 +18,8 @@
 /// While there is no connection, the scheduler continues with the list that it has. Failed dials back off with jitter,
 /// so that a service that comes back is not dialled by the whole fleet at the same moment.
 pub(crate) async fn follow(
-    address: String, name: String, bounds: LinkLimits, dial_timeout: Duration, event_tx: mpsc::Sender<Event>,
-    seed: u128, mut wanted: watch::Receiver<Option<u64>>,
+    address: String, name: String, link_limits: LinkLimits, dial_timeout: Duration,
+    event_tx: mpsc::Sender<Event>, seed: u128, mut wanted: watch::Receiver<Option<u64>>,
 ) {
     let mut rng = Rand64::new(seed);
     let mut backoff = INITIAL_BACKOFF;
@@ -28,7 +28,7 @@
         let Ok(number) = wanted.wait_for(Option::is_some).await.map(|w| *w) else { return };
         let dialled = timeout(dial_timeout, async {
             let stream = TcpStream::connect(&address).await.map_err(WireError::from)?;
-            handshake(stream, &name, bounds).await
+            handshake(stream, &name, link_limits).await
         });
         match dialled.await {
             Ok(Ok(mut link)) => {
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -40,7 +40,7 @@
 struct LinkContext {
     /// Name of this instance.
     name: String,
-    bounds: LinkLimits,
+    link_limits: LinkLimits,
     /// Time for connecting and exchanging hellos.
     dial_timeout: Duration,
     event_tx: mpsc::Sender<Event>,
@@ -83,7 +83,7 @@
     async fn dial(self, link: LinkId, address: String) {
         let dialled = timeout(self.dial_timeout, async {
             let stream = TcpStream::connect(&address).await.map_err(WireError::from)?;
-            handshake(stream, &self.name, self.bounds).await
+            handshake(stream, &self.name, self.link_limits).await
         });
         match dialled.await {
             Ok(Ok(opened)) => self.read_frames(link, opened, Event::PeerConnected).await,
@@ -141,7 +141,7 @@
             last_id += 1;
             let (link, context) = (LinkId(last_id), self.clone());
             self.tasks.spawn(async move {
-                match handshake(stream, &context.name, context.bounds).await {
+                match handshake(stream, &context.name, context.link_limits).await {
                     Ok(opened) => context.read_frames(link, opened, Event::PeerAccepted).await,
                     Err(error) => info!("fleet: no hello from a peer: {error}"),
                 }
@@ -205,9 +205,9 @@
 
     fn send_heartbeat(
         &mut self, link: LinkId, tags: (u64, u64), digest: u64, held: Option<(u64, u64)>, age: Option<Time>,
-        sure: bool, answer: bool,
+        confirmed: bool, answer: bool,
     ) {
-        self.send(link, frames::heartbeat_frame(tags, digest, held, age, sure, answer));
+        self.send(link, frames::heartbeat_frame(tags, digest, held, age, confirmed, answer));
     }
 
     fn request_list(&mut self, link: LinkId, held: Option<(u64, u64)>) {
@@ -258,20 +258,22 @@
         self.engine.list_ends(self.now);
     }
 
-    fn send_hints(&mut self, link: LinkId, seen: &[Observation]) {
-        self.send(link, frames::hints_frame(self.now, seen));
+    fn send_hints(&mut self, link: LinkId, observations: &[Observation]) {
+        self.send(link, frames::hints_frame(self.now, observations));
     }
 
     fn send_directory_frame(&mut self, link: LinkId, frame: Frame) {
         self.send(link, frame);
     }
 
-    fn deliver_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time) {
-        self.engine.hinted(self.now, worker, function, hint, held, age);
+    fn deliver_hint(
+        &mut self, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64, age: Time,
+    ) {
+        self.engine.hinted(self.now, worker, function, hint, held_rpcs, age);
     }
 
-    fn set_instance_count(&mut self, number: u64) {
-        self.engine.set_instance_count(number);
+    fn set_instance_count(&mut self, count: u64) {
+        self.engine.set_instance_count(count);
     }
 
     fn log(&mut self, line: &str) {
@@ -339,9 +341,9 @@
         info!(
             address = local_address,
             run = format!("{:016x}", fleet.own_id().run.0),
-            "fleet: peers may come"
+            "fleet: listening for peers"
         );
-        let bounds = LinkLimits {
+        let link_limits = LinkLimits {
             max_frame_bytes: MAX_FRAME_BYTES,
             max_outbox: (16 << 10, 4 << 20),
             hello_timeout: config.duration("connections", "hello-limit"),
@@ -349,7 +351,7 @@
         };
         let context = LinkContext {
             name: name.to_owned(),
-            bounds,
+            link_limits,
             dial_timeout: config.duration("connections", "dial-limit"),
             event_tx: event_tx.clone(),
             tasks: tasks.clone(),
@@ -366,7 +368,7 @@
     }
 
     /// Whether new work is held back after this process has been stalled.
-    pub fn holds(&self, now: Time) -> bool {
+    pub fn is_holding(&self, now: Time) -> bool {
         self.fleet.is_holding(now)
     }
 
@@ -382,7 +384,9 @@
         self.call(now, engine, |fleet, driver| fleet.advance(now, driver));
     }
 
-    pub fn link_in(&mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, outbox: Outbox) {
+    pub fn link_accepted(
+        &mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, outbox: Outbox,
+    ) {
         self.links.outboxes.insert(link, outbox);
         self.call(now, engine, |fleet, driver| fleet.link_accepted(now, driver, link));
     }
@@ -406,7 +410,7 @@
         if !self.links.outboxes.contains_key(&link) {
             return;
         }
-        if let Err(error) = self.read(now, engine, link, f) {
+        if let Err(error) = self.handle_frame(now, engine, link, f) {
             info!(link = link.0, "fleet: a peer is closed: {error}");
             self.call(now, engine, |fleet, driver| {
                 driver.refuse(link, &error.to_string());
@@ -415,7 +419,7 @@
         }
     }
 
-    fn read(
+    fn handle_frame(
         &mut self, now: Time, engine: &mut Engine<GatewayDriver>, link: LinkId, f: &Frame,
     ) -> Result<(), WireError> {
         match f.kind {
@@ -425,7 +429,7 @@
                 self.call(now, engine, |_, driver| driver.send(link, reply));
             }
             _ => {
-                self.call(now, engine, |me, driver| frames::dispatch(me, now, driver, link, f))?;
+                self.call(now, engine, |fleet, driver| frames::dispatch(fleet, now, driver, link, f))?;
             }
         }
         Ok(())
@@ -435,7 +439,7 @@
     pub fn list_frame(
         &mut self, now: Time, engine: &mut Engine<GatewayDriver>, on: Option<LinkId>, f: &Frame,
     ) -> Result<(), WireError> {
-        self.call(now, engine, |me, driver| frames::dispatch_list(me, now, driver, on, f)).map(drop)
+        self.call(now, engine, |fleet, driver| frames::dispatch_list(fleet, now, driver, on, f)).map(drop)
     }
 
     /// Passes on what the decision module observed of functions at workers, and the functions of newly accepted RPCs.
@@ -443,14 +447,16 @@
         &mut self, now: Time, engine: &mut Engine<GatewayDriver>,
         observations: Vec<(WorkerId, FunctionId, Hint, u64)>,
     ) {
-        for (worker, function, hint, held) in observations {
-            self.call(now, engine, |me, driver| me.observe(now, driver, worker, function, hint, held));
+        for (worker, function, hint, held_rpcs) in observations {
+            self.call(now, engine, |fleet, driver| {
+                fleet.observe(now, driver, worker, function, hint, held_rpcs)
+            });
         }
         if self.fleet.directory().is_none() {
             return;
         }
-        for function in engine.driver().wanted_functions.replace(BTreeSet::new()).into_iter().flatten() {
-            self.call(now, engine, |me, driver| me.function_requested(now, driver, function));
+        for function in engine.driver().requested_functions.replace(BTreeSet::new()).into_iter().flatten() {
+            self.call(now, engine, |fleet, driver| fleet.function_requested(now, driver, function));
         }
     }
 
@@ -507,17 +513,17 @@
     /// The status text: this instance's view of the fleet.
     fn status(&self, now: Time) -> String {
         let (fleet, mut out) = (&self.fleet, String::new());
-        let (table, number) = (fleet.members(), fleet.instance_count());
+        let (members, instance_count) = (fleet.members(), fleet.instance_count());
         // Writing to a String cannot fail.
         let _ = writeln!(
             out,
             "{} run {:016x}: {} live, {} known, reckons with {} ({}), {} links, {} not reached, {} refused",
             self.links.context.name,
             fleet.own_id().run.0,
-            table.alive().count(),
-            table.len(),
-            number.effective(),
-            if number.is_confirmed() { "sure" } else { "unsure" },
+            members.alive().count(),
+            members.len(),
+            instance_count.effective(),
+            if instance_count.is_confirmed() { "sure" } else { "unsure" },
             fleet.link_count(),
             fleet.unreachable_count(),
             fleet.refusal_count(),
@@ -547,7 +553,7 @@
         let _ =
             writeln!(out, "list {epoch}.{version}: {} workers, {age}, {watching}", fleet.endpoints().len());
         let watchers = fleet.watchers();
-        for (id, m) in table.iter() {
+        for (id, m) in members.iter() {
             let s = m.state;
             let state = match (s.left, s.dead, s.is_suspect()) {
                 (true, ..) => "left",
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -20,7 +20,7 @@
 
 use crate::driver::GatewayDriver;
 use crate::events::Event;
-use crate::http::{HttpEndpoint, Limits, Reply, RpcRequest};
+use crate::http::{HttpEndpoint, HttpLimits, Reply, RpcRequest};
 use crate::peers::FleetMembership;
 use crate::reload::{ActiveMethods, PreparedMethods, ReloadError, ReloadHandle};
 use crate::workers::Dialler;
@@ -92,9 +92,9 @@
 
     /// Waits for the scheduler to end and returns its counters.
     pub async fn wait(self) -> EngineCounters {
-        let figures = self.event_loop.await.unwrap_or_default();
+        let counters = self.event_loop.await.unwrap_or_default();
         self.background_tasks.iter().for_each(AbortHandle::abort);
-        figures
+        counters
     }
 }
 
@@ -144,7 +144,7 @@
         Some(at) => Some(curlewpoint_link::listen(at).map_err(|e| StartError::Listen(at.to_owned(), e))?),
     };
     let http = http_listener.as_ref().and_then(|l| l.local_addr().ok());
-    let bounds = LinkLimits {
+    let link_limits = LinkLimits {
         max_frame_bytes: number("most-frame") as usize,
         max_outbox: (number("outbox-frames") as usize, number("outbox") as usize),
         hello_timeout: config.duration("connections", "hello-limit"),
@@ -163,7 +163,7 @@
     let (request_tx, request_rx) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
     let dial_timeout = config.duration("connections", "dial-limit");
     let dialler =
-        Dialler { name: name.clone(), bounds, timeout: dial_timeout, event_tx: priority_tx.clone() };
+        Dialler { name: name.clone(), link_limits, timeout: dial_timeout, event_tx: priority_tx.clone() };
     let ms = |name| Time::from_ms(number(name));
     let limits = PoolLimits {
         requests_per_conn: number("streams") as usize,
@@ -187,13 +187,13 @@
     let (tasks, closing) = (TaskTracker::new(), CancellationToken::new());
     let max_clients = number("clients") as usize;
     // A client's frame must fit into a frame to a worker with the longer header of an attempt.
-    let client_bounds = LinkLimits {
-        max_frame_bytes: bounds.max_frame_bytes.saturating_sub(ATTEMPT_HEADER_MARGIN_BYTES),
-        ..bounds
+    let client_link_limits = LinkLimits {
+        max_frame_bytes: link_limits.max_frame_bytes.saturating_sub(ATTEMPT_HEADER_MARGIN_BYTES),
+        ..link_limits
     };
     let client_context = clients::ClientContext {
         name: name.clone(),
-        bounds: client_bounds,
+        link_limits: client_link_limits,
         active_methods: active_methods.clone(),
         priority_tx: priority_tx.clone(),
         request_tx: request_tx.clone(),
@@ -204,9 +204,9 @@
     let accepting = clients::accept(listener, max_clients, client_context, stopped.clone());
     let mut background_tasks = vec![tasks.spawn(accepting).abort_handle()];
     if let Some(listener) = http_listener {
-        let limits = Limits {
+        let limits = HttpLimits {
             connections: number("http-clients") as usize,
-            body_bytes: client_bounds.max_frame_bytes,
+            body_bytes: client_link_limits.max_frame_bytes,
             receive_timeout: config.duration("connections", "http-slow"),
             header_bytes: number("http-head") as usize,
         };
@@ -255,8 +255,15 @@
         membership
     });
     let list_address = config.text("list").to_owned();
-    let following =
-        list::follow(list_address, name, bounds, dial_timeout, priority_tx, seed, wanted_list_connection);
+    let following = list::follow(
+        list_address,
+        name,
+        link_limits,
+        dial_timeout,
+        priority_tx,
+        seed,
+        wanted_list_connection,
+    );
     background_tasks.push(tokio::spawn(following).abort_handle());
     let held_events = VecDeque::new();
     let event_loop = EventLoop {
@@ -319,8 +326,8 @@
                 self.engine.next_wake().map_or(SWEEP_INTERVAL, |at| self.clock.until(at)).min(SWEEP_INTERVAL);
             if let Some(membership) = &self.membership {
                 // Held events wait for news from the fleet or for its next timer.
-                let holds = membership.holds(self.clock.now());
-                wake = self.clock.until(membership.next_wake()).min(if holds {
+                let is_holding = membership.is_holding(self.clock.now());
+                wake = self.clock.until(membership.next_wake()).min(if is_holding {
                     MIN_WAIT_WHILE_HELD.max(wake)
                 } else {
                     wake
@@ -332,13 +339,13 @@
                 membership.advance(now, &mut self.engine);
             }
             for event in events {
-                if event.bypasses_hold() || !self.holds() {
+                if event.bypasses_hold() || !self.is_holding() {
                     self.handle_event(event, stop_limit);
                 } else {
                     self.held_events.push_back(event);
                 }
             }
-            if self.holds() {
+            if self.is_holding() {
                 continue;
             }
             while let Some(event) = self.held_events.pop_front() {
@@ -355,7 +362,7 @@
             }
             if last_sweep.elapsed() >= SWEEP_INTERVAL {
                 last_sweep = Instant::now();
-                self.engine.driver().sweep(now);
+                self.engine.driver().close_idle_conns(now);
                 if let Some(membership) = &mut self.membership {
                     membership.save_snapshot(now);
                 }
@@ -387,7 +394,7 @@
             events.into_iter().for_each(|event| self.handle_event(event, stop_limit));
         }
         let f = self.engine.counters();
-        let conns = self.engine.driver().conns();
+        let conns = self.engine.driver().conn_count();
         info!(f.taken, f.ok, f.denied, f.aborted, f.left, f.refused, f.attempts, conns, "stopped");
         f
     }
@@ -404,8 +411,8 @@
     }
 
     /// Whether new work is held back after this process has been stalled.
-    fn holds(&self) -> bool {
-        self.membership.as_ref().is_some_and(|membership| membership.holds(self.clock.now()))
+    fn is_holding(&self) -> bool {
+        self.membership.as_ref().is_some_and(|membership| membership.is_holding(self.clock.now()))
     }
 
     /// Passes events of peers and of the list to the fleet. Returns other events, and all events if there is no fleet.
@@ -413,7 +420,7 @@
         let Some(membership) = &mut self.membership else { return Some(event) };
         let engine = &mut self.engine;
         match event {
-            Event::PeerAccepted(link, outbox) => membership.link_in(now, engine, link, outbox),
+            Event::PeerAccepted(link, outbox) => membership.link_accepted(now, engine, link, outbox),
             Event::PeerConnected(link, outbox) => membership.link_up(now, engine, link, outbox),
             Event::PeerDisconnected(link) => membership.link_down(now, engine, link),
             Event::PeerFrame(link, frame) => membership.peer_frame(now, engine, link, &frame),
@@ -702,7 +709,7 @@
                     self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
                 }
             }
-            Kind::GO_AWAY => self.engine.driver().conn_leaves(conn),
+            Kind::GO_AWAY => self.engine.driver().drain_conn(conn),
             _ => {}
         }
         Ok(())
--- a/crates/curlewpoint-gateway/src/snapshot/tests.rs
+++ b/crates/curlewpoint-gateway/src/snapshot/tests.rs
@@ -5,7 +5,7 @@
 const NOW: Time = Time(864_000_000);
 
 fn fleet() -> Fleet {
-    let bounds = FleetLimits {
+    let limits = FleetLimits {
         max_instances: 10,
         max_inbound_links: 10,
         watchers: 3,
@@ -13,7 +13,7 @@
         hint_lifetime: Time(80_000),
         exchange_hints: true,
     };
-    Fleet::start(NOW, "f", ("n", Run(1)), "a", vec!["b".into()], 1, bounds, 1)
+    Fleet::start(NOW, "f", ("n", Run(1)), "a", vec!["b".into()], 1, limits, 1)
 }
 
 fn encoded_snapshot() -> BytesMut {
--- a/crates/curlewpoint-gateway/src/workers.rs
+++ b/crates/curlewpoint-gateway/src/workers.rs
@@ -14,7 +14,7 @@
 pub(crate) struct Dialler {
     /// Name of this instance.
     pub name: String,
-    pub bounds: LinkLimits,
+    pub link_limits: LinkLimits,
     /// Time for connecting and exchanging hellos.
     pub timeout: Duration,
     pub event_tx: mpsc::Sender<Event>,
@@ -22,19 +22,19 @@
 
 impl Dialler {
     pub fn dial(&self, conn: ConnId, address: String) {
-        let (name, bounds, limit, event_tx) =
-            (self.name.clone(), self.bounds, self.timeout, self.event_tx.clone());
+        let (name, link_limits, dial_timeout, event_tx) =
+            (self.name.clone(), self.link_limits, self.timeout, self.event_tx.clone());
         tokio::spawn(async move {
-            let dialled = timeout(limit, async {
+            let dialled = timeout(dial_timeout, async {
                 let dialled = dial(&address).await;
                 let stream =
                     dialled.map_err(|e| (is_local_error(&e), LinkError::from(WireError::from(e))))?;
-                handshake(stream, &name, bounds).await.map_err(|error| (false, error))
+                handshake(stream, &name, link_limits).await.map_err(|error| (false, error))
             });
             let (local, error) = match dialled.await {
                 Ok(Ok(link)) => return read_frames(conn, link, event_tx).await,
                 Ok(Err(failure)) => failure,
-                Err(_) => (false, LinkError::NoHello(limit)),
+                Err(_) => (false, LinkError::NoHello(dial_timeout)),
             };
             debug!(conn = conn.0, address, "not connected: {error}");
             let _ = event_tx.send(Event::WorkerDialFailed(conn, local)).await;
