--- a/crates/curlewpoint-fleet/src/directory.rs
+++ b/crates/curlewpoint-fleet/src/directory.rs
@@ -18,7 +18,7 @@
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
 
 use crate::hints::Observation;
-use crate::members::{MemberId, Run};
+use crate::members::{MemberId, RunId};
 use copies::CopyTable;
 pub(crate) use gossip_queue::{GossipPriority, GossipQueue};
 pub use queue::Batch;
@@ -138,8 +138,8 @@
 }
 
 /// A shortened run id, three bytes on the wire. With a sequence number it identifies an observation.
-fn short_run_id(run: Run) -> Run {
-    Run(run.0 >> 48)
+fn short_run_id(run: RunId) -> RunId {
+    RunId(run.0 >> 48)
 }
 
 impl CopyDirectory {
@@ -275,12 +275,12 @@
     // Calls from the local scheduler.
 
     /// The local scheduler has observed something of a function at a worker.
-    pub fn observe(&mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64) {
+    pub fn observe(&mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64) {
         let known = self.copies.get(function, worker);
         // An absent copy is news only to members that expect one.
         let is_news = known.map_or(hint != Hint::Gone, |k| {
             let (age, differs_much) =
-                (now - k.observed_at, held_rpcs.abs_diff(k.held_rpcs) >= 2 + k.held_rpcs / 2);
+                (now - k.observed_at, rpcs_held.abs_diff(k.rpcs_held) >= 2 + k.rpcs_held / 2);
             let differs = k.hint != hint && (hint == Hint::Warm || age >= CHANGE_INTERVAL);
             differs
                 || age >= REPEAT_INTERVAL.max(Time(self.settings.observation_lifetime.0 / 4))
@@ -294,7 +294,7 @@
             worker,
             function,
             hint,
-            held_rpcs,
+            rpcs_held,
             observed_at: now,
             run: short_run_id(self.me.run),
             seq: self.next_seq,
--- a/crates/curlewpoint-fleet/src/directory/frames.rs
+++ b/crates/curlewpoint-fleet/src/directory/frames.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Fleet;
 use crate::frames::{code, HINTS};
 use crate::hints::Observation;
-use crate::members::Run;
+use crate::members::RunId;
 
 /// Integers per row.
 const ROW_INTEGERS: usize = 7;
@@ -16,19 +16,19 @@
 
 /// Sent before the join frame: this instance takes part in the directory. `only`: the link is used for nothing
 /// else; `just_started`: it has just started and knows nothing.
-pub fn announce_frame(only: bool, just_started: bool) -> Frame {
+pub fn join_frame(only: bool, just_started: bool) -> Frame {
     Frame::new(Kind::DIRECTORY_JOIN)
         .int(Field::DIRECTORY_ONLY, u64::from(only))
         .int(Field::JUST_STARTED, u64::from(just_started))
 }
 
 /// A question about functions.
-pub fn copies_request_frame(functions: &[FunctionId]) -> Frame {
+pub fn query_frame(functions: &[FunctionId]) -> Frame {
     Frame::new(Kind::DIRECTORY_QUERY).ints(Field::FUNCTIONS, &function_ids(functions))
 }
 
 /// The answer for some functions, and changes of others.
-pub fn copies_frame(now: Time, answered: &[FunctionId], observations: &[Observation]) -> Frame {
+pub fn update_frame(now: Time, answered: &[FunctionId], observations: &[Observation]) -> Frame {
     let f = Frame::new(Kind::DIRECTORY_UPDATE);
     let f = if answered.is_empty() { f } else { f.ints(Field::FUNCTIONS, &function_ids(answered)) };
     f.ints(Field::ROWS, &rows(now, observations))
@@ -45,7 +45,7 @@
 
 fn rows(now: Time, observations: &[Observation]) -> Vec<u64> {
     let row = |s: &Observation| {
-        [s.worker.0, s.function.0, code(&HINTS, s.hint), s.held_rpcs, (now - s.observed_at).0, s.run.0, s.seq]
+        [s.worker.0, s.function.0, code(&HINTS, s.hint), s.rpcs_held, (now - s.observed_at).0, s.run.0, s.seq]
     };
     observations.iter().flat_map(row).collect()
 }
@@ -71,9 +71,9 @@
             worker,
             function,
             hint,
-            held_rpcs: r[3],
+            rpcs_held: r[3],
             observed_at: at,
-            run: Run(r[5]),
+            run: RunId(r[5]),
             seq: r[6],
         })
     };
@@ -89,18 +89,18 @@
         Kind::DIRECTORY_JOIN => {
             let (only, just_started) =
                 (f.get_int(Field::DIRECTORY_ONLY)? == 1, f.get_int(Field::JUST_STARTED)? == 1);
-            fleet.peer_supports_directory(now, driver, link, only);
+            fleet.directory_join_received(now, driver, link, only);
             if just_started {
                 fleet.peer_just_started(link);
             }
         }
         Kind::DIRECTORY_QUERY => {
             let functions = read_function_ids(f)?;
-            fleet.copies_requested(now, driver, link, functions);
+            fleet.directory_query_received(now, driver, link, functions);
         }
         Kind::DIRECTORY_UPDATE => {
             let (answered, observations) = (read_function_ids(f)?, read_observations(now, f)?);
-            fleet.copies_received(now, driver, link, answered, observations);
+            fleet.directory_update_received(now, driver, link, answered, observations);
         }
         Kind::OBSERVATIONS => {
             let observations = read_observations(now, f)?;
--- a/crates/curlewpoint-fleet/src/driver.rs
+++ b/crates/curlewpoint-fleet/src/driver.rs
@@ -48,7 +48,7 @@
     /// without a directory need not implement it.
     fn send_directory_frame(&mut self, _link: LinkId, _frame: Frame) {}
     /// Passes an observation of another instance to the scheduler.
-    fn deliver_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64, age: Time);
+    fn deliver_hint(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64, age: Time);
     /// Sets the number of instances that share the load of cold workers.
     fn set_instance_count(&mut self, number: u64);
     fn log(&mut self, line: &str);
--- a/crates/curlewpoint-fleet/src/endpoint_table.rs
+++ b/crates/curlewpoint-fleet/src/endpoint_table.rs
@@ -11,7 +11,7 @@
     pub address: String,
     pub lifecycle: Lifecycle,
     /// Identifies one start of the worker's process.
-    pub start: u64,
+    pub start_id: u64,
     pub started_at: Option<Time>,
     pub zone: String,
     pub cell: String,
--- a/crates/curlewpoint-fleet/src/fleet.rs
+++ b/crates/curlewpoint-fleet/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::endpoint_table::{EndpointEntry, EndpointTable, ListOutcome, ListSource};
 use crate::hints::{HintTable, Observation, PendingHints};
 use crate::instance_count::InstanceCount;
-use crate::members::{InstanceId, Member, MemberId, MemberState, MemberTable, RecordError, Run};
+use crate::members::{InstanceId, Member, MemberId, MemberState, MemberTable, RecordError, RunId};
 use crate::rings::{monitored_member, order_key, RING_COUNT, WATCHER_SALT};
 
 mod directory_links;
@@ -109,7 +109,7 @@
     /// The peer is not asked for a list before this time.
     ask_list_from: Time,
     /// The peer accepts frames that hold several list entries.
-    reads_list_rows: bool,
+    accepts_list_entries: bool,
     /// Member records to be sent to the peer.
     pending_records: BTreeSet<MemberId>,
     records_sent_at: Time,
@@ -205,8 +205,8 @@
     /// is where peers reach this instance, `peers` are the addresses of the seed peers, and `configured` is the
     /// instance count from the configuration.
     pub fn start(
-        now: Time, fleet: &str, (name, run): (&str, Run), address: &str, peers: Vec<String>, configured: u64,
-        limits: FleetLimits, seed: u128,
+        now: Time, fleet: &str, (name, run): (&str, RunId), address: &str, peers: Vec<String>,
+        configured: u64, limits: FleetLimits, seed: u128,
     ) -> Fleet {
         let mut rng = Rand64::new(seed);
         let me = MemberId { instance: InstanceId::of(name), run };
@@ -436,7 +436,7 @@
         confirmed: false,
         answered_since_stall: false,
         ask_list_from: Time(0),
-        reads_list_rows: false,
+        accepts_list_entries: false,
         pending_records: BTreeSet::new(),
         records_sent_at: Time(0),
         pending_hints: PendingHints::default(),
--- a/crates/curlewpoint-fleet/src/fleet/directory_links.rs
+++ b/crates/curlewpoint-fleet/src/fleet/directory_links.rs
@@ -256,7 +256,7 @@
     // Frames from peers.
 
     /// The peer takes part in the directory; with `only`, it has opened the link for nothing else.
-    pub fn peer_supports_directory(
+    pub fn directory_join_received(
         &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, only: bool,
     ) {
         let Some(node) = &mut self.directory_node else { return };
@@ -369,7 +369,7 @@
     }
 
     /// Handles a peer's question about functions.
-    pub fn copies_requested(
+    pub fn directory_query_received(
         &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, mut functions: Vec<FunctionId>,
     ) {
         let Some((peer, admitted)) = self.admit_rows(now, link, functions.len()) else { return };
@@ -382,7 +382,7 @@
     }
 
     /// Handles a peer's answer for some functions, with rows of these and of other functions it was asked for.
-    pub fn copies_received(
+    pub fn directory_update_received(
         &mut self, now: Time, driver: &mut impl FleetDriver, link: LinkId, answered: Vec<FunctionId>,
         mut rows: Vec<Observation>,
     ) {
@@ -418,10 +418,7 @@
             node.directory
                 .charge(JOIN_OVERHEAD_BYTES + self.fleet.len() + self.name.len() + self.address.len());
         }
-        driver.send_directory_frame(
-            link,
-            frames::announce_frame(is_own, now - node.joined_at < NEWCOMER_PERIOD),
-        );
+        driver.send_directory_frame(link, frames::join_frame(is_own, now - node.joined_at < NEWCOMER_PERIOD));
     }
 
     /// Handles the end of a link for the directory alone, or a failed dial; false if it is another link.
@@ -516,10 +513,10 @@
                 driver.send_directory_frame(link, frame);
             };
             if !batch.questions.is_empty() {
-                send(frames::copies_request_frame(&batch.questions));
+                send(frames::query_frame(&batch.questions));
             }
             if !batch.answered.is_empty() || !batch.copies.is_empty() {
-                send(frames::copies_frame(now, &batch.answered, &batch.copies));
+                send(frames::update_frame(now, &batch.answered, &batch.copies));
             }
             if !batch.observations.is_empty() {
                 send(frames::observations_frame(now, &batch.observations));
--- a/crates/curlewpoint-fleet/src/fleet/list.rs
+++ b/crates/curlewpoint-fleet/src/fleet/list.rs
@@ -131,8 +131,8 @@
     // Sending a list.
 
     /// The peer accepts frames that hold several list entries.
-    pub fn peer_reads_list_rows(&mut self, link: LinkId) {
-        self.links.get_mut(&link).into_iter().for_each(|l| l.reads_list_rows = true);
+    pub fn peer_accepts_list_entries(&mut self, link: LinkId) {
+        self.links.get_mut(&link).into_iter().for_each(|l| l.accepts_list_entries = true);
     }
 
     /// Handles a peer's request for the list.
@@ -165,7 +165,7 @@
         let Some(l) = self.links.get_mut(&link) else { return };
         l.held = Some(version);
         driver.send_list_begin(link, version, held.map(|(_, v)| v));
-        send_entries(driver, link, l.reads_list_rows, &self.endpoints.entries_since(held));
+        send_entries(driver, link, l.accepts_list_entries, &self.endpoints.entries_since(held));
         driver.send_list_end(link);
     }
 
@@ -234,7 +234,7 @@
             size += row_size(name, entry);
             part.push((name, entry));
         }
-        send_entries(driver, link, l.reads_list_rows, &part);
+        send_entries(driver, link, l.accepts_list_entries, &part);
         self.transfer_budget.bytes -= size as f64;
         if left.peek().is_some() {
             progress.after = part.last().map_or(String::new(), |(name, _)| (*name).to_owned());
--- a/crates/curlewpoint-fleet/src/fleet/list_service.rs
+++ b/crates/curlewpoint-fleet/src/fleet/list_service.rs
@@ -45,7 +45,7 @@
                     incarnation: own.incarnation + 1,
                     list_service_lost: !reachable,
                     dead: false,
-                    suspicions: 0,
+                    suspected_rings: 0,
                     ..own
                 },
             );
--- a/crates/curlewpoint-fleet/src/fleet/observations.rs
+++ b/crates/curlewpoint-fleet/src/fleet/observations.rs
@@ -13,7 +13,7 @@
 /// Whether the scheduler here already has this observation through the other path.
 fn is_known(known: Option<&Observation>, s: &Observation) -> bool {
     known.is_some_and(|k| {
-        (k.hint, k.held_rpcs) == (s.hint, s.held_rpcs) && s.observed_at < k.observed_at + MAX_PATH_SKEW
+        (k.hint, k.rpcs_held) == (s.hint, s.rpcs_held) && s.observed_at < k.observed_at + MAX_PATH_SKEW
     })
 }
 
@@ -24,39 +24,39 @@
         &self, now: Time, driver: &mut impl FleetDriver, rows: &[Observation],
     ) {
         for s in rows.iter().filter(|s| !is_known(self.hints.get(s.worker, s.function), s)) {
-            driver.deliver_hint(s.worker, s.function, s.hint, s.held_rpcs, now - s.observed_at);
+            driver.deliver_hint(s.worker, s.function, s.hint, s.rpcs_held, now - s.observed_at);
         }
     }
 
     /// The scheduler here has observed something; other instances are told if it is news.
     pub fn observe(
         &mut self, now: Time, driver: &mut impl FleetDriver, worker: WorkerId, function: FunctionId,
-        hint: Hint, held_rpcs: u64,
+        hint: Hint, rpcs_held: u64,
     ) {
         if !self.limits.exchange_hints {
             return;
         }
         self.refresh_topology(now);
-        let is_news = self.hints.is_news(now, worker, function, hint, held_rpcs);
+        let is_news = self.hints.is_news(now, worker, function, hint, rpcs_held);
         let changed = self.hints.get(worker, function).is_none_or(|k| k.hint != hint);
         let Some(node) = &mut self.directory_node else {
-            if let Some(observation) = self.hints.observe(now, self.me.run, worker, function, hint, held_rpcs)
+            if let Some(observation) = self.hints.observe(now, self.me.run, worker, function, hint, rpcs_held)
             {
                 self.gossip_hints(now, driver, None, &[observation]);
             }
             return;
         };
         if !node.directory.gossips() {
-            node.directory.observe(now, worker, function, hint, held_rpcs);
+            node.directory.observe(now, worker, function, hint, rpcs_held);
             return self.send_batches(now, driver);
         }
         if !is_news {
             // The instance that gossiped it has also sent it to the holders.
             return;
         }
-        node.directory.observe(now, worker, function, hint, held_rpcs);
+        node.directory.observe(now, worker, function, hint, rpcs_held);
         self.send_batches(now, driver);
-        match self.hints.observe(now, self.me.run, worker, function, hint, held_rpcs) {
+        match self.hints.observe(now, self.me.run, worker, function, hint, rpcs_held) {
             Some(observation) => self.gossip_within_budget(
                 now,
                 driver,
@@ -88,7 +88,7 @@
                 a.directory.copy(s.function, s.worker)
             });
             if self.limits.exchange_hints && !is_known(copy, s) {
-                driver.deliver_hint(s.worker, s.function, s.hint, s.held_rpcs, now - s.observed_at);
+                driver.deliver_hint(s.worker, s.function, s.hint, s.rpcs_held, now - s.observed_at);
             }
         }
         if self.directory_node.is_some() {
--- a/crates/curlewpoint-fleet/src/fleet/records.rs
+++ b/crates/curlewpoint-fleet/src/fleet/records.rs
@@ -47,7 +47,7 @@
             let ended = dialled.expect("checked above");
             l.purpose = LinkPurpose::Introduction;
             if let Some(m) = self.members.get(ended).filter(|m| m.state.is_alive()).cloned() {
-                let state = MemberState { suspicions: (1 << RING_COUNT) - 1, ..m.state };
+                let state = MemberState { suspected_rings: (1 << RING_COUNT) - 1, ..m.state };
                 self.merge_record(now, driver, None, ended, &m.name, &m.address, state);
             }
         }
@@ -160,7 +160,7 @@
             // Only this run itself can announce that it leaves, and leaving is final: it has to continue as
             // another run.
             driver.log("fleet: a peer reports that this run has left; continuing as another run");
-            self.me.run = Run(self.rng.rand_u64());
+            self.me.run = RunId(self.rng.rand_u64());
             let _ = self.members.merge(now, self.me, &self.name, &self.address, MemberState::default());
             return self.gossip_record(now, driver, None, self.me);
         }
@@ -170,7 +170,7 @@
             self.update_own_state(
                 now,
                 driver,
-                MemberState { incarnation, dead: false, suspicions: 0, ..own },
+                MemberState { incarnation, dead: false, suspected_rings: 0, ..own },
             );
         } else if merged != own {
             // A single suspicion needs no refutation; it is merged so that the record is the same everywhere.
@@ -218,23 +218,23 @@
         if self.unreachable.is_empty() {
             return;
         }
-        let mut suspicions: BTreeMap<MemberId, u8> = BTreeMap::new();
+        let mut suspected_rings: BTreeMap<MemberId, u8> = BTreeMap::new();
         for ring in 0..RING_COUNT {
             let position = |id: MemberId| {
                 order_key(u64::from(ring), id).wrapping_sub(order_key(u64::from(ring), self.me))
             };
             let next = monitored_member(ring, self.me, self.reachable_members()).map_or(u64::MAX, position);
             for id in self.unreachable.keys().filter(|id| position(**id) < next) {
-                *suspicions.entry(*id).or_default() |= 1 << ring;
+                *suspected_rings.entry(*id).or_default() |= 1 << ring;
             }
         }
-        for (id, bits) in suspicions {
+        for (id, bits) in suspected_rings {
             // A suspected member needs no further suspicion; each change of a record is sent to all instances.
-            let new = |m: &&Member| m.state.suspicions & bits != bits && !m.state.is_suspect();
+            let new = |m: &&Member| m.state.suspected_rings & bits != bits && !m.state.is_suspect();
             let Some(m) = self.members.get(id).filter(new).cloned() else {
                 continue;
             };
-            let state = MemberState { suspicions: m.state.suspicions | bits, ..m.state };
+            let state = MemberState { suspected_rings: m.state.suspected_rings | bits, ..m.state };
             self.merge_record(now, driver, None, id, &m.name, &m.address, state);
         }
     }
--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -10,7 +10,7 @@
 use crate::endpoint_table::EndpointEntry;
 use crate::fleet::Fleet;
 use crate::hints::Observation;
-use crate::members::{InstanceId, Member, MemberId, MemberState, Run};
+use crate::members::{InstanceId, Member, MemberId, MemberState, RunId};
 
 /// Maximum number of entries in one frame of a list.
 const MAX_ROWS: usize = 1_024;
@@ -48,7 +48,7 @@
         .text(Field::ADDRESS, &m.address)
         .int(Field::INCARNATION, m.state.incarnation)
         .int(Field::STATE, state_bits(m.state))
-        .int(Field::SUSPECTED_RINGS, u64::from(m.state.suspicions))
+        .int(Field::SUSPECTED_RINGS, u64::from(m.state.suspected_rings))
 }
 
 /// The first frame on every link: see [`FleetDriver::send_join`]. It also announces that this instance accepts
@@ -65,8 +65,8 @@
 
 fn read_member(f: &Frame) -> Result<(MemberId, &str, &str, MemberState), WireError> {
     let (name, bits) = (f.get_text(Field::INSTANCE)?, f.get_int(Field::STATE)?);
-    let suspicions = f.get_int(Field::SUSPECTED_RINGS)?;
-    let suspicions = u8::try_from(suspicions)
+    let suspected_rings = f.get_int(Field::SUSPECTED_RINGS)?;
+    let suspected_rings = u8::try_from(suspected_rings)
         .map_err(|_| WireError::WrongType(f.kind.0, Field::SUSPECTED_RINGS.0, "a row of rings"))?;
     let (left, dead, list_service_lost) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
     let state = MemberState {
@@ -74,9 +74,9 @@
         left,
         dead,
         list_service_lost,
-        suspicions,
+        suspected_rings,
     };
-    let id = MemberId { instance: InstanceId::of(name), run: Run(f.get_int(Field::RUN_ID)?) };
+    let id = MemberId { instance: InstanceId::of(name), run: RunId(f.get_int(Field::RUN_ID)?) };
     Ok((id, name, f.get_text(Field::ADDRESS)?, state))
 }
 
@@ -119,7 +119,7 @@
 /// One entry of a list, for peers and for the snapshot on disk.
 pub fn entry_frame(now: Time, name: &str, e: &EndpointEntry) -> Frame {
     let f = Frame::new(Kind::LIST_ENTRY).text(Field::WORKER, name).text(Field::ADDRESS, &e.address);
-    let f = f.int(Field::LIFECYCLE, lifecycle_code(e.lifecycle)).int(Field::START_ID, e.start);
+    let f = f.int(Field::LIFECYCLE, lifecycle_code(e.lifecycle)).int(Field::START_ID, e.start_id);
     let f = f.text(Field::ZONE, &e.zone).text(Field::CELL, &e.cell).float(Field::SIZE, e.size);
     match e.started_at {
         Some(since) => f.int(Field::AGE, (now - since).0),
@@ -133,7 +133,7 @@
     let entry = EndpointEntry {
         address: text(Field::ADDRESS)?,
         lifecycle: read_lifecycle(f)?,
-        start: f.maybe_int(Field::START_ID)?.unwrap_or(0),
+        start_id: f.maybe_int(Field::START_ID)?.unwrap_or(0),
         started_at: f.maybe_int(Field::AGE)?.map(|age| now - Time(age)),
         zone: text(Field::ZONE)?,
         cell: text(Field::CELL)?,
@@ -192,7 +192,7 @@
 pub fn hints_frame(now: Time, observations: &[Observation]) -> Frame {
     let row = |s: &Observation| {
         let age = (now - s.observed_at).0;
-        [s.worker.0, s.function.0, code(&HINTS, s.hint), s.held_rpcs, age, s.run.0, s.seq]
+        [s.worker.0, s.function.0, code(&HINTS, s.hint), s.rpcs_held, age, s.run.0, s.seq]
     };
     let rows: Vec<u64> = observations.iter().flat_map(row).collect();
     Frame::new(Kind::HINTS).ints(Field::ROWS, &rows)
@@ -211,9 +211,9 @@
             worker,
             function,
             hint,
-            held_rpcs: r[3],
+            rpcs_held: r[3],
             observed_at: at,
-            run: Run(r[5]),
+            run: RunId(r[5]),
             seq: r[6],
         })
     };
@@ -230,7 +230,7 @@
             let (id, name, address, state) = read_member(f)?;
             let (of, known) = (f.get_text(Field::FLEET)?, f.get_int(Field::KNOWN_MEMBERS)?);
             if f.maybe_int(Field::ACCEPTS_LIST_ENTRIES)? == Some(1) {
-                fleet.peer_reads_list_rows(link);
+                fleet.peer_accepts_list_entries(link);
             }
             fleet.join_received(now, driver, link, of, id, name, address, state, known);
         }
--- a/crates/curlewpoint-fleet/src/hints.rs
+++ b/crates/curlewpoint-fleet/src/hints.rs
@@ -2,7 +2,7 @@
 
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
 
-use crate::members::Run;
+use crate::members::RunId;
 
 /// An observation of a function at a worker by some instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,12 +11,12 @@
     pub function: FunctionId,
     pub hint: Hint,
     /// RPCs of the function that the worker held.
-    pub held_rpcs: u64,
+    pub rpcs_held: u64,
     /// When it was observed, on the local clock. Transit times between instances, some milliseconds each, are
     /// not counted.
     pub observed_at: Time,
     /// The run that observed it, and its sequence number in that run.
-    pub run: Run,
+    pub run: RunId,
     pub seq: u64,
 }
 
@@ -68,7 +68,7 @@
     max_rows: usize,
     rows: BTreeMap<(WorkerId, FunctionId), Observation>,
     /// The sequence numbers received from each run, and when the last one arrived.
-    received: BTreeMap<Run, (SeqWindow, Time)>,
+    received: BTreeMap<RunId, (SeqWindow, Time)>,
     next_seq: u64,
     send_budget: (f64, Time),
     swept_at: Time,
@@ -112,12 +112,12 @@
 
     /// Whether an observation is news to other instances, judging by the rows held here.
     pub fn is_news(
-        &self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64,
+        &self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64,
     ) -> bool {
         // An absent copy is news only to instances that expect one.
         self.get(worker, function).map_or(hint != Hint::Gone, |k| {
             let (age, differs_much) =
-                (now - k.observed_at, held_rpcs.abs_diff(k.held_rpcs) >= 2 + k.held_rpcs / 2);
+                (now - k.observed_at, rpcs_held.abs_diff(k.rpcs_held) >= 2 + k.rpcs_held / 2);
             let differs = k.hint != hint && (hint == Hint::Warm || age >= CHANGE_INTERVAL);
             differs || age >= REPEAT_INTERVAL || (differs_much && age >= CHANGE_INTERVAL)
         })
@@ -125,9 +125,9 @@
 
     /// Adds an observation of this instance. Returns the row if other instances are to be told.
     pub fn observe(
-        &mut self, now: Time, run: Run, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64,
+        &mut self, now: Time, run: RunId, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64,
     ) -> Option<Observation> {
-        let is_news = self.is_news(now, worker, function, hint, held_rpcs);
+        let is_news = self.is_news(now, worker, function, hint, rpcs_held);
         let (tokens, refilled_at) = self.send_budget;
         self.send_budget = ((tokens + SEND_RATE * (now - refilled_at).ms() / 1000.0).min(SEND_BURST), now);
         if !is_news || self.send_budget.0 < 1.0 {
@@ -136,7 +136,7 @@
         self.send_budget.0 -= 1.0;
         self.next_seq += 1;
         let observation =
-            Observation { worker, function, hint, held_rpcs, observed_at: now, run, seq: self.next_seq };
+            Observation { worker, function, hint, rpcs_held, observed_at: now, run, seq: self.next_seq };
         self.insert(observation).then_some(observation)
     }
 
--- a/crates/curlewpoint-fleet/src/lib.rs
+++ b/crates/curlewpoint-fleet/src/lib.rs
@@ -33,5 +33,5 @@
 pub use fleet::Fleet;
 pub use hints::{HintTable, Observation};
 pub use instance_count::InstanceCount;
-pub use members::{InstanceId, Member, MemberId, MemberState, MemberTable, RecordError, Run};
+pub use members::{InstanceId, Member, MemberId, MemberState, MemberTable, RecordError, RunId};
 pub use rings::{monitored_member, order_key, RING_COUNT, WATCHER_SALT};
--- a/crates/curlewpoint-fleet/src/members.rs
+++ b/crates/curlewpoint-fleet/src/members.rs
@@ -15,13 +15,13 @@
 
 /// One run of an instance's process; chosen at random at its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Run(pub u64);
+pub struct RunId(pub u64);
 
 /// One run of one instance. Two runs under one name are two members until the older one is known to have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MemberId {
     pub instance: InstanceId,
-    pub run: Run,
+    pub run: RunId,
 }
 
 /// The state of a member as believed by the fleet. Only the member itself raises its incarnation, and does so
@@ -36,7 +36,7 @@
     /// By its own report it cannot reach the list service.
     pub list_service_lost: bool,
     /// One bit for each ring on which the monitoring member receives nothing from it.
-    pub suspicions: u8,
+    pub suspected_rings: u8,
 }
 
 impl MemberState {
@@ -51,7 +51,7 @@
             std::cmp::Ordering::Equal => MemberState {
                 dead: self.dead || other.dead,
                 list_service_lost: self.list_service_lost || other.list_service_lost,
-                suspicions: self.suspicions | other.suspicions,
+                suspected_rings: self.suspected_rings | other.suspected_rings,
                 ..self
             },
         }
@@ -65,7 +65,7 @@
     /// Whether enough monitoring members receive nothing from it. Two have to agree, because one of them may be
     /// cut off itself.
     pub fn is_suspect(&self) -> bool {
-        self.suspicions.count_ones() >= 2
+        self.suspected_rings.count_ones() >= 2
     }
 }
 
@@ -85,7 +85,7 @@
 impl Member {
     fn digest(&self, id: MemberId) -> u64 {
         let s = &self.state;
-        let flags = [u8::from(s.left), u8::from(s.dead), u8::from(s.list_service_lost), s.suspicions];
+        let flags = [u8::from(s.left), u8::from(s.dead), u8::from(s.list_service_lost), s.suspected_rings];
         let mut bytes = Vec::with_capacity(28);
         for part in [id.instance.0, id.run.0, s.incarnation] {
             bytes.extend_from_slice(&part.to_be_bytes());
--- a/crates/curlewpoint-fleet/tests/common/mod.rs
+++ b/crates/curlewpoint-fleet/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use curlewpoint::types::{FunctionId, Hint, Lifecycle, Time, WorkerId};
 use curlewpoint_fleet::{
     frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, MemberState,
-    Observation, Run,
+    Observation, RunId,
 };
 use curlewpoint_wire::{Frame, Kind, PREFIX_BYTES};
 use oorandom::Rand64;
@@ -97,7 +97,7 @@
         let (fleet, m, earlier_release) = (fleet.to_owned(), m.clone(), self.earlier_release);
         self.send(link, move |f, now, driver, l| {
             if !earlier_release && !driver.earlier_release {
-                f.peer_reads_list_rows(l);
+                f.peer_accepts_list_entries(l);
             }
             f.join_received(now, driver, l, &fleet, me, &m.name, &m.address, m.state, known)
         });
@@ -301,7 +301,7 @@
         let mut fleet = Fleet::start(
             self.now,
             "f",
-            (&format!("n{name}"), Run(self.rng.rand_u64())),
+            (&format!("n{name}"), RunId(self.rng.rand_u64())),
             &format!("a{name}"),
             peers,
             self.configured_count,
@@ -528,7 +528,7 @@
         EndpointEntry {
             address: "127.0.0.1:1".into(),
             lifecycle: Lifecycle::Ready,
-            start: self.worker_start(row, version),
+            start_id: self.worker_start(row, version),
             started_at: None,
             zone: String::new(),
             cell: String::new(),
@@ -542,7 +542,7 @@
         let Some(version) = endpoints.held() else { return endpoints.is_empty() };
         let entries = endpoints.entries();
         entries.len() == self.list_length
-            && entries.values().enumerate().all(|(row, e)| e.start == self.worker_start(row, version))
+            && entries.values().enumerate().all(|(row, e)| e.start_id == self.worker_start(row, version))
     }
 
     /// Whole lists begun to be sent, and list bytes sent, by all instances together.
@@ -653,7 +653,10 @@
                     let s = m.state;
                     let marks = [(s.left, 'l'), (s.dead, 'd'), (s.list_service_lost, 'b'), (m.retired, 'h')];
                     let marks: String = marks.iter().filter(|(on, _)| *on).map(|(_, c)| *c).collect();
-                    format!("{}.{:04x}:{}{marks}/{:x}", m.name, id.run.0 as u16, s.incarnation, s.suspicions)
+                    format!(
+                        "{}.{:04x}:{}{marks}/{:x}",
+                        m.name, id.run.0 as u16, s.incarnation, s.suspected_rings
+                    )
                 })
                 .collect();
             let (effective, confirmed) =
--- a/crates/curlewpoint-fleet/tests/directory.rs
+++ b/crates/curlewpoint-fleet/tests/directory.rs
@@ -9,7 +9,7 @@
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
 use curlewpoint_fleet::{
     directory_frames, frames, CopyDirectory, DirectorySettings, InstanceId, LinkId, MemberId, Observation,
-    Run,
+    RunId,
 };
 use curlewpoint_wire::{Field, Frame, Kind};
 use proptest::prelude::*;
@@ -616,7 +616,7 @@
 fn row(worker: u64, function: u64, age_ms: u64, seq: u64, now: Time) -> Observation {
     let at = now - Time(age_ms * 10);
     let (worker, function) = (WorkerId(worker), FunctionId(function));
-    Observation { worker, function, hint: Hint::Warm, held_rpcs: 0, observed_at: at, run: Run(77), seq }
+    Observation { worker, function, hint: Hint::Warm, rpcs_held: 0, observed_at: at, run: RunId(77), seq }
 }
 
 #[test]
@@ -861,7 +861,8 @@
 }
 
 fn directory_with_budget(n: u64, bytes: u64) -> (CopyDirectory, Vec<MemberId>) {
-    let id = |index: u64| MemberId { instance: InstanceId::of(&format!("n{index}")), run: Run(index << 48) };
+    let id =
+        |index: u64| MemberId { instance: InstanceId::of(&format!("n{index}")), run: RunId(index << 48) };
     let all: Vec<MemberId> = (1..=n).map(id).collect();
     let settings = DirectorySettings {
         bytes_per_second: bytes,
@@ -1045,7 +1046,7 @@
     ) {
         let now = Time(1_000_000);
         // Each row has a run of its own, because the sequence numbers of one run arrive in order.
-        let seen = |(index, (w, f, age)): (usize, (u64, u64, u64))| Observation { run: Run(100 + index as u64), ..row(w, f, age, 1, now) };
+        let seen = |(index, (w, f, age)): (usize, (u64, u64, u64))| Observation { run: RunId(100 + index as u64), ..row(w, f, age, 1, now) };
         let mut numbered: Vec<Observation> = rows.into_iter().enumerate().map(seen).collect();
         let result = |order: &[Observation]| {
             let (mut d, all) = directory_of(3);
--- a/crates/curlewpoint-fleet/tests/lists.rs
+++ b/crates/curlewpoint-fleet/tests/lists.rs
@@ -8,7 +8,7 @@
 use common::{SimNetwork, TestDriver, MS};
 use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_fleet::{
-    frames, EndpointEntry, Fleet, FleetLimits, InstanceId, LinkId, ListOutcome, ListSource, MemberId, Run,
+    frames, EndpointEntry, Fleet, FleetLimits, InstanceId, LinkId, ListOutcome, ListSource, MemberId, RunId,
 };
 use curlewpoint_wire::{Field, Frame, Kind, PREFIX_BYTES};
 use proptest::prelude::*;
@@ -213,7 +213,7 @@
 impl SingleInstance {
     fn without_peers() -> SingleInstance {
         let now = Time(864_000_000);
-        let fleet = Fleet::start(now, "f", ("me", Run(1)), "a", vec!["b".into()], 9, LIMITS, 1);
+        let fleet = Fleet::start(now, "f", ("me", RunId(1)), "a", vec!["b".into()], 9, LIMITS, 1);
         SingleInstance { now, fleet, driver: TestDriver::default() }
     }
 
@@ -231,9 +231,9 @@
 
     fn peer_on(&mut self, link: u64, index: u64) -> LinkId {
         let (link, name) = (LinkId(1 << 63 | link), format!("peer-{index}"));
-        let id = MemberId { instance: InstanceId::of(&name), run: Run(9) };
+        let id = MemberId { instance: InstanceId::of(&name), run: RunId(9) };
         self.fleet.link_accepted(self.now, &mut self.driver, link);
-        self.fleet.peer_reads_list_rows(link);
+        self.fleet.peer_accepts_list_entries(link);
         self.fleet.join_received(
             self.now,
             &mut self.driver,
@@ -381,7 +381,7 @@
     service_sends(&mut me, 1, None, LONG_LIST);
     service_sends(&mut me, 2, Some(1), 1);
     // The instance monitors this peer, so it sends changes to it.
-    let (link, id) = (LinkId(1), MemberId { instance: InstanceId::of("old"), run: Run(9) });
+    let (link, id) = (LinkId(1), MemberId { instance: InstanceId::of("old"), run: RunId(9) });
     me.advance(100);
     me.fleet.link_up(me.now, &mut me.driver, link);
     me.fleet.join_received(me.now, &mut me.driver, link, "f", id, "old", "old", Default::default(), 5);
@@ -415,7 +415,7 @@
     let send_list = |table: &mut curlewpoint_fleet::EndpointTable, version, from, rows: &[(&str, u64)]| {
         table.begin(1, 1, version, from);
         rows.iter().for_each(|(name, start)| {
-            table.push_entry(1, name, EndpointEntry { start: *start, ..entry("a") })
+            table.push_entry(1, name, EndpointEntry { start_id: *start, ..entry("a") })
         });
         table.finish(1, source)
     };
@@ -427,7 +427,7 @@
         ListOutcome::Gap,
         "the changes up to version 4 are missing"
     );
-    let starts: Vec<u64> = table.entries().values().map(|e| e.start).collect();
+    let starts: Vec<u64> = table.entries().values().map(|e| e.start_id).collect();
     assert_eq!((table.held(), starts), (Some((1, 3)), vec![2, 3]));
 }
 
@@ -438,7 +438,7 @@
     EndpointEntry {
         address: address.into(),
         lifecycle: Lifecycle::Draining,
-        start: 1 << 40,
+        start_id: 1 << 40,
         started_at: None,
         zone,
         cell,
@@ -510,7 +510,7 @@
 fn a_join_announces_that_entry_frames_are_accepted() {
     let mut me = SingleInstance::new();
     let member = me.fleet.members().get(me.fleet.own_id()).expect("its own record").clone();
-    let id = MemberId { instance: InstanceId::of("me"), run: Run(9) };
+    let id = MemberId { instance: InstanceId::of("me"), run: RunId(9) };
     let join = frames::join_frame("f", id, &member, 5);
     assert_eq!(join.get_int(Field::ACCEPTS_LIST_ENTRIES), Ok(1));
     let bytes = PREFIX_BYTES + join.header().len();
--- a/crates/curlewpoint-fleet/tests/properties.rs
+++ b/crates/curlewpoint-fleet/tests/properties.rs
@@ -7,18 +7,18 @@
 use common::SimNetwork;
 use curlewpoint::types::{FunctionId, Hint, Lifecycle, Time, WorkerId};
 use curlewpoint_fleet::{
-    EndpointEntry, EndpointTable, HintTable, InstanceId, ListSource, MemberState, Observation, Run,
+    EndpointEntry, EndpointTable, HintTable, InstanceId, ListSource, MemberState, Observation, RunId,
 };
 use proptest::prelude::*;
 
 fn member_state() -> impl Strategy<Value = MemberState> {
     (0u64..4, any::<bool>(), any::<bool>(), any::<bool>(), 0u8..16).prop_map(
-        |(incarnation, left, dead, list_service_lost, suspicions)| MemberState {
+        |(incarnation, left, dead, list_service_lost, suspected_rings)| MemberState {
             incarnation,
             left,
             dead,
             list_service_lost,
-            suspicions,
+            suspected_rings,
         },
     )
 }
@@ -28,7 +28,7 @@
     EndpointEntry {
         address: "a".into(),
         lifecycle: Lifecycle::Ready,
-        start,
+        start_id: start,
         started_at: None,
         zone,
         cell,
@@ -76,13 +76,13 @@
 fn observation() -> impl Strategy<Value = Observation> {
     let hint = prop_oneof![Just(Hint::Gone), Just(Hint::Full), Just(Hint::Loading), Just(Hint::Warm)];
     (0u64..3, 0u64..3, hint, 0u64..4, 0u64..9, 0u64..4).prop_map(
-        |(worker, function, hint, held_rpcs, observed_at, run)| Observation {
+        |(worker, function, hint, rpcs_held, observed_at, run)| Observation {
             worker: WorkerId(worker),
             function: FunctionId(function),
             hint,
-            held_rpcs,
+            rpcs_held,
             observed_at: Time(1_000 + observed_at),
-            run: Run(run),
+            run: RunId(run),
             seq: 0,
         },
     )
@@ -94,7 +94,7 @@
     #[test]
     fn observations_converge_in_any_interleaving(all in proptest::collection::vec(observation(), 1..40), picks in proptest::collection::vec(0usize..4, 200), repeats in proptest::collection::vec(any::<bool>(), 200)) {
         let mut queues: Vec<Vec<Observation>> = (0..4).map(|r| {
-            let mut of: Vec<Observation> = all.iter().filter(|s| s.run == Run(r)).copied().collect();
+            let mut of: Vec<Observation> = all.iter().filter(|s| s.run == RunId(r)).copied().collect();
             of.sort_by_key(|s| s.observed_at);
             of.iter_mut().enumerate().for_each(|(seq, s)| s.seq = seq as u64 + 1);
             of
@@ -130,8 +130,8 @@
     ) {
         let (now, lifetime) = (Time(1_000_000), Time(80_000));
         let seen = |seq: u64| Observation {
-            worker: WorkerId(seq % 7), function: FunctionId(seq % 5), hint: Hint::Warm, held_rpcs: 0,
-            observed_at: now - Time(1_000 - seq), run: Run(1), seq: from + seq,
+            worker: WorkerId(seq % 7), function: FunctionId(seq % 5), hint: Hint::Warm, rpcs_held: 0,
+            observed_at: now - Time(1_000 - seq), run: RunId(1), seq: from + seq,
         };
         let (mut reference, mut reordered) = (HintTable::new(now, lifetime, 100), HintTable::new(now, lifetime, 100));
         for (in_order, seq) in (1..=100).zip(&order) {
--- a/crates/curlewpoint-fleet/tests/scenarios.rs
+++ b/crates/curlewpoint-fleet/tests/scenarios.rs
@@ -6,7 +6,7 @@
 
 use common::SimNetwork;
 use curlewpoint::types::{FunctionId, Hint, Time, WorkerId};
-use curlewpoint_fleet::{InstanceId, LinkId, MemberId, Run};
+use curlewpoint_fleet::{InstanceId, LinkId, MemberId, RunId};
 use test_case::test_case;
 
 /// A fleet of `n` instances started at the same time with the first three as seed peers.
@@ -233,7 +233,7 @@
     let now = net.now;
     let node = net.nodes.get_mut(&id).expect("the instance is alive");
     let (mut driver, link) = (std::mem::take(&mut node.driver), LinkId(1 << 62));
-    let of = |name: &str| MemberId { instance: InstanceId::of(name), run: Run(1) };
+    let of = |name: &str| MemberId { instance: InstanceId::of(name), run: RunId(1) };
     node.fleet.link_accepted(now, &mut driver, link);
     node.fleet.join_received(
         now,
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -11,7 +11,7 @@
 use curlewpoint_config::Config;
 use curlewpoint_engine::Engine;
 use curlewpoint_fleet::{
-    frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, Observation, Run,
+    frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, Observation, RunId,
 };
 use curlewpoint_link::{handshake, Link, LinkError, LinkLimits, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
@@ -170,10 +170,10 @@
 
 /// Draws an id for this run of the process from the clock and the process id, independent of the configured seed. Runs under
 /// the same name must differ.
-fn new_run_id() -> Run {
+fn new_run_id() -> RunId {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     let mixed = since_epoch ^ u128::from(std::process::id()) << 64;
-    Run(oorandom::Rand64::new(mixed).rand_u64())
+    RunId(oorandom::Rand64::new(mixed).rand_u64())
 }
 
 impl FleetDriver for PeerDriver<'_> {
@@ -251,7 +251,7 @@
     fn deliver_list_entry(&mut self, name: &str, e: &EndpointEntry) {
         let age = e.started_at.map(|since| self.now - since);
         let (address, zone, cell) = (&e.address, &e.zone, &e.cell);
-        self.engine.list_row(self.now, name, address, e.lifecycle, e.start, age, zone, cell, e.size);
+        self.engine.list_row(self.now, name, address, e.lifecycle, e.start_id, age, zone, cell, e.size);
     }
 
     fn deliver_list_end(&mut self) {
--- a/crates/curlewpoint-gateway/src/snapshot/tests.rs
+++ b/crates/curlewpoint-gateway/src/snapshot/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use curlewpoint::types::Lifecycle;
-use curlewpoint_fleet::{FleetLimits, Run};
+use curlewpoint_fleet::{FleetLimits, RunId};
 
 const NOW: Time = Time(864_000_000);
 
@@ -13,7 +13,7 @@
         hint_lifetime: Time(80_000),
         exchange_hints: true,
     };
-    Fleet::start(NOW, "f", ("n", Run(1)), "a", vec!["b".into()], 1, limits, 1)
+    Fleet::start(NOW, "f", ("n", RunId(1)), "a", vec!["b".into()], 1, limits, 1)
 }
 
 fn encoded_snapshot() -> BytesMut {
@@ -25,7 +25,7 @@
     let row = EndpointEntry {
         address: "w".into(),
         lifecycle: Lifecycle::Draining,
-        start: 7,
+        start_id: 7,
         started_at: since,
         zone,
         cell,
--- a/crates/curlewpoint-rig/src/scale/worker_part.rs
+++ b/crates/curlewpoint-rig/src/scale/worker_part.rs
@@ -9,7 +9,7 @@
     id_of, Answer, ClientId, ConnId, Engine, EngineDriver, Pool, PoolDriver, PoolLimits, RequestId,
     UpstreamRequest,
 };
-use curlewpoint_fleet::{HintTable, Run};
+use curlewpoint_fleet::{HintTable, RunId};
 use curlewpoint_wire::{Codec, Field, Frame, Kind};
 use oorandom::Rand64;
 use serde_json::json;
@@ -188,7 +188,7 @@
 struct Scheduler {
     engine: Engine<Desk>,
     hints: HintTable,
-    run: Run,
+    run: RunId,
     tag: u64,
     conns: BTreeMap<ConnId, WorkerId>,
     /// A wake-up is planned for then.
@@ -316,7 +316,7 @@
                 engine.list_row(play.now, &name, &address, Lifecycle::Ready, 1, None, "", "", 1.0);
             }
             engine.list_ends(play.now);
-            let (hints, run) = (HintTable::new(play.now, BOUNDS.hint_lifetime, usize::MAX), Run(no as u64));
+            let (hints, run) = (HintTable::new(play.now, BOUNDS.hint_lifetime, usize::MAX), RunId(no as u64));
             let (conns, wake) = (BTreeMap::new(), None);
             play.schedulers.push(Scheduler { engine, hints, run, tag: 0, conns, wake });
             let (first, sweep) = (play.rng.rand_range(0..TICK.0), play.rng.rand_range(0..TICK.0));
--- a/crates/curlewpoint-rig/src/scale/world.rs
+++ b/crates/curlewpoint-rig/src/scale/world.rs
@@ -6,7 +6,7 @@
 use curlewpoint::types::{FunctionId, Hint, Lifecycle as Ready, Time, WorkerId};
 use curlewpoint_fleet::{
     frames, EndpointEntry, Fleet, FleetDriver, FleetLimits, LinkId, Member, MemberId, MemberState,
-    Observation, Run,
+    Observation, RunId,
 };
 use curlewpoint_wire::{Codec, Field, Frame, Kind, VERSION};
 use oorandom::Rand64;
@@ -262,7 +262,7 @@
     let entry = EndpointEntry {
         address: format!("10.{}.{}.{}:9000", 100 + zone, worker >> 8, worker & 255),
         lifecycle: Ready::Ready,
-        start: start << 32 | worker as u64,
+        start_id: start << 32 | worker as u64,
         started_at: None,
         zone: format!("zone-{zone:02}"),
         cell: format!("cell-{:04}", worker / 20),
@@ -304,7 +304,7 @@
 
     fn begin(&mut self, instance: usize) -> Fleet {
         let peers: Vec<String> = (0..PEERS).map(address_of).collect();
-        let (run, seed) = (Run(self.rng.rand_u64()), u128::from(self.rng.rand_u64()));
+        let (run, seed) = (RunId(self.rng.rand_u64()), u128::from(self.rng.rand_u64()));
         let (name, address) = (name_of(instance), address_of(instance));
         let mut fleet = Fleet::start(self.now, FLEET, (&name, run), &address, peers, self.told, BOUNDS, seed);
         if let Some(bytes) = self.terms.directory {
@@ -354,7 +354,7 @@
             // Another instance has told it of all, on a link that is gone by now.
             let (id, name, address) = &all[(no + 1) % n];
             if world.terms.directory.is_some() {
-                fleet.peer_supports_directory(now, hands, link, false);
+                fleet.directory_join_received(now, hands, link, false);
             }
             fleet.join_received(now, hands, link, FLEET, *id, name, address, MemberState::default(), known);
             for (id, name, address) in &all {
