--- a/crates/curlewpoint-engine/benches/open_rpcs.rs
+++ b/crates/curlewpoint-engine/benches/open_rpcs.rs
@@ -58,11 +58,21 @@
         let settings = settings.as_object().expect("an object").clone();
         let mut now = Time(1_000_000);
         let mut engine = Engine::start(now, NullDriver::default(), 1, settings);
-        engine.list_begins(1, 1, None);
+        engine.list_begin_received(1, 1, None);
         for index in 0..87 {
-            engine.list_row(now, &format!("w{index}"), "addr", Lifecycle::Ready, 1, None, "", "", 1.0);
+            engine.list_entry_received(
+                now,
+                &format!("w{index}"),
+                "addr",
+                Lifecycle::Ready,
+                1,
+                None,
+                "",
+                "",
+                1.0,
+            );
         }
-        engine.list_ends(now);
+        engine.list_end_received(now);
         let body = Bytes::from_static(&[7; 256]);
         let before = resident_bytes();
         let submit = |engine: &mut Engine<NullDriver>, now, tag: u64| {
--- a/crates/curlewpoint-engine/src/engine.rs
+++ b/crates/curlewpoint-engine/src/engine.rs
@@ -548,7 +548,7 @@
     }
 
     /// Passes on an observation of a function at a worker that another scheduler made `age` ago.
-    pub fn hinted(
+    pub fn hint_received(
         &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time,
     ) {
         self.module.hint_received(now, worker, function, hint, held, age);
@@ -791,11 +791,11 @@
 
     // The list of workers.
 
-    pub fn list_begins(&mut self, epoch: u64, version: u64, from: Option<u64>) {
+    pub fn list_begin_received(&mut self, epoch: u64, version: u64, from: Option<u64>) {
         self.module.host().endpoints.begin(epoch, version, from);
     }
 
-    pub fn list_row(
+    pub fn list_entry_received(
         &mut self, now: Time, name: &str, address: &str, lifecycle: Lifecycle, start: u64, age: Option<Time>,
         zone: &str, cell: &str, size: f64,
     ) {
@@ -807,7 +807,7 @@
         }
     }
 
-    pub fn list_ends(&mut self, now: Time) -> ListOutcome {
+    pub fn list_end_received(&mut self, now: Time) -> ListOutcome {
         let (mut rows, mut transitions) = (Vec::new(), Vec::new());
         let table = self.table(now);
         let (outcome, named) =
--- a/crates/curlewpoint-engine/tests/cold_workers.rs
+++ b/crates/curlewpoint-engine/tests/cold_workers.rs
@@ -60,15 +60,15 @@
     /// Delivers a full list in which the first `cold` workers started at `COLD_START_MS`.
     fn list(&mut self, ms: u64, version: u64, cold: usize, others_drain: bool) {
         self.notified = cold > 0;
-        self.engine.list_begins(1, version, None);
+        self.engine.list_begin_received(1, version, None);
         for index in 0..WORKERS {
             let age = (index < cold).then(|| at(ms) - at(COLD_START_MS));
             let (name, start) = (format!("w{index}"), u64::from(index < cold));
             let lifecycle =
                 if others_drain && index >= cold { Lifecycle::Draining } else { Lifecycle::Ready };
-            self.engine.list_row(at(ms), &name, "addr", lifecycle, start, age, "z", "c", 1.0);
+            self.engine.list_entry_received(at(ms), &name, "addr", lifecycle, start, age, "z", "c", 1.0);
         }
-        self.engine.list_ends(at(ms));
+        self.engine.list_end_received(at(ms));
     }
 }
 
--- a/crates/curlewpoint-engine/tests/guarantees.rs
+++ b/crates/curlewpoint-engine/tests/guarantees.rs
@@ -98,12 +98,22 @@
     }
 
     fn list(&mut self, version: (u64, u64), from: Option<u64>, workers: usize) {
-        self.engine.list_begins(version.0, version.1, from);
+        self.engine.list_begin_received(version.0, version.1, from);
         for index in 0..workers {
             let name = format!("w{index}");
-            self.engine.list_row(self.now, &name, "127.0.0.1:1", Lifecycle::Ready, 1, None, "z", "c", 1.0);
+            self.engine.list_entry_received(
+                self.now,
+                &name,
+                "127.0.0.1:1",
+                Lifecycle::Ready,
+                1,
+                None,
+                "z",
+                "c",
+                1.0,
+            );
         }
-        self.engine.list_ends(self.now);
+        self.engine.list_end_received(self.now);
     }
 
     fn rpc(&mut self, tag: u64, method: &str) -> Result<RpcId, Refusal> {
--- a/crates/curlewpoint-engine/tests/model_release.rs
+++ b/crates/curlewpoint-engine/tests/model_release.rs
@@ -41,12 +41,12 @@
     const LOAD_MS: u64 = 800;
     const RELEASE_MS: u64 = 10_000;
     let mut engine = Engine::start(at(0), RecordingDriver::default(), 7, settings(when_absent));
-    engine.list_begins(1, 1, None);
+    engine.list_begin_received(1, 1, None);
     for index in 0..8 {
         let name = format!("w{index}");
-        engine.list_row(at(0), &name, "addr", Lifecycle::Ready, 0, None, "z", "c", 1.0);
+        engine.list_entry_received(at(0), &name, "addr", Lifecycle::Ready, 0, None, "z", "c", 1.0);
     }
-    engine.list_ends(at(0));
+    engine.list_end_received(at(0));
     let mut rng = Rand64::new(3);
     // The time at which each copy is ready, by worker and function; the pending ends of requests by time.
     let mut copies: BTreeMap<(WorkerId, String), u64> = BTreeMap::new();
--- a/crates/curlewpoint-engine/tests/request_accounting.rs
+++ b/crates/curlewpoint-engine/tests/request_accounting.rs
@@ -132,12 +132,12 @@
     /// Delivers a full list: names, addresses, and whether each worker drains.
     fn list(&mut self, workers: impl Iterator<Item = (String, String, bool)>) {
         self.version += 1;
-        self.engine.list_begins(0, self.version, None);
+        self.engine.list_begin_received(0, self.version, None);
         for (name, address, drains) in workers {
             let lifecycle = if drains { Lifecycle::Draining } else { Lifecycle::Ready };
-            self.engine.list_row(self.now, &name, &address, lifecycle, 1, None, "z", "c", 1.0);
+            self.engine.list_entry_received(self.now, &name, &address, lifecycle, 1, None, "z", "c", 1.0);
         }
-        self.engine.list_ends(self.now);
+        self.engine.list_end_received(self.now);
     }
 
     fn rpc(&mut self, method: &str, model: &str) {
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -245,17 +245,27 @@
     }
 
     fn deliver_list_begin(&mut self, (epoch, version): (u64, u64), from: Option<u64>) {
-        self.engine.list_begins(epoch, version, from);
+        self.engine.list_begin_received(epoch, version, from);
     }
 
     fn deliver_list_entry(&mut self, name: &str, e: &EndpointEntry) {
         let age = e.started_at.map(|since| self.now - since);
         let (address, zone, cell) = (&e.address, &e.zone, &e.cell);
-        self.engine.list_row(self.now, name, address, e.lifecycle, e.start_id, age, zone, cell, e.size);
+        self.engine.list_entry_received(
+            self.now,
+            name,
+            address,
+            e.lifecycle,
+            e.start_id,
+            age,
+            zone,
+            cell,
+            e.size,
+        );
     }
 
     fn deliver_list_end(&mut self) {
-        self.engine.list_ends(self.now);
+        self.engine.list_end_received(self.now);
     }
 
     fn send_hints(&mut self, link: LinkId, observations: &[Observation]) {
@@ -269,7 +279,7 @@
     fn deliver_hint(
         &mut self, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64, age: Time,
     ) {
-        self.engine.hinted(self.now, worker, function, hint, held_rpcs, age);
+        self.engine.hint_received(self.now, worker, function, hint, held_rpcs, age);
     }
 
     fn set_instance_count(&mut self, count: u64) {
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -719,9 +719,9 @@
         match f.kind {
             Kind::LIST_BEGIN => {
                 let (epoch, version) = (f.get_int(Field::EPOCH)?, f.get_int(Field::LIST_VERSION)?);
-                self.engine.list_begins(epoch, version, f.maybe_int(Field::BASE_VERSION)?);
+                self.engine.list_begin_received(epoch, version, f.maybe_int(Field::BASE_VERSION)?);
             }
-            Kind::LIST_ENTRY => self.engine.list_row(
+            Kind::LIST_ENTRY => self.engine.list_entry_received(
                 now,
                 f.get_text(Field::WORKER)?,
                 f.maybe_text(Field::ADDRESS)?.unwrap_or(""),
@@ -733,7 +733,7 @@
                 f.maybe_float(Field::SIZE)?.unwrap_or(1.0),
             ),
             Kind::LIST_END => {
-                self.engine.list_ends(now);
+                self.engine.list_end_received(now);
             }
             _ => {}
         }
--- a/crates/curlewpoint-node/src/scheduler.rs
+++ b/crates/curlewpoint-node/src/scheduler.rs
@@ -98,7 +98,7 @@
 
 impl EndpointListVisitor for EngineListVisitor<'_> {
     fn begin_list(&mut self, version: u64, since: Option<u64>) {
-        self.engine.list_begins(0, version, since);
+        self.engine.list_begin_received(0, version, since);
     }
 
     fn endpoint(
@@ -106,11 +106,11 @@
         size: f64,
     ) {
         let age = (started > 0).then(|| self.clock.age_of_unix_ms(started));
-        self.engine.list_row(self.now, name, address, lifecycle, started, age, zone, cell, size);
+        self.engine.list_entry_received(self.now, name, address, lifecycle, started, age, zone, cell, size);
     }
 
     fn end_list(&mut self) {
-        self.engine.list_ends(self.now);
+        self.engine.list_end_received(self.now);
     }
 }
 
--- a/crates/curlewpoint-rig/src/scale/worker_part.rs
+++ b/crates/curlewpoint-rig/src/scale/worker_part.rs
@@ -309,13 +309,13 @@
             let pool = Pool::new(LIMITS, seed);
             let desk = Desk { pool, sockets: Sockets::default(), seen: Vec::new(), denied: 0 };
             let mut engine = Engine::start(play.now, desk, seed, settings(scene.sharing));
-            engine.list_begins(1, 1, None);
+            engine.list_begin_received(1, 1, None);
             for worker in 0..scene.workers {
                 let (name, address) =
                     (worker_name(worker), format!("10.0.{}.{}:9000", worker >> 8, worker & 255));
-                engine.list_row(play.now, &name, &address, Lifecycle::Ready, 1, None, "", "", 1.0);
+                engine.list_entry_received(play.now, &name, &address, Lifecycle::Ready, 1, None, "", "", 1.0);
             }
-            engine.list_ends(play.now);
+            engine.list_end_received(play.now);
             let (hints, run) = (HintTable::new(play.now, BOUNDS.hint_lifetime, usize::MAX), RunId(no as u64));
             let (conns, wake) = (BTreeMap::new(), None);
             play.schedulers.push(Scheduler { engine, hints, run, tag: 0, conns, wake });
