--- a/crates/curlewpoint-node/src/clients.rs
+++ b/crates/curlewpoint-node/src/clients.rs
@@ -53,7 +53,7 @@
 /// What the tasks of all clients share.
 #[derive(Clone)]
 pub(crate) struct ClientContext {
-    pub bounds: LinkLimits,
+    pub limits: LinkLimits,
     pub clock: Clock,
     /// Events that end something, processed before all others.
     pub priority_tx: mpsc::Sender<Event>,
@@ -148,7 +148,7 @@
 }
 
 /// Bytes that a command takes of the read-ahead limit.
-fn size(words: &[Bytes]) -> usize {
+fn command_bytes(words: &[Bytes]) -> usize {
     words.iter().map(Bytes::len).sum()
 }
 
@@ -165,7 +165,7 @@
 ) {
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let codec = CommandDecoder { max_words: 8, max_word_len: context.bounds.max_frame_bytes };
+    let codec = CommandDecoder { max_words: 8, max_word_len: context.limits.max_frame_bytes };
     let mut reader = FramedRead::new(read, codec);
     // Neither an outbox nor state in the engine is allocated before the first command.
     let first_command_deadline = Instant::now() + 2 * SILENCE_INTERVAL;
@@ -192,7 +192,7 @@
         None => return,
     };
     record_activity(&activity, &context, &slot, false);
-    let (outbox, mut writer) = spawn_writer::<Bytes>(write, context.bounds);
+    let (outbox, mut writer) = spawn_writer::<Bytes>(write, context.limits);
     let client = Client::new(outbox, writer.abort_handle(), Arc::clone(&activity));
     if context.priority_tx.send(Event::ClientConnected(id, client)).await.is_err() {
         return;
@@ -215,7 +215,7 @@
                     break;
                 }
             } else {
-                let bytes = size(&words);
+                let bytes = command_bytes(&words);
                 ahead.push(words, bytes);
             }
         }
--- a/crates/curlewpoint-node/src/clients/tests.rs
+++ b/crates/curlewpoint-node/src/clients/tests.rs
@@ -12,11 +12,11 @@
     let ((priority_tx, priority_rx), (command_tx, command_rx)) = (mpsc::channel(64), mpsc::channel(1));
     command_tx.try_send(Event::Stop).unwrap_or_default();
     let (shutdown, tasks, clock) = (CancellationToken::new(), TaskTracker::new(), Clock::start());
-    let bounds = LinkLimits { max_frame_bytes: 1024, ..LinkLimits::default() };
+    let limits = LinkLimits { max_frame_bytes: 1024, ..LinkLimits::default() };
     tokio::spawn(accept(
         listener,
         max_clients,
-        ClientContext { bounds, clock, priority_tx, command_tx, shutdown, tasks },
+        ClientContext { limits, clock, priority_tx, command_tx, shutdown, tasks },
     ));
     (address, priority_rx, command_rx)
 }
@@ -78,7 +78,7 @@
     let mut ahead = ReadAhead::new(READ_AHEAD_LIMIT);
     while ahead.has_room() {
         let words = vec![Bytes::from(vec![0; bytes])];
-        let bytes = size(&words);
+        let bytes = command_bytes(&words);
         ahead.push(words, bytes);
     }
     assert_eq!(ahead.iter().count(), max_commands);
--- a/crates/curlewpoint-node/src/driver.rs
+++ b/crates/curlewpoint-node/src/driver.rs
@@ -50,7 +50,7 @@
 }
 
 /// Connections to workers, through which the pool acts.
-pub(crate) struct WorkerConnections {
+pub(crate) struct WorkerSockets {
     dialer: Dialer,
     outboxes: BTreeMap<ConnId, Outbox<WorkerLine>>,
     tickets: BTreeMap<RequestId, (Ticket, ConnId, Arc<str>)>,
@@ -62,7 +62,7 @@
     ended: VecDeque<(RequestId, Outcome)>,
 }
 
-impl WorkerConnections {
+impl WorkerSockets {
     fn forget(&mut self, request: RequestId) {
         if let Some((_, conn, req)) = self.tickets.remove(&request) {
             self.by_req.remove(&(conn, Arc::clone(&req)));
@@ -73,7 +73,7 @@
     }
 }
 
-impl PoolDriver<WorkerRequest> for WorkerConnections {
+impl PoolDriver<WorkerRequest> for WorkerSockets {
     fn dial(&mut self, conn: ConnId, worker: WorkerId, address: &str) {
         debug!(conn = conn.0, worker = worker.0, address, "dialing");
         self.dialer.dial(conn, address.to_owned());
@@ -152,13 +152,13 @@
     recent_ids: VecDeque<(Instant, Arc<str>)>,
     clock: Clock,
     pool: Pool<WorkerRequest>,
-    connections: WorkerConnections,
+    sockets: WorkerSockets,
 }
 
 impl NodeDriver {
     pub fn new(pool: Pool<WorkerRequest>, dialer: Dialer, clock: Clock) -> NodeDriver {
         let (outboxes, tickets, by_req, used_reqs, ended) = Default::default();
-        let connections = WorkerConnections { dialer, outboxes, tickets, by_req, used_reqs, ended };
+        let sockets = WorkerSockets { dialer, outboxes, tickets, by_req, used_reqs, ended };
         let (clients, cut_off_clients, open_ids, known_ids, recent_ids) = Default::default();
         let next_rpc_id = "".into();
         NodeDriver {
@@ -171,7 +171,7 @@
             recent_ids,
             clock,
             pool,
-            connections,
+            sockets,
         }
     }
 
@@ -195,27 +195,27 @@
     }
 
     pub fn conn_up(&mut self, now: Time, conn: ConnId, outbox: Outbox<WorkerLine>) {
-        self.connections.outboxes.insert(conn, outbox);
-        self.pool.conn_up(now, &mut self.connections, conn);
+        self.sockets.outboxes.insert(conn, outbox);
+        self.pool.conn_up(now, &mut self.sockets, conn);
     }
 
-    pub fn conn_failed(&mut self, now: Time, conn: ConnId, ours: bool) {
-        self.pool.conn_failed(now, &mut self.connections, conn, ours);
+    pub fn conn_failed(&mut self, now: Time, conn: ConnId, is_local: bool) {
+        self.pool.conn_failed(now, &mut self.sockets, conn, is_local);
     }
 
     pub fn conn_broken(&mut self, now: Time, conn: ConnId) {
-        self.pool.conn_broken(now, &mut self.connections, conn);
-        self.connections.outboxes.remove(&conn);
+        self.pool.conn_broken(now, &mut self.sockets, conn);
+        self.sockets.outboxes.remove(&conn);
     }
 
     /// The open request with this `req` on a connection.
     pub fn open_request(&self, conn: ConnId, req: &str) -> Option<RequestId> {
-        self.connections.by_req.get(&(conn, Arc::from(req))).copied()
+        self.sockets.by_req.get(&(conn, Arc::from(req))).copied()
     }
 
     pub fn answered(&mut self, now: Time, request: RequestId) {
-        self.connections.forget(request);
-        self.pool.answered(now, &mut self.connections, request);
+        self.sockets.forget(request);
+        self.pool.answered(now, &mut self.sockets, request);
     }
 
     fn expire_recent_ids(&mut self, max: usize) {
@@ -232,7 +232,7 @@
 
     pub fn sweep(&mut self, now: Time) {
         self.expire_recent_ids(MAX_RECENT_IDS);
-        self.pool.close_idle(now, &mut self.connections);
+        self.pool.close_idle(now, &mut self.sockets);
     }
 
     /// The pool's open requests and the worker of each.
@@ -246,10 +246,10 @@
             ("clients", self.clients.len()),
             ("ids of open RPCs", self.open_ids.len()),
             ("ids of ended RPCs", self.recent_ids.len()),
-            ("reqs at workers", self.connections.by_req.len()),
-            ("used reqs", self.connections.used_reqs.len()),
-            ("tickets", self.connections.tickets.len()),
-            ("outboxes", self.connections.outboxes.len()),
+            ("reqs at workers", self.sockets.by_req.len()),
+            ("used reqs", self.sockets.used_reqs.len()),
+            ("tickets", self.sockets.tickets.len()),
+            ("outboxes", self.sockets.outboxes.len()),
         ];
         own.into_iter().chain(self.pool.sizes()).collect()
     }
@@ -293,12 +293,12 @@
             "sent as {}",
             worker_request.req
         );
-        self.pool.request(now, &mut self.connections, worker, id, worker_request);
+        self.pool.request(now, &mut self.sockets, worker, id, worker_request);
     }
 
     fn withdraw(&mut self, now: Time, id: RequestId) -> bool {
-        let was_unsent = self.pool.withdraw(now, &mut self.connections, id);
-        self.connections.forget(id);
+        let was_unsent = self.pool.withdraw(now, &mut self.sockets, id);
+        self.sockets.forget(id);
         was_unsent
     }
 
@@ -323,12 +323,12 @@
     }
 
     fn next_local_end(&mut self) -> Option<(RequestId, Outcome)> {
-        self.connections.ended.pop_front()
+        self.sockets.ended.pop_front()
     }
 
     fn unload(&mut self, now: Time, worker: WorkerId, model: &str) {
-        self.pool.with_open_conn(now, &mut self.connections, worker, |connections, conn| {
-            if let Some(outbox) = connections.outboxes.get(&conn) {
+        self.pool.with_open_conn(now, &mut self.sockets, worker, |sockets, conn| {
+            if let Some(outbox) = sockets.outboxes.get(&conn) {
                 let _ = outbox.send(WorkerLine::Encoded(json_lines::evict_line(model)), None);
             }
         });
@@ -339,15 +339,15 @@
 
     fn set_worker_address(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time) {
         debug!(worker = worker.0, name, address, "listed");
-        self.pool.set_worker_address(now, &mut self.connections, worker, address, since);
+        self.pool.set_worker_address(now, &mut self.sockets, worker, address, since);
     }
 
     fn worker_draining(&mut self, now: Time, worker: WorkerId) {
-        self.pool.withdraw_unsent(now, &mut self.connections, worker);
+        self.pool.withdraw_unsent(now, &mut self.sockets, worker);
     }
 
     fn worker_gone(&mut self, now: Time, worker: WorkerId) {
-        self.pool.worker_gone(now, &mut self.connections, worker);
+        self.pool.worker_gone(now, &mut self.sockets, worker);
     }
 
     fn rpc_accepted(&mut self, rpc: RpcId) {
@@ -358,7 +358,7 @@
 
     fn rpc_forgotten(&mut self, rpc: RpcId) {
         let Some(id) = self.open_ids.remove(&rpc) else { return };
-        self.connections.used_reqs.remove(&id);
+        self.sockets.used_reqs.remove(&id);
         self.recent_ids.push_back((Instant::now(), id));
         self.expire_recent_ids(MAX_RECENT_IDS);
     }
--- a/crates/curlewpoint-node/src/lib.rs
+++ b/crates/curlewpoint-node/src/lib.rs
@@ -7,9 +7,9 @@
 mod discovery;
 mod driver;
 mod events;
-mod scheduler;
+mod run;
 mod stall;
 mod worker_line;
 mod workers;
 
-pub use scheduler::{start, Control, SchedulerHandle, StartError};
+pub use run::{start, Control, SchedulerHandle, StartError};
--- a/crates/curlewpoint-node/src/scheduler.rs
+++ b/crates/curlewpoint-node/src/run.rs
@@ -59,7 +59,7 @@
 const FINAL_FLUSH: Duration = Duration::from_millis(200);
 /// A process that is not killed exits by itself this long after the expected kill.
 const KILL_OVERDUE: Duration = Duration::from_millis(500);
-/// A line is logged after this many checks in a message, a second apart, at which RPCs had ended and none with success.
+/// A line is logged after this many checks in a row, a second apart, at which RPCs had ended and none with success.
 const FAILED_CHECKS_BEFORE_LOG: u32 = 3;
 /// File descriptors reserved for the listener, the discovery sockets, signals and the like.
 const RESERVED_DESCRIPTORS: usize = 16;
@@ -136,11 +136,11 @@
 
     let (priority_tx, priority_rx) = mpsc::channel(PRIORITY_CHANNEL_CAPACITY);
     let (command_tx, command_rx) = mpsc::channel(COMMAND_CHANNEL_CAPACITY);
-    let bounds =
+    let link_limits =
         LinkLimits { max_frame_bytes: MAX_LINE_BYTES, max_outbox: (512, 1 << 20), ..LinkLimits::default() };
     let dial_timeout = Duration::from_millis(limit(&settings, "dialTimeout", 250));
-    let dialer = Dialer { bounds, timeout: dial_timeout, event_tx: priority_tx.clone() };
-    let limits = PoolLimits {
+    let dialer = Dialer { limits: link_limits, timeout: dial_timeout, event_tx: priority_tx.clone() };
+    let pool_limits = PoolLimits {
         requests_per_conn: limit(&settings, "streamsPerConn", 32) as usize,
         conns_per_worker: (sockets / 64).clamp(2, 16),
         total_conns: sockets - sockets / 2 - RESERVED_DESCRIPTORS,
@@ -160,8 +160,12 @@
         names.into_iter().flatten().filter_map(Value::as_str).map(str::to_owned).collect();
     let kill_delay = longest_timeout(&settings).min(KILL_DELAY.0) + KILL_DELAY.1;
     let clock = Clock::start();
-    let mut engine =
-        Engine::start(clock.now(), NodeDriver::new(Pool::new(limits, seed), dialer, clock), seed, settings);
+    let mut engine = Engine::start(
+        clock.now(),
+        NodeDriver::new(Pool::new(pool_limits, seed), dialer, clock),
+        seed,
+        settings,
+    );
     startup::visit_known_workers(
         &known,
         &mut EngineListVisitor { engine: &mut engine, clock, now: clock.now() },
@@ -169,7 +173,7 @@
 
     let (tasks, shutdown) = (TaskTracker::new(), CancellationToken::new());
     let context = clients::ClientContext {
-        bounds: LinkLimits { max_frame_bytes: MAX_BODY_BYTES, ..bounds },
+        limits: LinkLimits { max_frame_bytes: MAX_BODY_BYTES, ..link_limits },
         clock,
         priority_tx: priority_tx.clone(),
         command_tx,
@@ -195,12 +199,12 @@
         health_check_logged: false,
     };
     let stopped = tokio::spawn(async move {
-        let figures = event_loop
+        let counters = event_loop
             .run(EventQueue::new(priority_rx, command_rx, COMMAND_CHANNEL_CAPACITY), tasks, shutdown)
             .await;
         polling.abort();
         accepting.abort();
-        figures
+        counters
     });
     Ok(SchedulerHandle { address, control: Control(priority_tx), resolver, stopped })
 }
@@ -312,7 +316,7 @@
         let batch = events.next_batch(wait).await;
         self.stalls.iteration_started(self.clock.now());
         for event in batch {
-            self.handle(event);
+            self.handle_event(event);
         }
         let now = self.clock.now();
         self.engine.advance(now);
@@ -348,7 +352,7 @@
         since >= self.kill_delay + KILL_OVERDUE || (since >= STOP_GRACE && is_idle)
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.clock.now();
         let engine = &mut self.engine;
         match event {
@@ -377,8 +381,8 @@
                 engine.driver().conn_up(now, conn, outbox);
                 engine.process_ends(now);
             }
-            Event::WorkerDialFailed(conn, ours) => {
-                engine.driver().conn_failed(now, conn, ours);
+            Event::WorkerDialFailed(conn, is_local) => {
+                engine.driver().conn_failed(now, conn, is_local);
                 engine.process_ends(now);
             }
             Event::WorkerMessage(conn, message) => {
@@ -544,13 +548,13 @@
         let body = json_lines::body(message)?;
         let is_attempt = self.engine.rpc_of_attempt(request).is_some();
         let copy = if is_attempt { json_lines::copy(message) } else { CopyReport::Unreported };
-        let (held, copies, report) = (
-            json_lines::held_rpcs(message),
+        let (rpcs_held, copies, report) = (
+            json_lines::rpcs_held(message),
             json_lines::copies(message),
             json_lines::load_report(message, &self.load_report_names),
         );
         self.engine.driver().answered(now, request);
-        self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
+        self.engine.request_ended(now, request, outcome, copy, rpcs_held, copies, report, body);
         Ok(())
     }
 }
--- a/crates/curlewpoint-node/src/worker_line.rs
+++ b/crates/curlewpoint-node/src/worker_line.rs
@@ -17,15 +17,15 @@
 impl OutboxMessage for WorkerLine {
     fn encoded_len(&self) -> usize {
         match self {
-            WorkerLine::Attempt { invoke, .. } => invoke.size(),
+            WorkerLine::Attempt { invoke, .. } => invoke.max_len(),
             WorkerLine::Encoded(line) => line.len(),
         }
     }
 
-    fn encode_header(&self, to: &mut BytesMut) {
+    fn encode_header(&self, buf: &mut BytesMut) {
         match self {
-            WorkerLine::Attempt { invoke, deadline, clock } => invoke.write(*deadline - clock.now(), to),
-            WorkerLine::Encoded(line) => to.extend_from_slice(line),
+            WorkerLine::Attempt { invoke, deadline, clock } => invoke.write(*deadline - clock.now(), buf),
+            WorkerLine::Encoded(line) => buf.extend_from_slice(line),
         }
     }
 
--- a/crates/curlewpoint-node/src/workers.rs
+++ b/crates/curlewpoint-node/src/workers.rs
@@ -18,7 +18,7 @@
 
 /// Opens connections to workers, each in a task of its own.
 pub(crate) struct Dialer {
-    pub bounds: LinkLimits,
+    pub limits: LinkLimits,
     pub timeout: Duration,
     pub event_tx: mpsc::Sender<Event>,
 }
@@ -30,17 +30,17 @@
 
 impl Dialer {
     pub fn dial(&self, conn: ConnId, address: String) {
-        let (bounds, dial_timeout, event_tx) = (self.bounds, self.timeout, self.event_tx.clone());
+        let (limits, dial_timeout, event_tx) = (self.limits, self.timeout, self.event_tx.clone());
         let span = info_span!("connection", conn = conn.0, address);
         let connection = async move {
             let dialed = timeout(dial_timeout, dial(&address)).await;
-            let (reason, ours) = match dialed {
-                Ok(Ok(stream)) => return run_connection(conn, stream, bounds, event_tx).await,
+            let (reason, is_local) = match dialed {
+                Ok(Ok(stream)) => return run_connection(conn, stream, limits, event_tx).await,
                 Ok(Err(error)) => (error.to_string(), is_local_error(&error)),
                 Err(_) => ("dial timed out".to_owned(), false),
             };
-            debug!(ours, "not connected: {reason}");
-            let _ = event_tx.send(Event::WorkerDialFailed(conn, ours)).await;
+            debug!(ours = is_local, "not connected: {reason}");
+            let _ = event_tx.send(Event::WorkerDialFailed(conn, is_local)).await;
         };
         tokio::spawn(connection.instrument(span));
     }
@@ -62,12 +62,12 @@
 
 /// Passes on messages until the connection ends. A malformed message ends it, because the start of the next line can no
 /// longer be trusted.
-async fn run_connection(conn: ConnId, stream: TcpStream, bounds: LinkLimits, event_tx: mpsc::Sender<Event>) {
+async fn run_connection(conn: ConnId, stream: TcpStream, limits: LinkLimits, event_tx: mpsc::Sender<Event>) {
     // Nagle's algorithm would delay every answer.
     let _ = stream.set_nodelay(true);
     let (read, write) = split(stream);
-    let (outbox, mut writer) = spawn_writer::<WorkerLine>(write, bounds);
-    let mut reader = FramedRead::new(read, LineDecoder { max_len: bounds.max_frame_bytes, scanned: 0 });
+    let (outbox, mut writer) = spawn_writer::<WorkerLine>(write, limits);
+    let mut reader = FramedRead::new(read, LineDecoder { max_len: limits.max_frame_bytes, scanned: 0 });
     if event_tx.send(Event::WorkerConnected(conn, outbox)).await.is_err() {
         return;
     }
--- a/crates/curlewpoint-platform/src/json_lines.rs
+++ b/crates/curlewpoint-platform/src/json_lines.rs
@@ -83,7 +83,7 @@
     }
 
     /// Upper bound on the length of the line in bytes.
-    pub fn size(&self) -> usize {
+    pub fn max_len(&self) -> usize {
         self.before_budget.len() + MAX_BUDGET_DIGITS + self.after_budget.len()
     }
 
@@ -157,7 +157,7 @@
 }
 
 /// Number of RPCs of the same function that the worker held when this one arrived.
-pub fn held_rpcs(message: &Map<String, Value>) -> u64 {
+pub fn rpcs_held(message: &Map<String, Value>) -> u64 {
     count(message, "rivals")
 }
 
@@ -215,7 +215,7 @@
 "#;
         let message = decode(line).unwrap().unwrap();
         assert_eq!(
-            (outcome(&message).unwrap(), copy(&message), held_rpcs(&message)),
+            (outcome(&message).unwrap(), copy(&message), rpcs_held(&message)),
             (Outcome::Ok, CopyReport::WaitedForLoad, 3)
         );
         assert_eq!(body(&message).unwrap(), "hi");
