--- a/crates/curlewpoint-engine/src/endpoint_list.rs
+++ b/crates/curlewpoint-engine/src/endpoint_list.rs
@@ -17,7 +17,7 @@
     NotStarted,
 }
 
-struct Row {
+struct Entry {
     id: WorkerId,
     name: String,
     address: String,
@@ -28,8 +28,8 @@
     size: f64,
 }
 
-/// The list of workers. Lists may arrive late, repeatedly and, across a reconnect, out of order. A list is staged row
-/// by row and applied when it is complete, so that a truncated one changes nothing.
+/// The list of workers. Lists may arrive late, repeatedly and, across a reconnect, out of order. A list is staged
+/// entry by entry and applied when it is complete, so that a truncated one changes nothing.
 ///
 /// Versions count within an epoch, which is one run of the list service. A later epoch replaces an earlier one.
 pub struct EndpointList {
@@ -39,7 +39,7 @@
     is_empty_list: bool,
     /// Epoch, version and base version (none for a full list) of the list being received.
     staged: Option<(u64, u64, Option<u64>)>,
-    rows: Vec<Row>,
+    entries: Vec<Entry>,
     /// For each worker the last reported start (a number that identifies the start) and its time on this clock.
     starts: BTreeMap<WorkerId, (u64, Time)>,
     names: NameTable,
@@ -52,7 +52,7 @@
             version: None,
             is_empty_list: false,
             staged: None,
-            rows: Vec::new(),
+            entries: Vec::new(),
             starts: BTreeMap::new(),
             names,
         }
@@ -79,17 +79,17 @@
     /// Starts a list: a full one, or the changes since version `from`.
     pub fn begin(&mut self, epoch: u64, version: u64, from: Option<u64>) {
         self.staged = Some((epoch, version, from));
-        self.rows.clear();
+        self.entries.clear();
     }
 
     /// Discards the list being received, as when the connection to the list service broke.
     pub fn discard_staged(&mut self) {
         self.staged = None;
-        self.rows.clear();
+        self.entries.clear();
     }
 
     /// Stages one worker. `start` identifies the start of its process, `age` is the time since then (none: long ago).
-    pub fn add_row(
+    pub fn add_entry(
         &mut self, now: Time, name: &str, address: &str, lifecycle: Lifecycle, start: u64, age: Option<Time>,
         zone: &str, cell: &str, size: f64,
     ) -> Result<(), String> {
@@ -102,26 +102,26 @@
         self.starts.insert(id, (start, since));
         let (zone, cell) = (ZoneId(id_of(zone) as usize), CellId(id_of(cell)));
         let (name, address) = (name.to_owned(), address.to_owned());
-        self.rows.push(Row { id, name, address, lifecycle, since, zone, cell, size });
+        self.entries.push(Entry { id, name, address, lifecycle, since, zone, cell, size });
         Ok(())
     }
 
-    /// Ends the list. If it is applied, `on_row` is called for each worker in it.
+    /// Ends the list. If it is applied, `on_entry` is called for each worker in it.
     pub fn finish(
-        &mut self, mut on_row: impl FnMut(WorkerId, &str, &str, Lifecycle, Time, ZoneId, CellId, f64),
+        &mut self, mut on_entry: impl FnMut(WorkerId, &str, &str, Lifecycle, Time, ZoneId, CellId, f64),
     ) -> (ListOutcome, BTreeSet<WorkerId>) {
         let mut named = BTreeSet::new();
         let Some((epoch, version, from)) = self.staged.take() else {
             return (ListOutcome::NotStarted, named);
         };
-        let rows = std::mem::take(&mut self.rows);
+        let entries = std::mem::take(&mut self.entries);
         let stale = self.version.is_some_and(|(e, v)| epoch < e || (epoch == e && version <= v));
         // A full list without workers may be a fault. No worker is used until another list comes, so the same version
         // with workers in it is applied. It changes nothing if all workers were really gone.
         let refills = self.is_empty_list
             && self.version == Some((epoch, version))
             && from.is_none()
-            && !rows.is_empty();
+            && !entries.is_empty();
         if stale && !refills {
             return (ListOutcome::Stale, named);
         }
@@ -129,10 +129,10 @@
             return (ListOutcome::NeedsFull, named);
         }
         self.version = Some((epoch, version));
-        self.is_empty_list = from.is_none() && rows.is_empty();
-        for r in rows {
-            named.insert(r.id);
-            on_row(r.id, &r.name, &r.address, r.lifecycle, r.since, r.zone, r.cell, r.size);
+        self.is_empty_list = from.is_none() && entries.is_empty();
+        for e in entries {
+            named.insert(e.id);
+            on_entry(e.id, &e.name, &e.address, e.lifecycle, e.since, e.zone, e.cell, e.size);
         }
         (ListOutcome::Applied { full: from.is_none() }, named)
     }
--- a/crates/curlewpoint-engine/src/endpoint_list/tests.rs
+++ b/crates/curlewpoint-engine/src/endpoint_list/tests.rs
@@ -7,7 +7,7 @@
     list.begin(version.0, version.1, from);
     for (name, start) in names {
         let age = Some(Time(1_000 * (1 + version.1)));
-        list.add_row(Time(50_000), name, "127.0.0.1:1", Lifecycle::Ready, *start, age, "z", "c", 1.0)
+        list.add_entry(Time(50_000), name, "127.0.0.1:1", Lifecycle::Ready, *start, age, "z", "c", 1.0)
             .unwrap();
     }
     let (outcome, named) = list.finish(|_, _, _, _, _, _, _, _| ());
@@ -43,7 +43,7 @@
     for (version, start) in [(1, 5), (2, 5), (3, 6)] {
         list.begin(1, version, None);
         let age = Some(Time(1_000 * version));
-        list.add_row(Time(50_000), "a", "x", Lifecycle::Ready, start, age, "z", "c", 1.0).unwrap();
+        list.add_entry(Time(50_000), "a", "x", Lifecycle::Ready, start, age, "z", "c", 1.0).unwrap();
         list.finish(|_, _, _, _, at, _, _, _| since.push(at.0));
     }
     assert_eq!(since, [49_000, 49_000, 47_000]);
@@ -53,10 +53,10 @@
 fn more_workers_than_the_bound_are_refused() {
     let mut list = EndpointList::new(1);
     list.begin(1, 1, None);
-    let row = |list: &mut EndpointList, name: &str| {
-        list.add_row(Time(9), name, "x", Lifecycle::Ready, 1, None, "", "", 1.0)
+    let add = |list: &mut EndpointList, name: &str| {
+        list.add_entry(Time(9), name, "x", Lifecycle::Ready, 1, None, "", "", 1.0)
     };
-    assert!(row(&mut list, "a").is_ok() && row(&mut list, "b").is_err());
+    assert!(add(&mut list, "a").is_ok() && add(&mut list, "b").is_err());
 }
 
 /// Guards against a list that is empty because of a fault: no worker is used, and the next response, which has the
--- a/crates/curlewpoint-engine/src/engine.rs
+++ b/crates/curlewpoint-engine/src/engine.rs
@@ -8,7 +8,7 @@
 
 use crate::endpoint_list::{EndpointList, ListOutcome};
 use crate::ids::{ClientId, NameTable, RequestId};
-use crate::lifecycle::{describe, LifecycleTracker, Transition};
+use crate::lifecycle::{describe_transitions, LifecycleTracker, Transition};
 use crate::timer_wheel::TimerWheel;
 
 /// The final answer to an RPC.
@@ -74,8 +74,9 @@
     /// The next upstream request that ended on this side, without an answer from the worker.
     fn next_local_end(&mut self) -> Option<(RequestId, Outcome)>;
     fn unload(&mut self, now: Time, worker: WorkerId, model: &str);
-    /// Requests the list of workers: the changes since version `held`, or the full list if there is none.
-    fn watch_list(&mut self, held: Option<(u64, u64)>);
+    /// Requests the list of workers: the changes since `held_version` (epoch, version), or the full list if there is
+    /// none.
+    fn watch_list(&mut self, held_version: Option<(u64, u64)>);
     /// Reports the address of a worker; `since` is the start time of its process, which tells restarts apart.
     fn set_worker_address(&mut self, now: Time, worker: WorkerId, name: &str, address: &str, since: Time);
     /// Reports that a worker drains: requests to it that were not begun are withdrawn.
@@ -83,7 +84,7 @@
     /// Reports that a worker is no longer listed.
     fn worker_gone(&mut self, now: Time, worker: WorkerId);
     /// Reports an observation of a function at a worker by the module, which may be shared with other schedulers.
-    fn observed(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _held: u64) {}
+    fn observed(&mut self, _worker: WorkerId, _function: FunctionId, _hint: Hint, _rpcs_held: u64) {}
     /// Reports that an RPC asks for a function, so that other schedulers may be asked what they know of it. Nothing
     /// waits for their answer.
     fn function_requested(&mut self, _function: FunctionId) {}
@@ -184,9 +185,10 @@
     id: RequestId,
     outcome: Outcome,
     copy: CopyReport,
-    held: u64,
+    /// RPCs of the function that the worker held.
+    rpcs_held: u64,
     copies: u64,
-    report: Vec<f64>,
+    load_report: Vec<f64>,
     body: Bytes,
 }
 
@@ -229,14 +231,14 @@
     }
 
     fn queue_end(&mut self, id: RequestId, outcome: Outcome) {
-        let (copy, held, copies) = (CopyReport::Unreported, 0, 0);
+        let (copy, rpcs_held, copies) = (CopyReport::Unreported, 0, 0);
         self.ends.push_back(RequestEnd {
             id,
             outcome,
             copy,
-            held,
+            rpcs_held,
             copies,
-            report: Vec::new(),
+            load_report: Vec::new(),
             body: Bytes::new(),
         });
     }
@@ -253,7 +255,7 @@
     /// Logs the transitions that the current list caused.
     fn log_transitions(&mut self, transitions: &[Transition]) {
         let version = self.endpoints.version().map_or(0, |(_, version)| version);
-        if let Some(line) = describe(version, transitions, |worker| self.endpoints.name(worker)) {
+        if let Some(line) = describe_transitions(version, transitions, |worker| self.endpoints.name(worker)) {
             self.driver.log(None, &line);
         }
     }
@@ -371,8 +373,8 @@
         self.driver.watch_list(self.endpoints.version());
     }
 
-    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held: u64) {
-        self.driver.observed(worker, function, hint, held);
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64) {
+        self.driver.observed(worker, function, hint, rpcs_held);
     }
 
     fn log(&mut self, line: &str) {
@@ -549,9 +551,9 @@
 
     /// Passes on an observation of a function at a worker that another scheduler made `age` ago.
     pub fn hint_received(
-        &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, held: u64, age: Time,
+        &mut self, now: Time, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64, age: Time,
     ) {
-        self.module.hint_received(now, worker, function, hint, held, age);
+        self.module.hint_received(now, worker, function, hint, rpcs_held, age);
     }
 
     /// The time of the next timer, or an earlier one.
@@ -700,10 +702,18 @@
     /// Records the end of an upstream request, by an answer or otherwise. A second end, or one of an unknown request,
     /// is ignored.
     pub fn request_ended(
-        &mut self, now: Time, id: RequestId, outcome: Outcome, copy: CopyReport, held: u64, copies: u64,
-        report: Vec<f64>, body: Bytes,
+        &mut self, now: Time, id: RequestId, outcome: Outcome, copy: CopyReport, rpcs_held: u64, copies: u64,
+        load_report: Vec<f64>, body: Bytes,
     ) {
-        self.table(now).ends.push_back(RequestEnd { id, outcome, copy, held, copies, report, body });
+        self.table(now).ends.push_back(RequestEnd {
+            id,
+            outcome,
+            copy,
+            rpcs_held,
+            copies,
+            load_report,
+            body,
+        });
         self.process_ends(now);
     }
 
@@ -767,7 +777,7 @@
                     }
                     let done = table.rpcs.get(&rpc).is_none_or(|e| e.answered);
                     let (outcome, elapsed) = (end.outcome, now - sent);
-                    let (copy, held) = (end.copy, end.held);
+                    let (copy, rpcs_held) = (end.copy, end.rpcs_held);
                     self.module.attempt_ended(
                         now,
                         rpc,
@@ -776,15 +786,15 @@
                         elapsed,
                         done,
                         copy,
-                        held,
-                        &end.report,
+                        rpcs_held,
+                        &end.load_report,
                     );
                     self.module.host().forget_if_done(rpc);
                 }
                 RequestKind::Load(function) => {
                     self.module.load_ended(now, worker, function, end.outcome, end.copies)
                 }
-                RequestKind::Probe => self.module.load_report_received(now, worker, &end.report),
+                RequestKind::Probe => self.module.load_report_received(now, worker, &end.load_report),
             }
         }
     }
@@ -801,14 +811,14 @@
     ) {
         let table = self.table(now);
         if let Err(error) =
-            table.endpoints.add_row(now, name, address, lifecycle, start, age, zone, cell, size)
+            table.endpoints.add_entry(now, name, address, lifecycle, start, age, zone, cell, size)
         {
             table.driver.log(None, &format!("list: worker '{name}' ignored: {error}"));
         }
     }
 
     pub fn list_end_received(&mut self, now: Time) -> ListOutcome {
-        let (mut rows, mut transitions) = (Vec::new(), Vec::new());
+        let (mut entries, mut transitions) = (Vec::new(), Vec::new());
         let table = self.table(now);
         let (outcome, named) =
             table.endpoints.finish(|id, name, address, lifecycle, since, zone, cell, size| {
@@ -820,11 +830,11 @@
                         table.driver.worker_draining(now, id);
                     }
                 }
-                rows.push((id, lifecycle, since, zone, cell, size));
+                entries.push((id, lifecycle, since, zone, cell, size));
             });
         match outcome {
             ListOutcome::Applied { full } => {
-                for (id, lifecycle, since, zone, cell, size) in rows {
+                for (id, lifecycle, since, zone, cell, size) in entries {
                     self.module.worker_listed(now, id, lifecycle, since, zone, cell, size);
                     if lifecycle == Lifecycle::Gone {
                         self.gone_since.entry(id).or_insert(now);
--- a/crates/curlewpoint-engine/src/lifecycle.rs
+++ b/crates/curlewpoint-engine/src/lifecycle.rs
@@ -33,22 +33,22 @@
 }
 
 /// One log line for the transitions that a list caused, by worker name or, if there are many, as counts by state.
-pub fn describe<'a>(
-    version: u64, changes: &[Transition], name: impl Fn(WorkerId) -> &'a str,
+pub fn describe_transitions<'a>(
+    version: u64, transitions: &[Transition], name: impl Fn(WorkerId) -> &'a str,
 ) -> Option<String> {
-    if changes.is_empty() {
+    if transitions.is_empty() {
         return None;
     }
-    if changes.len() > MAX_NAMED_TRANSITIONS {
-        let count = |to| changes.iter().filter(|c| c.to == to).count();
+    if transitions.len() > MAX_NAMED_TRANSITIONS {
+        let count = |to| transitions.iter().filter(|t| t.to == to).count();
         let (ready, draining, gone) =
             (count(Lifecycle::Ready), count(Lifecycle::Draining), count(Lifecycle::Gone));
         return Some(format!("list {version}: {ready} ready, {draining} draining, {gone} gone"));
     }
-    let describe_one = |c: &Transition| match c.from {
-        Some(from) => format!("{} {from:?} -> {:?}", name(c.worker), c.to),
-        None => format!("{} {:?}", name(c.worker), c.to),
+    let describe_one = |t: &Transition| match t.from {
+        Some(from) => format!("{} {from:?} -> {:?}", name(t.worker), t.to),
+        None => format!("{} {:?}", name(t.worker), t.to),
     };
-    let lines: Vec<String> = changes.iter().map(describe_one).collect();
+    let lines: Vec<String> = transitions.iter().map(describe_one).collect();
     Some(format!("list {version}: {}", lines.join(", ")))
 }
--- a/crates/curlewpoint-engine/tests/guarantees.rs
+++ b/crates/curlewpoint-engine/tests/guarantees.rs
@@ -362,7 +362,11 @@
                 }
                 Step::End(index, outcome) => {
                     let driver = harness.engine.driver();
-                    let found = driver.open.iter().nth(index % driver.open.len().max(1)).map(|(id, request)| (*id, request.0));
+                    let found = driver
+                        .open
+                        .iter()
+                        .nth(index % driver.open.len().max(1))
+                        .map(|(id, request)| (*id, request.0));
                     if let Some((id, rpc)) = found {
                         let outcome = OUTCOMES[outcome];
                         if let Some(rpc) = rpc.filter(|rpc| side_effecting.contains(rpc)) {
