--- a/crates/curlewpoint-node/src/admission/tests.rs
+++ b/crates/curlewpoint-node/src/admission/tests.rs
@@ -2,13 +2,13 @@
 use test_case::test_case;
 
 /// An admission table whose slots are all taken by clients admitted a millisecond apart, and the moment after the last.
-fn full(slots: usize) -> (Admission, Vec<(ClientId, Arc<ClientActivity>)>, Time) {
+fn full_admission(slots: usize) -> (Admission, Vec<(ClientId, Arc<ClientActivity>)>, Time) {
     let mut admission = Admission::new(slots);
     let clients = (0..slots as u64).map(|n| admission.admit(Time(10 + 10 * n), false)).collect();
     (admission, clients, Time(10 + 10 * slots as u64))
 }
 
-fn are(
+fn is_selection(
     selected: &[Arc<ClientActivity>], clients: &[(ClientId, Arc<ClientActivity>)], want: &[usize],
 ) -> bool {
     selected.len() == want.len()
@@ -20,14 +20,14 @@
 
 #[test]
 fn no_client_is_evicted_while_none_waits() {
-    let (mut admission, ..) = full(64);
+    let (mut admission, ..) = full_admission(64);
     assert!(admission.select_evictions(LATER, false).is_empty());
 }
 
 #[test]
 fn a_waiting_client_evicts_the_longest_idle_one_once() {
-    let (mut admission, clients, _) = full(64);
-    assert!(are(&admission.select_evictions(LATER, true), &clients, &[0]));
+    let (mut admission, clients, _) = full_admission(64);
+    assert!(is_selection(&admission.select_evictions(LATER, true), &clients, &[0]));
     assert!(admission.has_pending_evictions() && !admission.has_free_slot());
     assert!(admission.select_evictions(LATER, true).is_empty(), "one slot for one waiting client");
     admission.remove(clients[0].0);
@@ -40,7 +40,7 @@
 #[test_case(5, 4 ; "some arrivals")]
 #[test_case(400, 63 ; "more arrivals than slots kept free")]
 fn slots_are_freed_in_advance_at_the_rate_of_arrivals(arrivals: usize, evictions: usize) {
-    let (mut admission, clients, _) = full(512);
+    let (mut admission, clients, _) = full_admission(512);
     // The oldest clients disconnect by themselves, so that others can be admitted at one moment; the first of those waited.
     for (id, _) in &clients[..arrivals] {
         admission.remove(*id);
@@ -69,45 +69,45 @@
 
 #[test]
 fn clients_with_open_rpcs_or_unhandled_commands_are_not_evicted() {
-    let (mut admission, clients, _) = full(4);
+    let (mut admission, clients, _) = full_admission(4);
     clients[0].1.set_open_rpcs(1);
     clients[1].1.command_read();
     clients[2].1.replied(LATER, 0);
-    assert!(are(&admission.select_evictions(LATER, true), &clients, &[3]));
+    assert!(is_selection(&admission.select_evictions(LATER, true), &clients, &[3]));
     admission.remove(clients[3].0);
     admission.admit(LATER + Time(1), true);
-    assert!(are(&admission.select_evictions(LATER + Time(2), true), &clients, &[2]));
+    assert!(is_selection(&admission.select_evictions(LATER + Time(2), true), &clients, &[2]));
 }
 
 #[test]
 fn a_declined_eviction_selects_the_next_client() {
-    let (mut admission, clients, _) = full(3);
-    assert!(are(&admission.select_evictions(LATER, true), &clients, &[0]));
+    let (mut admission, clients, _) = full_admission(3);
+    assert!(is_selection(&admission.select_evictions(LATER, true), &clients, &[0]));
     assert_eq!(clients[0].1.eviction_requested(), Some(false));
     assert!(clients[0].1.record(LATER, false));
     assert!(!clients[0].1.record(LATER, false), "declined once");
     admission.eviction_declined();
-    assert!(are(&admission.select_evictions(LATER, true), &clients, &[1]));
+    assert!(is_selection(&admission.select_evictions(LATER, true), &clients, &[1]));
 }
 
 /// Guards against a burst of clients that start requests and never complete them, while a client whose parts come close
 /// together is not evicted.
 #[test]
 fn without_idle_clients_the_oldest_incomplete_request_is_evicted_after_its_grace() {
-    let (mut admission, clients, _) = full(3);
+    let (mut admission, clients, _) = full_admission(3);
     clients[0].1.set_open_rpcs(1);
     for (n, at) in [(1, LATER), (2, LATER + Time(1))] {
         clients[n].1.record(at, true);
         clients[n].1.record(at + Time(9), true);
     }
     assert!(admission.select_evictions(LATER + PARTIAL_REQUEST_GRACE - Time(1), true).is_empty());
-    assert!(are(&admission.select_evictions(LATER + PARTIAL_REQUEST_GRACE, true), &clients, &[1]));
+    assert!(is_selection(&admission.select_evictions(LATER + PARTIAL_REQUEST_GRACE, true), &clients, &[1]));
     assert_eq!(clients[1].1.eviction_requested(), Some(true));
     // After a complete request a client counts as idle again, ahead of those with incomplete ones.
     clients[2].1.record(LATER, false);
     admission.remove(clients[1].0);
     admission.admit(LATER + Time(1), true);
-    assert!(are(&admission.select_evictions(LATER + PARTIAL_REQUEST_GRACE, true), &clients, &[2]));
+    assert!(is_selection(&admission.select_evictions(LATER + PARTIAL_REQUEST_GRACE, true), &clients, &[2]));
     assert_eq!(clients[2].1.eviction_requested(), Some(false));
 }
 
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_lack_of_room_and_its_end_are_reported_once_each() {
-    let (mut admission, clients, _) = full(16);
+    let (mut admission, clients, _) = full_admission(16);
     assert!(admission.is_transition(true) && !admission.is_transition(true));
     admission.remove(clients[0].0);
     assert!(!admission.is_transition(false), "one free slot is too few");
--- a/crates/curlewpoint-node/src/clients/tests.rs
+++ b/crates/curlewpoint-node/src/clients/tests.rs
@@ -22,7 +22,7 @@
 }
 
 /// Fails a test in which a step takes longer than this.
-async fn soon<T>(step: impl std::future::Future<Output = T>) -> T {
+async fn with_timeout<T>(step: impl std::future::Future<Output = T>) -> T {
     timeout(Duration::from_secs(10), step).await.expect("timed out")
 }
 
@@ -39,11 +39,14 @@
     for tag in 1..=32 {
         client.write_all(&command(&["CALL", &tag.to_string(), "read", "", "body"])).await.unwrap();
     }
-    let connected = soon(priority_rx.recv()).await;
+    let connected = with_timeout(priority_rx.recv()).await;
     assert!(matches!(connected, Some(Event::ClientConnected(..))));
     drop(client);
-    assert!(matches!(soon(priority_rx.recv()).await, Some(Event::ClientDisconnected(_, None))));
-    assert!(matches!(soon(command_rx.recv()).await, Some(Event::Stop)), "the event that filled the channel");
+    assert!(matches!(with_timeout(priority_rx.recv()).await, Some(Event::ClientDisconnected(_, None))));
+    assert!(
+        matches!(with_timeout(command_rx.recv()).await, Some(Event::Stop)),
+        "the event that filled the channel"
+    );
     // No call follows the disconnect.
     drop(connected);
     tokio::task::yield_now().await;
@@ -62,12 +65,16 @@
         command(&["CANCEL", "7"]),
     ];
     client.write_all(&commands.concat()).await.unwrap();
-    let connected = soon(priority_rx.recv()).await;
+    let connected = with_timeout(priority_rx.recv()).await;
     assert!(matches!(connected, Some(Event::ClientConnected(..))));
-    let Some(Event::ClientCancel(_, words)) = soon(priority_rx.recv()).await else { panic!("no cancel") };
+    let Some(Event::ClientCancel(_, words)) = with_timeout(priority_rx.recv()).await else {
+        panic!("no cancel")
+    };
     assert_eq!(words[1], "7", "the other cancel met its call in the read-ahead queue");
-    assert!(matches!(soon(command_rx.recv()).await, Some(Event::Stop)));
-    let Some(Event::ClientCommand(_, words)) = soon(command_rx.recv()).await else { panic!("no call") };
+    assert!(matches!(with_timeout(command_rx.recv()).await, Some(Event::Stop)));
+    let Some(Event::ClientCommand(_, words)) = with_timeout(command_rx.recv()).await else {
+        panic!("no call")
+    };
     assert_eq!(words[1], "2");
 }
 
--- a/crates/curlewpoint-node/src/driver.rs
+++ b/crates/curlewpoint-node/src/driver.rs
@@ -53,6 +53,7 @@
 pub(crate) struct WorkerSockets {
     dialer: Dialer,
     outboxes: BTreeMap<ConnId, Outbox<WorkerLine>>,
+    /// The send ticket, the connection and the `req` of each open request.
     tickets: BTreeMap<RequestId, (Ticket, ConnId, Arc<str>)>,
     /// Open requests on each connection, by the `req` that the reply repeats.
     by_req: BTreeMap<(ConnId, Arc<str>), RequestId>,
--- a/crates/curlewpoint-node/src/run.rs
+++ b/crates/curlewpoint-node/src/run.rs
@@ -547,10 +547,10 @@
         };
         let body = json_lines::body(message)?;
         let is_attempt = self.engine.rpc_of_attempt(request).is_some();
-        let copy = if is_attempt { json_lines::copy(message) } else { CopyReport::Unreported };
+        let copy = if is_attempt { json_lines::copy_report(message) } else { CopyReport::Unreported };
         let (rpcs_held, copies, report) = (
             json_lines::rpcs_held(message),
-            json_lines::copies(message),
+            json_lines::copy_count(message),
             json_lines::load_report(message, &self.load_report_names),
         );
         self.engine.driver().answered(now, request);
--- a/crates/curlewpoint-node/tests/descriptors.rs
+++ b/crates/curlewpoint-node/tests/descriptors.rs
@@ -109,7 +109,7 @@
 /// Descriptors run out between two parts of requests, split at many places, and another client connects: clients with an
 /// incomplete request stay and are served once it is complete; the new client is admitted when one of them is idle again.
 #[test]
-fn descriptors_exhausted_between_two_parts_of_a_request() {
+fn descriptors_exhausted_between_two_parts_lose_no_request() {
     run_exclusively(async {
         let (address, mut worker_rx) = scripted_worker().await;
         let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
@@ -160,7 +160,7 @@
 
 /// If the discovery address changes and no descriptor is free, the sockets of the old addresses are closed.
 #[test]
-fn a_change_of_the_discovery_address_without_a_descriptor() {
+fn a_change_of_the_discovery_address_without_a_descriptor_closes_old_sockets() {
     run_exclusively(async {
         let (mut old, mut new) = (ScriptedDiscovery::new().await, ScriptedDiscovery::new().await);
         let scheduler = start_scheduler(&[], &old.address().to_string()).await;
@@ -176,7 +176,7 @@
 
 /// If only one descriptor is free at the start it is used for the listener; discovery is queried once another is free.
 #[test]
-fn a_start_with_a_descriptor_for_the_listener_only() {
+fn a_start_with_a_descriptor_for_the_listener_only_serves() {
     run_exclusively(async {
         let ((address, _worker_rx), mut discovery) =
             (scripted_worker().await, ScriptedDiscovery::new().await);
@@ -196,7 +196,7 @@
 
 /// Without a descriptor for the listener the start fails with an error that names the cause.
 #[test]
-fn a_start_without_a_descriptor() {
+fn a_start_without_a_descriptor_fails_with_its_cause() {
     run_exclusively(async {
         let config = startup_config(&[], NO_DISCOVERY, |_| ());
         let exhausted = ExhaustedDescriptors::except(0);
@@ -208,7 +208,7 @@
 
 /// A dial that fails for lack of a descriptor is not counted against the worker; the request is served once one is free.
 #[test]
-fn a_dial_without_a_descriptor() {
+fn a_dial_without_a_descriptor_does_not_count_against_the_worker() {
     run_exclusively(async {
         let (address, mut worker_rx) = scripted_worker().await;
         let scheduler = start_scheduler(&[&address], NO_DISCOVERY).await;
--- a/crates/curlewpoint-node/tests/test_servers/mod.rs
+++ b/crates/curlewpoint-node/tests/test_servers/mod.rs
@@ -452,11 +452,11 @@
 
 /// The response to a discovery query: DNS records of these workers, each given by ID, address and priority.
 pub fn discovery_response<S: AsRef<str>>(query: &[u8], serial: u32, workers: &[(S, String, u16)]) -> Message {
-    discovery_response_started(query, serial, workers, 0)
+    discovery_response_with_start(query, serial, workers, 0)
 }
 
 /// The same, for workers that started at this Unix time in milliseconds.
-pub fn discovery_response_started<S: AsRef<str>>(
+pub fn discovery_response_with_start<S: AsRef<str>>(
     query: &[u8], serial: u32, workers: &[(S, String, u16)], started: u64,
 ) -> Message {
     let name = |n: &str| Name::from_ascii(n).unwrap();
@@ -517,7 +517,7 @@
     /// Responds to the last query, before a scheduler on the same thread runs again. Returns the bytes sent.
     pub fn respond<S: AsRef<str>>(&self, serial: u32, workers: &[(S, String, u16)], started: u64) -> usize {
         let (query, from) = self.last_query.as_ref().expect("a query was received");
-        let response = discovery_response_started(query, serial, workers, started).to_vec().unwrap();
+        let response = discovery_response_with_start(query, serial, workers, started).to_vec().unwrap();
         self.socket.try_send_to(&response, *from).unwrap_or(0)
     }
 }
@@ -531,9 +531,9 @@
         while let Ok((n, from)) = socket.recv_from(&mut query).await {
             let m = discovery_response(&query[..n], serial, &workers);
             // A response with another ID precedes the right one.
-            let mut stray = m.clone();
-            stray.set_id(m.id().wrapping_add(1));
-            let _ = socket.send_to(&stray.to_vec().unwrap(), from).await;
+            let mut mismatched = m.clone();
+            mismatched.set_id(m.id().wrapping_add(1));
+            let _ = socket.send_to(&mismatched.to_vec().unwrap(), from).await;
             let _ = socket.send_to(&m.to_vec().unwrap(), from).await;
         }
     });
--- a/crates/curlewpoint-platform/src/json_lines.rs
+++ b/crates/curlewpoint-platform/src/json_lines.rs
@@ -123,13 +123,13 @@
 }
 
 /// Returns a field of the message's `meta` object.
-fn meta<'a>(message: &'a Map<String, Value>, name: &str) -> Option<&'a Value> {
+fn meta_field<'a>(message: &'a Map<String, Value>, name: &str) -> Option<&'a Value> {
     message.get("meta")?.get(name)
 }
 
 /// Returns a count from `meta`, given as a number or as text; 0 if it is absent or malformed.
-fn count(message: &Map<String, Value>, name: &str) -> u64 {
-    let value = meta(message, name);
+fn meta_count(message: &Map<String, Value>, name: &str) -> u64 {
+    let value = meta_field(message, name);
     value.and_then(|v| v.as_u64().or_else(|| v.as_str()?.parse().ok())).unwrap_or(0)
 }
 
@@ -146,8 +146,8 @@
 }
 
 /// Whether the function's copy was loaded when the attempt came, by the reply's `detail`.
-pub fn copy(message: &Map<String, Value>) -> CopyReport {
-    match meta(message, "detail").and_then(Value::as_str) {
+pub fn copy_report(message: &Map<String, Value>) -> CopyReport {
+    match meta_field(message, "detail").and_then(Value::as_str) {
         Some("resident") => CopyReport::Warm,
         Some("booted") => CopyReport::BeganLoad,
         Some("rode") => CopyReport::WaitedForLoad,
@@ -158,12 +158,12 @@
 
 /// Number of RPCs of the same function that the worker held when this one arrived.
 pub fn rpcs_held(message: &Map<String, Value>) -> u64 {
-    count(message, "rivals")
+    meta_count(message, "rivals")
 }
 
 /// Number of copies of the function at the worker.
-pub fn copies(message: &Map<String, Value>) -> u64 {
-    count(message, "instances")
+pub fn copy_count(message: &Map<String, Value>) -> u64 {
+    meta_count(message, "instances")
 }
 
 /// Load figures by the name used in the settings, with the shorter name that workers use.
@@ -178,7 +178,7 @@
 
 /// The load report of a message, in the order of `names`. Empty if any of the named figures is missing or malformed.
 pub fn load_report(message: &Map<String, Value>, names: &[String]) -> Vec<f64> {
-    let report = meta(message, "use").and_then(Value::as_str).unwrap_or_default();
+    let report = meta_field(message, "use").and_then(Value::as_str).unwrap_or_default();
     let figure = |name: &str| {
         let mut entries = report.split(';').filter_map(|e| e.split_once(':'));
         entries.find(|(n, _)| *n == name)?.1.parse::<f64>().ok().filter(|v| v.is_finite())
@@ -215,7 +215,7 @@
 "#;
         let message = decode(line).unwrap().unwrap();
         assert_eq!(
-            (outcome(&message).unwrap(), copy(&message), rpcs_held(&message)),
+            (outcome(&message).unwrap(), copy_report(&message), rpcs_held(&message)),
             (Outcome::Ok, CopyReport::WaitedForLoad, 3)
         );
         assert_eq!(body(&message).unwrap(), "hi");
