--- a/crates/curlewpoint-node/src/clients.rs
+++ b/crates/curlewpoint-node/src/clients.rs
@@ -73,7 +73,7 @@
     let admit = |admission: &mut Admission, stream, waited| {
         let (id, activity) = admission.admit(clock.now(), waited);
         let slot = Slot(id, slot_tx.clone());
-        context.tasks.spawn(client(id, stream, context.clone(), activity, slot));
+        context.tasks.spawn(serve_client(id, stream, context.clone(), activity, slot));
     };
     // A connection that is accepted and waits for a free slot.
     let (mut pending, mut waited) = (None, false);
@@ -160,7 +160,7 @@
     }
 }
 
-async fn client(
+async fn serve_client(
     id: ClientId, stream: TcpStream, context: ClientContext, activity: Arc<ClientActivity>, slot: Slot,
 ) {
     let _ = stream.set_nodelay(true);
--- a/crates/curlewpoint-node/src/driver.rs
+++ b/crates/curlewpoint-node/src/driver.rs
@@ -17,7 +17,7 @@
 
 use crate::admission::ClientActivity;
 use crate::worker_line::WorkerLine;
-use crate::workers::Dialer;
+use crate::workers::Dialler;
 
 /// A client connection, as seen by the task that owns the engine.
 pub(crate) struct Client {
@@ -51,7 +51,7 @@
 
 /// Connections to workers, through which the pool acts.
 pub(crate) struct WorkerSockets {
-    dialer: Dialer,
+    dialler: Dialler,
     outboxes: BTreeMap<ConnId, Outbox<WorkerLine>>,
     /// The send ticket, the connection and the `req` of each open request.
     tickets: BTreeMap<RequestId, (Ticket, ConnId, Arc<str>)>,
@@ -76,8 +76,8 @@
 
 impl PoolDriver<WorkerRequest> for WorkerSockets {
     fn dial(&mut self, conn: ConnId, worker: WorkerId, address: &str) {
-        debug!(conn = conn.0, worker = worker.0, address, "dialing");
-        self.dialer.dial(conn, address.to_owned());
+        debug!(conn = conn.0, worker = worker.0, address, "dialling");
+        self.dialler.dial(conn, address.to_owned());
     }
 
     fn send(&mut self, conn: ConnId, request: RequestId, worker_request: &WorkerRequest) -> bool {
@@ -157,9 +157,9 @@
 }
 
 impl NodeDriver {
-    pub fn new(pool: Pool<WorkerRequest>, dialer: Dialer, clock: Clock) -> NodeDriver {
+    pub fn new(pool: Pool<WorkerRequest>, dialler: Dialler, clock: Clock) -> NodeDriver {
         let (outboxes, tickets, by_req, used_reqs, ended) = Default::default();
-        let sockets = WorkerSockets { dialer, outboxes, tickets, by_req, used_reqs, ended };
+        let sockets = WorkerSockets { dialler, outboxes, tickets, by_req, used_reqs, ended };
         let (clients, cut_off_clients, open_ids, known_ids, recent_ids) = Default::default();
         let next_rpc_id = "".into();
         NodeDriver {
--- a/crates/curlewpoint-node/src/run.rs
+++ b/crates/curlewpoint-node/src/run.rs
@@ -22,7 +22,7 @@
 use crate::driver::NodeDriver;
 use crate::events::Event;
 use crate::stall::StallDetector;
-use crate::workers::Dialer;
+use crate::workers::Dialler;
 use crate::{clients, discovery};
 
 #[derive(Debug, Error)]
@@ -139,7 +139,7 @@
     let link_limits =
         LinkLimits { max_frame_bytes: MAX_LINE_BYTES, max_outbox: (512, 1 << 20), ..LinkLimits::default() };
     let dial_timeout = Duration::from_millis(limit(&settings, "dialTimeout", 250));
-    let dialer = Dialer { limits: link_limits, timeout: dial_timeout, event_tx: priority_tx.clone() };
+    let dialler = Dialler { limits: link_limits, timeout: dial_timeout, event_tx: priority_tx.clone() };
     let pool_limits = PoolLimits {
         requests_per_conn: limit(&settings, "streamsPerConn", 32) as usize,
         conns_per_worker: (sockets / 64).clamp(2, 16),
@@ -162,7 +162,7 @@
     let clock = Clock::start();
     let mut engine = Engine::start(
         clock.now(),
-        NodeDriver::new(Pool::new(pool_limits, seed), dialer, clock),
+        NodeDriver::new(Pool::new(pool_limits, seed), dialler, clock),
         seed,
         settings,
     );
@@ -222,7 +222,7 @@
 
 impl ServiceHealth {
     /// Logs one line if the scheduler runs but no RPC succeeds, for example with an empty endpoint list while discovery
-    /// is unavailable, and one when RPCs succeed again. It only logs: polling, dialing and rejecting go on. The line also
+    /// is unavailable, and one when RPCs succeed again. It only logs: polling, dialling and rejecting go on. The line also
     /// appears if the clients alone are at fault.
     fn check(&mut self, f: EngineCounters, list_version: u64, conns: usize) {
         let not_ok = f.denied + f.aborted + f.refused;
--- a/crates/curlewpoint-node/src/workers.rs
+++ b/crates/curlewpoint-node/src/workers.rs
@@ -17,7 +17,7 @@
 use crate::worker_line::WorkerLine;
 
 /// Opens connections to workers, each in a task of its own.
-pub(crate) struct Dialer {
+pub(crate) struct Dialler {
     pub limits: LinkLimits,
     pub timeout: Duration,
     pub event_tx: mpsc::Sender<Event>,
@@ -28,13 +28,13 @@
 /// How long, and how many bytes, a connection closed by this side is still read.
 const LINGER: (Duration, usize) = (Duration::from_millis(300), 256 * 1024);
 
-impl Dialer {
+impl Dialler {
     pub fn dial(&self, conn: ConnId, address: String) {
         let (limits, dial_timeout, event_tx) = (self.limits, self.timeout, self.event_tx.clone());
         let span = info_span!("connection", conn = conn.0, address);
         let connection = async move {
-            let dialed = timeout(dial_timeout, dial(&address)).await;
-            let (reason, is_local) = match dialed {
+            let dialled = timeout(dial_timeout, dial(&address)).await;
+            let (reason, is_local) = match dialled {
                 Ok(Ok(stream)) => return run_connection(conn, stream, limits, event_tx).await,
                 Ok(Err(error)) => (error.to_string(), is_local_error(&error)),
                 Err(_) => ("dial timed out".to_owned(), false),
--- a/crates/curlewpoint-node/tests/deadlines.rs
+++ b/crates/curlewpoint-node/tests/deadlines.rs
@@ -16,7 +16,7 @@
 /// Guards against a budget computed when the worker is selected: here the connection is established a second later, when
 /// the kernel retransmits its SYN.
 #[tokio::test]
-async fn the_budget_excludes_time_spent_dialing() {
+async fn the_budget_excludes_time_spent_dialling() {
     let (address, listener, queued) = unreachable_worker().await;
     let scheduler = start_scheduler_with(&[&address], NO_DISCOVERY, |config| {
         config["settings"]["limits"]["dialTimeout"] = json!(8000);
--- a/crates/curlewpoint-node/tests/sockets.rs
+++ b/crates/curlewpoint-node/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Basic behavior of a scheduler on real sockets, with scripted clients, workers and discovery servers. Each test triggers
+//! Basic behaviour of a scheduler on real sockets, with scripted clients, workers and discovery servers. Each test triggers
 //! an event and waits for its effects.
 
 mod test_servers;
