--- a/crates/curlewpoint-engine/src/engine.rs
+++ b/crates/curlewpoint-engine/src/engine.rs
@@ -95,9 +95,11 @@
     fn log(&mut self, rpc: Option<RpcId>, line: &str);
 }
 
-/// Counters of RPCs and upstream requests. For RPCs, taken = ok + denied + aborted + left + open.
+/// Counters of RPCs and upstream requests. For RPCs, taken = ok + denied + aborted + left + open. Most of the field
+/// names are also keys in log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineCounters {
+    /// RPCs accepted.
     pub taken: u64,
     pub ok: u64,
     pub denied: u64,
@@ -109,11 +111,11 @@
     pub loads: u64,
     pub probes: u64,
     /// RPCs aborted by the engine because the module did not answer them in time.
-    pub guarded: u64,
+    pub aborted_by_guard: u64,
     /// RPCs aborted because this scheduler stopped.
     pub cut_off: u64,
     /// Actions of the module that were ignored because the RPC had its answer.
-    pub passed_over: u64,
+    pub ignored_actions: u64,
 }
 
 /// Too many versions of methods were served since this scheduler started: further ones need a restart.
@@ -262,7 +264,7 @@
 
     /// Counts and logs an action of the module that comes after the RPC's answer.
     fn ignore_action(&mut self, rpc: RpcId, action: &str) {
-        self.counters.passed_over += 1;
+        self.counters.ignored_actions += 1;
         self.driver.log(Some(rpc), &format!("ignored: {action} after the final answer"));
     }
 
@@ -736,7 +738,7 @@
         let table = self.module.host();
         let Some(entry) = table.rpcs.get(&id) else { return };
         if !entry.answered {
-            table.counters.guarded += 1;
+            table.counters.aborted_by_guard += 1;
             table.answer(id, Answer::Aborted, "its time was up", Time(0), Bytes::new());
         }
         self.end_rpc(now, id);
--- a/crates/curlewpoint-engine/tests/guarantees.rs
+++ b/crates/curlewpoint-engine/tests/guarantees.rs
@@ -203,7 +203,7 @@
     harness.advance(10_000);
     assert_eq!(harness.answers().len(), 5);
     harness.advance(10_000);
-    assert_eq!((harness.answers().len(), harness.engine.counters().guarded), (5, 0));
+    assert_eq!((harness.answers().len(), harness.engine.counters().aborted_by_guard), (5, 0));
 }
 
 #[test]
@@ -413,6 +413,6 @@
         prop_assert_eq!(harness.engine.driver().sent_after_answer, 0);
         prop_assert_eq!(harness.engine.held_rpcs(), 0, "no ended RPC is held");
         prop_assert!(harness.engine.driver().held_rpcs.is_empty());
-        prop_assert_eq!(harness.engine.counters().guarded, 0, "the module answers without the engine's guard");
+        prop_assert_eq!(harness.engine.counters().aborted_by_guard, 0, "the module answers without the engine's guard");
     }
 }
--- a/crates/curlewpoint-lab/tests/day.rs
+++ b/crates/curlewpoint-lab/tests/day.rs
@@ -44,7 +44,7 @@
     assert_eq!(sum, asked, "{:?}", day.figures);
     for (name, f) in &day.figures {
         assert_eq!(f.taken, f.ok + f.denied + f.aborted + f.left, "{name}");
-        assert_eq!((f.guarded, f.cut_off), (0, 0), "{name}");
+        assert_eq!((f.aborted_by_guard, f.cut_off), (0, 0), "{name}");
     }
     assert!(Record::since_start(day.seen[0].0).ms() >= 0.0);
 }
@@ -61,6 +61,6 @@
     assert!(judged[0] > 500 && judged[1] > 100 && judged[3] > 10 && judged[4] > 10, "{judged:?}");
     for (name, f) in &day.figures {
         assert_eq!(f.taken, f.ok + f.denied + f.aborted + f.left, "{name}");
-        assert_eq!((f.guarded, f.cut_off, f.left), (0, 0, 0), "{name}");
+        assert_eq!((f.aborted_by_guard, f.cut_off, f.left), (0, 0, 0), "{name}");
     }
 }
--- a/crates/curlewpoint-lab/tests/sockets/hard.rs
+++ b/crates/curlewpoint-lab/tests/sockets/hard.rs
@@ -126,7 +126,7 @@
     let ok = ended.iter().filter(|(_, s)| matches!(s, Seen::Final { answer: Answer::Ok, .. })).count();
     assert!(ok > 0, "the other worker answers");
     let f = stop(stage).await;
-    assert_eq!((f.taken, f.ok + f.denied + f.aborted, f.guarded), (models, models, 0));
+    assert_eq!((f.taken, f.ok + f.denied + f.aborted, f.aborted_by_guard), (models, models, 0));
 }
 
 /// A worker that does not read is told to drain: what had not been begun then never reaches it.
