--- a/crates/curlewpoint-cli/src/commands/fleet.rs
+++ b/crates/curlewpoint-cli/src/commands/fleet.rs
@@ -8,9 +8,12 @@
 use clap::{Args, Subcommand, ValueEnum};
 use curlewpoint_link::{handshake, LinkLimits};
 use curlewpoint_rig::scale::{
-    play, Effort, Outcome, Part, Report, Terms, BUDGETS, LEAST_SIZE, MOST_SIZE, PACES,
+    measure_part, MeasureOptions, Measurements, Part, Report, SimulationSettings, DIRECTORY_BUDGETS,
+    LINK_RATES, MAX_SCHEDULERS, MIN_SCHEDULERS,
+};
+use curlewpoint_rig::{
+    run, temporary_folder, Figures, FleetScenario, OfflineOptimum, Program, ScenarioRun, SHIPPED_SCENARIOS,
 };
-use curlewpoint_rig::{folder, run, Bound, Figures, Plan, Play, Program, PLAYS};
 use curlewpoint_wire::{Frame, Kind};
 use tokio::net::TcpStream;
 use tokio::signal::unix::{signal, SignalKind};
@@ -107,8 +110,10 @@
 impl Scale {
     fn check(&self) -> Result<Plays, String> {
         let size = |text: &str| {
-            let n = text.trim().parse().ok().filter(|n| (LEAST_SIZE..=MOST_SIZE).contains(n));
-            n.ok_or_else(|| format!("--sizes: '{text}' is no number from {LEAST_SIZE} to {MOST_SIZE}"))
+            let n = text.trim().parse().ok().filter(|n| (MIN_SCHEDULERS..=MAX_SCHEDULERS).contains(n));
+            n.ok_or_else(|| {
+                format!("--sizes: '{text}' is no number from {MIN_SCHEDULERS} to {MAX_SCHEDULERS}")
+            })
         };
         let sizes: Vec<usize> = self.sizes.split(',').map(size).collect::<Result<_, _>>()?;
         if let Some(pair) = sizes.windows(2).find(|p| p[0] >= p[1]) {
@@ -127,8 +132,12 @@
                 format!("--{name}: '{text}' is no number from {} to {}", range.start(), range.end())
             })
         };
-        let directory = self.directory.as_ref().map(|d| number("directory", d, &BUDGETS)).transpose()?;
-        let terms = Terms { pace: number("pace", &self.pace, &PACES)?, directory };
+        let directory =
+            self.directory.as_ref().map(|d| number("directory", d, &DIRECTORY_BUDGETS)).transpose()?;
+        let terms = SimulationSettings {
+            link_rate: number("pace", &self.pace, &LINK_RATES)?,
+            directory_budget: directory,
+        };
         if let Some(file) = &self.json {
             // One that cannot be written is told before an hour is played.
             let opened = OpenOptions::new().create(true).append(true).open(file);
@@ -137,13 +146,13 @@
         Ok(Plays { sizes, parts, seed, terms })
     }
 
-    fn effort(&self, n: usize, terms: Terms) -> Effort {
-        let effort = if self.small { Effort::small() } else { Effort::of(n) };
-        Effort { terms, ..effort }
+    fn effort(&self, n: usize, terms: SimulationSettings) -> MeasureOptions {
+        let effort = if self.small { MeasureOptions::small() } else { MeasureOptions::of(n) };
+        MeasureOptions { simulation: terms, ..effort }
     }
 
     /// Plays a part at a size, in a process of its own.
-    fn apart(&self, program: &Path, part: Part, n: usize) -> Result<Outcome, String> {
+    fn apart(&self, program: &Path, part: Part, n: usize) -> Result<Measurements, String> {
         let mut command = std::process::Command::new(program);
         command.args(["fleet", "scale", "--alone", "--parts", part.name()]);
         command.args(["--sizes", &n.to_string(), "--seed", &self.seed, "--pace", &self.pace]);
@@ -153,7 +162,7 @@
         if !out.status.success() {
             return Err(format!("it ended with {}", out.status));
         }
-        let told = serde_json::from_slice(&out.stdout).ok().and_then(|v| Outcome::of_json(&v));
+        let told = serde_json::from_slice(&out.stdout).ok().and_then(|v| Measurements::of_json(&v));
         told.ok_or_else(|| "what it told cannot be read".to_owned())
     }
 
@@ -161,7 +170,7 @@
         let program = std::env::current_exe().map_err(|e| format!("this program is not found: {e}"))?;
         let mut report = Report { seed: *seed, outcomes: Vec::new() };
         for n in sizes {
-            let mut all = Outcome::new(*n);
+            let mut all = Measurements::new(*n);
             for part in parts {
                 let began = Instant::now();
                 let told = self.apart(&program, *part, *n);
@@ -180,11 +189,11 @@
         };
         if self.alone {
             for n in plays.sizes {
-                let mut all = Outcome::new(n);
+                let mut all = Measurements::new(n);
                 plays
                     .parts
                     .iter()
-                    .for_each(|p| all.merge(play(*p, plays.seed, n, &self.effort(n, plays.terms))));
+                    .for_each(|p| all.merge(measure_part(*p, plays.seed, n, &self.effort(n, plays.terms))));
                 println!("{}", all.to_json());
             }
             return DONE;
@@ -207,7 +216,7 @@
     sizes: Vec<usize>,
     parts: Vec<Part>,
     seed: u64,
-    terms: Terms,
+    terms: SimulationSettings,
 }
 
 async fn status(address: &str) -> Result<Bytes, String> {
@@ -235,12 +244,12 @@
 }
 
 impl PlayFleet {
-    fn load(&self) -> Result<Play, String> {
-        if let Some((name, text)) = PLAYS.iter().find(|p| p.0 == self.play) {
-            return Play::parse(name, text).map_err(|f| f.to_string());
+    fn load(&self) -> Result<FleetScenario, String> {
+        if let Some((name, text)) = SHIPPED_SCENARIOS.iter().find(|p| p.0 == self.play) {
+            return FleetScenario::parse(name, text).map_err(|f| f.to_string());
         }
         let text = std::fs::read_to_string(&self.play).map_err(|e| format!("{}: {e}", self.play))?;
-        Play::parse(&self.play, &text).map_err(|f| format!("nothing was started\n{f}"))
+        FleetScenario::parse(&self.play, &text).map_err(|f| format!("nothing was started\n{f}"))
     }
 
     fn again(&self) -> String {
@@ -251,8 +260,8 @@
         format!("curlewpoint fleet play {play} --schedulers {n} --seed {seed}{directory}{}", against.concat())
     }
 
-    async fn play(&self, program: Program, play: Play) -> u8 {
-        let root = self.keep.clone().unwrap_or_else(|| folder("play"));
+    async fn play(&self, program: Program, play: FleetScenario) -> u8 {
+        let root = self.keep.clone().unwrap_or_else(|| temporary_folder("play"));
         let kinds = std::iter::once(None).chain(self.against.iter().copied().map(Some));
         let (mut columns, mut good) = (Vec::new(), true);
         for kind in kinds {
@@ -263,9 +272,9 @@
                 Some(Against::Mute) => ("mute", self.schedulers),
                 Some(Against::One) => ("one", 1),
             };
-            let plan = Plan {
+            let plan = ScenarioRun {
                 program: program.clone(),
-                play: play.clone(),
+                scenario: play.clone(),
                 schedulers,
                 seed: self.seed,
                 peers: matches!(kind, None | Some(Against::Mute | Against::Rings)),
@@ -285,7 +294,7 @@
             columns.push((name.to_owned(), outcome.figures));
         }
         print!("\n{}", Figures::draw(&columns));
-        let bound = Bound::of(&play.script);
+        let bound = OfflineOptimum::of(&play.script);
         let steady = bound.steady.map_or("never".to_owned(), |t| format!("from {:.0} ms", t.ms()));
         println!(
             "store and workers alone, all known ahead: 95 in 100 ok {steady}, after {} loads; {:.0} come before and find no copy free",
@@ -320,7 +329,7 @@
             }),
             What::Soak(what) => what.run(),
             What::Plays => {
-                for (name, text) in PLAYS {
+                for (name, text) in SHIPPED_SCENARIOS {
                     let about: Vec<&str> =
                         text.lines().map_while(|l| l.strip_prefix('#')).map(str::trim).collect();
                     println!("{name:10}{}", about.join(" "));
--- a/crates/curlewpoint-rig/src/figures.rs
+++ b/crates/curlewpoint-rig/src/figures.rs
@@ -8,8 +8,8 @@
 use curlewpoint_wire::Kind;
 
 use crate::calls::CALLED;
-use crate::play::IDLE;
 use crate::relay::{Passed, Taped};
+use crate::scenario::IDLE;
 
 mod directory;
 mod spans;
--- a/crates/curlewpoint-rig/src/bound.rs
+++ b/crates/curlewpoint-rig/src/offline_optimum.rs
@@ -4,7 +4,7 @@
 /// What no schedulers could better, as store and workers are: every load known ahead, the most wanted first, and no more
 /// fetches under way than the store takes at full pace. It leaves out cores, memory, and what chance adds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bound {
+pub struct OfflineOptimum {
     /// When copies for 95 in 100 of the rate stand; none: they never do.
     pub steady: Option<Time>,
     /// RPCs that come until then and find no lane free in a copy: they wait, or are denied.
@@ -13,8 +13,8 @@
     pub loads: usize,
 }
 
-impl Bound {
-    pub fn of(s: &Script) -> Bound {
+impl OfflineOptimum {
+    pub fn of(s: &Script) -> OfflineOptimum {
         let share: f64 = s.methods.values().map(|m| m.0).sum::<f64>().max(1e-9);
         let mean = |of: &dyn Fn(&curlewpoint_lab::stand::Trade) -> f64| {
             s.methods.values().map(|(part, trade)| part * of(trade)).sum::<f64>() / share
@@ -41,30 +41,30 @@
             unmet += (s.rate - served) * (ready - last) / 1_000.0;
             (served, last) = (served + more, ready);
             if served >= 0.95 * s.rate {
-                return Bound { steady: Some(Time::from_ms(ready)), unmet, loads: no + 1 };
+                return OfflineOptimum { steady: Some(Time::from_ms(ready)), unmet, loads: no + 1 };
             }
         }
-        Bound { steady: None, unmet, loads: 0 }
+        OfflineOptimum { steady: None, unmet, loads: 0 }
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::play::Play;
+    use crate::scenario::FleetScenario;
 
     #[test]
     fn the_bound_is_what_one_reckons_by_hand() {
-        let mut s = Play::shipped("start").expect("it is shipped").script;
+        let mut s = FleetScenario::shipped("start").expect("it is shipped").script;
         // Two models of 50 a second each; a copy serves 20 a second, the store fetches one at a time in 240 ms, and a
         // start takes 160 ms: copies stand at 400, 640, 880, 1,120, 1,360 and 1,600 ms, for 20, 20, 20, 20, 10 and 10.
         (s.rate, s.models, s.zipf, s.store_lines) = (100.0, 2, 0.0, 1.0);
-        let b = Bound::of(&s);
+        let b = OfflineOptimum::of(&s);
         let steady = b.steady.expect("it comes").ms();
         assert!((steady - 1_600.0).abs() < 0.2 && b.loads == 6, "{b:?}");
         let by_hand = 100.0 * 0.4 + (80.0 + 60.0 + 40.0 + 20.0 + 10.0) * 0.24;
         assert!((b.unmet - by_hand).abs() < 1e-6, "{b:?} {by_hand}");
         s.rate = 0.0;
-        assert_eq!(Bound::of(&s).loads, 0);
+        assert_eq!(OfflineOptimum::of(&s).loads, 0);
     }
 }
--- a/crates/curlewpoint-rig/src/run.rs
+++ b/crates/curlewpoint-rig/src/run.rs
@@ -19,16 +19,16 @@
 use crate::calls::{call_one, CALLED};
 use crate::figures::{cost, Cost, Directory, Figures, Look, Waits};
 use crate::forge::{self, forge, misuse, Misuse};
-use crate::play::{Action, At, Limit, Play, Who, CONFIG, IDLE};
 use crate::ports::Ports;
 use crate::process::{Process, Program};
 use crate::relay::{Effect, Relay, Rules, Shared, Taped};
+use crate::scenario::{Action, At, FleetScenario, Limit, Who, CONFIG, IDLE};
 
 /// One play of a script.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct ScenarioRun {
     pub program: Program,
-    pub play: Play,
+    pub scenario: FleetScenario,
     pub schedulers: usize,
     pub seed: u64,
     /// Whether the schedulers know of each other.
@@ -84,7 +84,7 @@
 }
 
 struct Stage {
-    plan: Plan,
+    plan: ScenarioRun,
     ports: Ports,
     shared: Shared,
     rng: Rand64,
@@ -128,7 +128,7 @@
 }
 
 /// Plays a script with real processes. Dropping the future ends all that it started.
-pub async fn run(plan: Plan) -> std::io::Result<Outcome> {
+pub async fn run(plan: ScenarioRun) -> std::io::Result<Outcome> {
     let mut stage = Stage::set(plan).await?;
     let began = stage.shared.record.now();
     let mut pulse = JoinSet::new();
@@ -136,32 +136,32 @@
     let clients = stage.begin().await?;
     let up = stage.shared.record.now();
     stage.over = up;
-    for event in stage.plan.play.events.clone() {
+    for event in stage.plan.scenario.events.clone() {
         let over = event.at + event.len;
         stage.over = stage.over.max(up + over);
         stage.plan(event.at, Deed::Begin(event));
     }
-    for (no, span) in stage.plan.play.spans.clone().into_iter().enumerate() {
+    for (no, span) in stage.plan.scenario.spans.clone().into_iter().enumerate() {
         stage.plan(span.at, Deed::Look(no));
         stage.plan(span.at + span.len, Deed::Look(no));
     }
-    let length = stage.plan.play.script.length;
+    let length = stage.plan.scenario.script.length;
     stage.plan(Time(0), Deed::Waits);
     stage.go(up, length).await?;
     stage.finish(began, clients).await
 }
 
 impl Stage {
-    async fn set(plan: Plan) -> std::io::Result<Stage> {
+    async fn set(plan: ScenarioRun) -> std::io::Result<Stage> {
         std::fs::create_dir_all(&plan.folder)?;
         let record = Record::default();
         let shared = Shared::new(Rules::default(), record.clone());
-        let s = &plan.play.script;
+        let s = &plan.scenario.script;
         let any = "127.0.0.1:0";
         let spec = StoreSpec { lines: s.store_lines, thrash: s.store_thrash, most: s.store_most };
         let store = StoreStand::start(any, &record, spec).await?;
         let list = ListStand::start(any, &record, s.list_late).await?;
-        let list_relay = Relay::start("list", Some(list.address), plan.play.list_takes, &shared).await?;
+        let list_relay = Relay::start("list", Some(list.address), plan.scenario.list_takes, &shared).await?;
         let config = parsed(&text(&plan, 0, any, any, &list_relay.address.to_string(), None))?;
         let spec = s.worker_spec(&config);
         let trades = s.trades();
@@ -170,7 +170,7 @@
             let (name, seed) = (format!("w-{no:03}"), plan.seed * 1000 + no as u64);
             let trades = Arc::clone(&trades);
             let worker = WorkerStand::start(any, &name, &record, spec, trades, store.address, seed).await?;
-            if plan.play.cold {
+            if plan.scenario.cold {
                 worker.die();
                 worker.begin(true);
             }
@@ -241,10 +241,10 @@
             plan,
         };
         for no in 0..stage.workers.len() {
-            let since = stage.plan.play.cold.then(|| stage.shared.record.now());
+            let since = stage.plan.scenario.cold.then(|| stage.shared.record.now());
             stage.tell(no, Lifecycle::Ready, since);
         }
-        for no in 0..stage.plan.play.idle_rows {
+        for no in 0..stage.plan.scenario.idle_rows {
             // Names and addresses as long as a deployment's.
             let (name, address) =
                 (format!("{IDLE}{no:06}.zone-{:02}", no % 16), "10.111.122.133:7100".to_owned());
@@ -256,7 +256,7 @@
     }
 
     fn tell(&self, no: usize, standing: Lifecycle, since: Option<Time>) {
-        let s = &self.plan.play.script;
+        let s = &self.plan.scenario.script;
         let cell = no * s.cells / s.workers;
         let (zone, cell) = (format!("zone-{}", cell % s.zones), format!("cell-{cell}"));
         let (address, start) = (self.worker_relays[no].address.to_string(), self.starts[no]);
@@ -269,7 +269,7 @@
         let config = parsed(&std::fs::read_to_string(&self.instances[0].config)?)?;
         for no in 0..self.instances.len() {
             let (record, load) = (self.shared.record.clone(), Arc::clone(&self.load));
-            let mut script = self.plan.play.script.clone();
+            let mut script = self.plan.scenario.script.clone();
             script.seed = self.plan.seed;
             clients.spawn(client(no, Entrance::Native, record, load, script, config.clone()));
             self.start(no);
@@ -537,7 +537,8 @@
                 }
             }
             Action::Call => {
-                let method = self.plan.play.script.methods.iter().max_by(|a, b| a.1 .0.total_cmp(&b.1 .0));
+                let method =
+                    self.plan.scenario.script.methods.iter().max_by(|a, b| a.1 .0.total_cmp(&b.1 .0));
                 let method = method.map_or(String::new(), |m| m.0.clone());
                 for no in self.schedulers(e.who, e.part) {
                     self.next += 1;
@@ -571,7 +572,8 @@
 
     /// Functions and workers of this play, and how much is said of them.
     fn misuse_terms(&mut self, e: &At) -> forge::Terms {
-        let functions = (0..self.plan.play.script.models).map(|no| id_of(&format!("model-{no}"))).collect();
+        let functions =
+            (0..self.plan.scenario.script.models).map(|no| id_of(&format!("model-{no}"))).collect();
         let workers = self.workers.iter().map(|w| id_of(&w.name)).collect();
         let len = Duration::from_micros(e.len.0 * 100);
         forge::Terms { functions, workers, rate: e.size, len, seed: self.rng.rand_u64() }
@@ -632,7 +634,7 @@
         }
         while clients.join_next().await.is_some() {}
         while self.calling.join_next().await.is_some() {}
-        let s = &self.plan.play.script;
+        let s = &self.plan.scenario.script;
         let mut terms = Terms::of(&parsed(&std::fs::read_to_string(&self.instances[0].config)?)?);
         for (no, w) in self.workers.iter().enumerate() {
             let cell = no * s.cells / s.workers;
@@ -650,14 +652,14 @@
         figures.called(&seen);
         let lived = Duration::from_micros((end - began).0 * 100);
         figures.cost = cost(&costs, lived);
-        for (no, span) in self.plan.play.spans.iter().enumerate() {
+        for (no, span) in self.plan.scenario.spans.iter().enumerate() {
             if let Some([from, to]) = self.looks.get(&no).map(Vec::as_slice) {
                 figures.spans.push(Cost::of(&span.name, from, to, &tape, &seen, self.workers.len()));
             }
         }
         (figures.turned_away, figures.fetches) = (self.store.turned_away(), self.store.asked());
         missed.extend(figures.directory.over.as_ref().map(|s| s.told(began)));
-        for (limit, most) in &self.plan.play.expects {
+        for (limit, most) in &self.plan.scenario.expects {
             missed.extend(miss(*limit, *most, &figures, self.plan.peers));
         }
         Ok(Outcome { figures, verdict, missed })
@@ -690,7 +692,8 @@
 
 /// A scheduler's configuration; `fleet`: where it listens for peers, where they reach it, some peers.
 fn text(
-    plan: &Plan, no: usize, listen: &str, name: &str, list: &str, fleet: Option<(String, String, String)>,
+    plan: &ScenarioRun, no: usize, listen: &str, name: &str, list: &str,
+    fleet: Option<(String, String, String)>,
 ) -> String {
     let (n, seed) = (plan.schedulers, plan.seed * 10_000 + no as u64);
     let mut out = format!("name {name}\nlisten {listen}\nlist {list}\ninstances {n}\nseed {seed}\n{CONFIG}");
@@ -710,6 +713,6 @@
 }
 
 /// A folder of its own for a play, under the system's for what is temporary.
-pub fn folder(name: &str) -> PathBuf {
+pub fn temporary_folder(name: &str) -> PathBuf {
     Path::new(&std::env::temp_dir()).join(format!("curlewpoint-fleet-{name}-{}", std::process::id()))
 }
--- a/crates/curlewpoint-rig/src/scale/fleet_part.rs
+++ b/crates/curlewpoint-rig/src/scale/fleet_part.rs
@@ -8,8 +8,8 @@
 
 use crate::figures::most;
 use crate::scale::plan;
+use crate::scale::simulation::{row_of, Simulation, SimulationSettings, Spent};
 use crate::scale::tally::{resident, Tally};
-use crate::scale::world::{row_of, Spent, Terms, World};
 
 pub const SECOND: Time = Time(10_000);
 /// Lists as long as the plan has them are held up to this many instances; beyond it rows are left out, as the bytes of a
@@ -167,7 +167,7 @@
 
     /// Lets so much time pass while each of `n` sees so much. Where a directory of copies is kept, each has its RPCs as well, of
     /// functions by a power law: it asks for those of which it knows no copy.
-    fn pass(&mut self, world: &mut World, n: usize, span: Time) {
+    fn pass(&mut self, world: &mut Simulation, n: usize, span: Time) {
         const STEP: Time = Time(100);
         let (workers, functions) = (plan::workers(n).max(1), plan::functions(n).max(1));
         // Names' ids are hashes: they fill eight bytes on the wire.
@@ -213,17 +213,17 @@
 pub struct Settled {
     pub n: usize,
     pub rows: usize,
-    pub world: World,
+    pub world: Simulation,
     /// Growth of the resident size, for each instance, with its table and its list.
     pub memory: Option<f64>,
     pub good: bool,
 }
 
 /// Builds one and lets it come to rest.
-pub fn settle(seed: u64, n: usize, terms: Terms) -> Settled {
+pub fn settle(seed: u64, n: usize, terms: SimulationSettings) -> Settled {
     let rows = rows_held(n);
     let before = resident();
-    let mut world = World::settled(seed, n, rows, terms);
+    let mut world = Simulation::settled(seed, n, rows, terms);
     let good = world.until(Time(2_500), Time(60_000), |w| w.alike() && w.listed() && w.sure()).is_some();
     world.run(SECOND);
     let grown = resident().zip(before).map(|(now, then)| now.saturating_sub(then) as f64 / n as f64);
@@ -244,7 +244,7 @@
     /// Plays on for `least` at least, until all is right or `most` has passed; with a directory of copies under this load at
     /// the beginning and before `most`, and without it under none.
     pub fn burst(
-        &mut self, load: &mut Load, least: Time, most: Time, right: impl Fn(&World) -> bool,
+        &mut self, load: &mut Load, least: Time, most: Time, right: impl Fn(&Simulation) -> bool,
     ) -> Burst {
         let budget = self.world.directory();
         self.world.take_spent();
@@ -291,7 +291,7 @@
     pub fn change(&mut self) -> (Option<Time>, f64) {
         self.world.take_spent();
         self.world.change();
-        let all = self.world.until(Time(50), Time(300_000), World::listed);
+        let all = self.world.until(Time(50), Time(300_000), Simulation::listed);
         let spent = Rate::of(&self.world.take_spent(), SECOND);
         (all, spent.sent.group("list").1 as f64 / self.n as f64)
     }
@@ -302,8 +302,8 @@
         self.world.take_spent();
         let began = self.world.now;
         let no = self.world.add(Time(1));
-        let listed = self.world.until(Time(20), Time(200_000), World::listed);
-        let alike = self.world.until(Time(100), Time(400_000), World::alike);
+        let listed = self.world.until(Time(20), Time(200_000), Simulation::listed);
+        let alike = self.world.until(Time(100), Time(400_000), Simulation::alike);
         let took = self.world.now - began;
         let mut all = self.world.take_spent();
         let one = all.swap_remove(no);
@@ -339,9 +339,9 @@
 
 /// All start within a second, knowing nothing; ends when all is right, or `most` has passed. With a directory of copies under
 /// this load.
-pub fn all_start(seed: u64, n: usize, terms: Terms, load: &mut Load, most: Time) -> AllStart {
+pub fn all_start(seed: u64, n: usize, terms: SimulationSettings, load: &mut Load, most: Time) -> AllStart {
     const FIRST: Time = Time(60_000);
-    let mut world = World::new(seed, n as u64, rows_held(n), terms);
+    let mut world = Simulation::new(seed, n as u64, rows_held(n), terms);
     let mut rng = Rand64::new(u128::from(seed) << 1);
     for _ in 0..n {
         world.add(Time(rng.rand_range(0..SECOND.0)));
@@ -351,7 +351,7 @@
     let (mut listed, mut alike, mut sure) = (None, None, None);
     let note = |at: &mut Option<Time>, so_far, good| *at = at.or(Some(so_far).filter(|_| good));
     loop {
-        match terms.directory {
+        match terms.directory_budget {
             Some(_) => load.pass(&mut world, n, LOOK),
             None => world.run(LOOK),
         }
@@ -364,7 +364,7 @@
         let right = listed.is_some() && alike.is_some() && sure.is_some();
         let over = so_far >= most || (right && so_far >= FIRST);
         if over || so_far.0.is_multiple_of(SECOND.0) {
-            seconds.add(world.take_spent(), terms.directory);
+            seconds.add(world.take_spent(), terms.directory_budget);
         }
         if so_far >= FIRST && first.is_none() {
             first = Some(seconds.whole.clone());
--- a/crates/curlewpoint-rig/src/scale/measure.rs
+++ b/crates/curlewpoint-rig/src/scale/measure.rs
@@ -13,7 +13,7 @@
 
 /// What was measured at one size.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outcome {
+pub struct Measurements {
     pub schedulers: usize,
     pub measures: Vec<Measure>,
     /// What did not come as it should, and what was left out.
@@ -22,13 +22,13 @@
 
 /// Collects measures of one role.
 pub struct Ledger<'a> {
-    outcome: &'a mut Outcome,
+    outcome: &'a mut Measurements,
     role: &'static str,
 }
 
-impl Outcome {
-    pub fn new(schedulers: usize) -> Outcome {
-        Outcome { schedulers, ..Outcome::default() }
+impl Measurements {
+    pub fn new(schedulers: usize) -> Measurements {
+        Measurements { schedulers, ..Measurements::default() }
     }
 
     pub fn of(&mut self, role: &'static str) -> Ledger<'_> {
@@ -40,7 +40,7 @@
     }
 
     /// Takes in what another part has measured at the same size.
-    pub fn merge(&mut self, other: Outcome) {
+    pub fn merge(&mut self, other: Measurements) {
         self.measures.extend(other.measures);
         self.notes.extend(other.notes);
     }
@@ -57,7 +57,7 @@
     }
 
     /// Reads what `to_json` wrote; none: it is something else.
-    pub fn of_json(v: &Value) -> Option<Outcome> {
+    pub fn of_json(v: &Value) -> Option<Measurements> {
         let text = |v: &Value| v.as_str().map(str::to_owned);
         let measure = |m: &Value| {
             Some(Measure {
@@ -68,7 +68,7 @@
                 exact: m["exact"].as_bool()?,
             })
         };
-        Some(Outcome {
+        Some(Measurements {
             schedulers: v["schedulers"].as_u64()? as usize,
             measures: v["measures"].as_array()?.iter().map(measure).collect::<Option<_>>()?,
             notes: v["notes"].as_array()?.iter().map(text).collect::<Option<_>>()?,
--- a/crates/curlewpoint-rig/src/scale/mod.rs
+++ b/crates/curlewpoint-rig/src/scale/mod.rs
@@ -12,26 +12,26 @@
 mod place;
 pub mod plan;
 mod report;
+mod simulation;
 mod steps;
 mod tally;
 mod worker_part;
-mod world;
 
 pub use fit::{off, Fit, FITTED, OFF};
 pub use fleet_part::{all_start, settle, AllStart, Burst, Joined, Load, OneSecond, Rate, Settled};
-pub use measure::{Ledger, Measure, Outcome};
+pub use measure::{Ledger, Measure, Measurements};
 pub use module_part::{module_cost, Cost};
-pub use parts::{play, Effort, Part, FLEET, MODULE, SERVICE, WATCHER, WORKER};
+pub use parts::{measure_part, MeasureOptions, Part, FLEET, MODULE, SERVICE, WATCHER, WORKER};
 pub use report::Report;
+pub use simulation::{Simulation, SimulationSettings, Spent, BOUNDS, DEFAULT_LINK_RATE};
 pub use steps::{Row, Table};
 pub use tally::{resident, Meter, Tally, GROUPS};
 pub use worker_part::{borne, Borne, Choice, Scene};
-pub use world::{Spent, Terms, World, BOUNDS, PACE};
 
 /// Sizes that can be played.
-pub const LEAST_SIZE: usize = 16;
-pub const MOST_SIZE: usize = 4_000;
+pub const MIN_SCHEDULERS: usize = 16;
+pub const MAX_SCHEDULERS: usize = 4_000;
 /// Bytes a second of a link that can be played.
-pub const PACES: std::ops::RangeInclusive<u64> = 1_000..=1_000_000_000;
+pub const LINK_RATES: std::ops::RangeInclusive<u64> = 1_000..=1_000_000_000;
 /// Bytes a second of a directory of copies that can be played.
-pub const BUDGETS: std::ops::RangeInclusive<u64> = 100..=1_000_000;
+pub const DIRECTORY_BUDGETS: std::ops::RangeInclusive<u64> = 100..=1_000_000;
--- a/crates/curlewpoint-rig/src/scale/parts.rs
+++ b/crates/curlewpoint-rig/src/scale/parts.rs
@@ -5,13 +5,13 @@
 use crate::scale::fleet_part::{
     all_start, book_bytes, rows_held, settle, Load, OneSecond, Rate, Settled, SECOND, WHOLE_LISTS,
 };
-use crate::scale::measure::{Ledger, Outcome};
+use crate::scale::measure::{Ledger, Measurements};
 use crate::scale::module_part::module_cost;
 use crate::scale::place::{region_of, zone_of};
 use crate::scale::plan;
+use crate::scale::simulation::SimulationSettings;
 use crate::scale::tally::GROUPS;
 use crate::scale::worker_part::{borne, Choice, Scene};
-use crate::scale::world::Terms;
 
 /// What can be measured by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,7 +44,7 @@
 
 /// How much of it is played.
 #[derive(Clone, Debug)]
-pub struct Effort {
+pub struct MeasureOptions {
     /// Times are measured, or counts and bytes alone.
     pub times: bool,
     /// Calls that the module is driven with.
@@ -55,12 +55,12 @@
     pub load: f64,
     /// How long regions are apart.
     pub apart: Time,
-    pub terms: Terms,
+    pub simulation: SimulationSettings,
 }
 
-impl Effort {
+impl MeasureOptions {
     /// The whole, in some minutes at the largest size.
-    pub fn of(n: usize) -> Effort {
+    pub fn of(n: usize) -> MeasureOptions {
         // Beyond, some of what a small fleet plays takes hours: what was played is said in the notes.
         let (calls, seen) = if n <= 1_000 { (6_000, 3) } else { (3_000, 2) };
         let apart = match n {
@@ -69,7 +69,7 @@
             _ => Time(300_000),
         };
         let (seen, load) = (plan::SEEN[..seen].to_vec(), plan::calls_each());
-        Effort { times: true, calls, seen, load, apart, terms: Terms::default() }
+        MeasureOptions { times: true, calls, seen, load, apart, simulation: SimulationSettings::default() }
     }
 
     /// What goes on while something else is played: what follows from the plan, at so many calls.
@@ -78,14 +78,14 @@
     }
 
     /// Counts and bytes, in seconds.
-    pub fn small() -> Effort {
-        Effort {
+    pub fn small() -> MeasureOptions {
+        MeasureOptions {
             times: false,
             calls: 200,
             seen: vec![plan::SEEN[1]],
             load: FEW_CALLS,
             apart: Time(200_000),
-            terms: Terms::default(),
+            simulation: SimulationSettings::default(),
         }
     }
 }
@@ -106,8 +106,8 @@
 const LONE_REGION: usize = 1;
 
 /// Measures a part at one size.
-pub fn play(part: Part, seed: u64, n: usize, effort: &Effort) -> Outcome {
-    let mut outcome = Outcome::new(n);
+pub fn measure_part(part: Part, seed: u64, n: usize, effort: &MeasureOptions) -> Measurements {
+    let mut outcome = Measurements::new(n);
     match part {
         Part::Steady => steady(seed, n, effort, &mut outcome),
         Part::Module => module(seed, n, effort, &mut outcome),
@@ -141,7 +141,7 @@
     }
 }
 
-fn settled(seed: u64, n: usize, terms: Terms, outcome: &mut Outcome) -> Settled {
+fn settled(seed: u64, n: usize, terms: SimulationSettings, outcome: &mut Measurements) -> Settled {
     let fleet = settle(seed, n, terms);
     if !fleet.good {
         outcome.notes.push("the fleet had not settled in 6 s".into());
@@ -155,12 +155,12 @@
     fleet
 }
 
-fn steady(seed: u64, n: usize, effort: &Effort, outcome: &mut Outcome) {
+fn steady(seed: u64, n: usize, effort: &MeasureOptions, outcome: &mut Measurements) {
     let times = effort.times;
     // First of all: what a fleet has freed would be taken up again by the books, and grow nothing. What they free is a
     // hundredth of what the fleet takes.
     let left_out = if times { book_bytes(plan::workers(n) - rows_held(n)) } else { None };
-    let mut fleet = settled(seed, n, effort.terms, outcome);
+    let mut fleet = settled(seed, n, effort.simulation, outcome);
     if times {
         let per_row = fleet.memory.zip(left_out).map(|(held, left)| held + left);
         outcome.of(FLEET).rough("memory of records, list and links", "B", per_row);
@@ -189,7 +189,7 @@
     }
 }
 
-fn module(seed: u64, n: usize, effort: &Effort, outcome: &mut Outcome) {
+fn module(seed: u64, n: usize, effort: &MeasureOptions, outcome: &mut Measurements) {
     let cost = module_cost(seed, n, plan::workers(n), plan::functions(n), effort.calls);
     let calls = cost.calls.max(1) as f64;
     let mut ledger = outcome.of(MODULE);
@@ -204,7 +204,7 @@
     ledger.count("sights a call", "", cost.seen as f64 / calls);
 }
 
-fn joined(n: usize, fleet: &mut Settled, outcome: &mut Outcome) {
+fn joined(n: usize, fleet: &mut Settled, outcome: &mut Measurements) {
     // Whom it meets is drawn, and with it whether it is told the list once or more often.
     const STARTS: usize = 3;
     let (mut got, mut list, mut records, mut others) = (0.0, 0.0, 0.0, 0.0);
@@ -233,9 +233,9 @@
     }
 }
 
-fn start(seed: u64, n: usize, effort: &Effort, outcome: &mut Outcome) {
+fn start(seed: u64, n: usize, effort: &MeasureOptions, outcome: &mut Measurements) {
     let mut load = effort.load(seed);
-    let all = all_start(seed, n, effort.terms, &mut load, Time(900_000));
+    let all = all_start(seed, n, effort.simulation, &mut load, Time(900_000));
     if n > WHOLE_LISTS {
         let (held, whole) = (rows_held(n), plan::workers(n));
         outcome.notes.push(format!("start of all: the list held has {held} rows of {whole}"));
@@ -270,8 +270,8 @@
 }
 
 /// The busiest second of the busiest instance's directory, and whether anybody sent more than it may.
-fn one_second(name: &str, d: OneSecond, effort: &Effort, outcome: &mut Outcome) {
-    if effort.terms.directory.is_none() {
+fn one_second(name: &str, d: OneSecond, effort: &MeasureOptions, outcome: &mut Measurements) {
+    if effort.simulation.directory_budget.is_none() {
         return;
     }
     outcome.of(FLEET).count(&format!("{name}: directory, busiest instance"), "B/s", d.bytes as f64);
@@ -285,7 +285,9 @@
 }
 
 /// Plays on after a fault until all is right again.
-fn after(name: &str, fleet: &mut Settled, load: &mut Load, effort: &Effort, outcome: &mut Outcome) {
+fn after(
+    name: &str, fleet: &mut Settled, load: &mut Load, effort: &MeasureOptions, outcome: &mut Measurements,
+) {
     const MOST: Time = Time(400_000);
     let burst = fleet.burst(load, SECOND, MOST, |w| w.alike() && w.listed());
     let mut ledger = outcome.of(FLEET);
@@ -302,8 +304,8 @@
     }
 }
 
-fn faults(seed: u64, n: usize, effort: &Effort, outcome: &mut Outcome) {
-    let (mut fleet, mut load) = (settled(seed, n, effort.terms, outcome), effort.load(seed));
+fn faults(seed: u64, n: usize, effort: &MeasureOptions, outcome: &mut Measurements) {
+    let (mut fleet, mut load) = (settled(seed, n, effort.simulation, outcome), effort.load(seed));
     let zone: Vec<usize> = (0..n).filter(|i| zone_of(*i) == LOST_ZONE).collect();
     let rack = zone[..zone.len().div_ceil(RACKS)].to_vec();
     // One of those that stand nowhere in particular; the first three are everybody's peers to begin with.
@@ -325,7 +327,7 @@
     after("regions heal", &mut fleet, &mut load, effort, outcome);
 }
 
-fn worker(seed: u64, n: usize, effort: &Effort, outcome: &mut Outcome) {
+fn worker(seed: u64, n: usize, effort: &MeasureOptions, outcome: &mut Measurements) {
     for (name, choice) in [("flat", Choice::Flat), ("zone", Choice::Zone)] {
         let mut scene = Scene::of(choice, n);
         if !effort.times {
--- a/crates/curlewpoint-rig/src/scale/report.rs
+++ b/crates/curlewpoint-rig/src/scale/report.rs
@@ -5,14 +5,14 @@
 use serde_json::{json, Value};
 
 use crate::scale::fit::{off, Fit, FITTED, OFF};
-use crate::scale::measure::{Measure, Outcome};
+use crate::scale::measure::{Measure, Measurements};
 use crate::scale::plan;
 use crate::scale::steps::Table;
 
 /// All that was measured from one seed.
 pub struct Report {
     pub seed: u64,
-    pub outcomes: Vec<Outcome>,
+    pub outcomes: Vec<Measurements>,
 }
 
 /// Short enough to read, long enough to tell a difference.
@@ -45,7 +45,7 @@
     }
 
     fn fit(&self, m: &Measure) -> Option<Fit> {
-        let at = |o: &Outcome| Some((o.schedulers, o.get(&m.role, &m.name)?));
+        let at = |o: &Measurements| Some((o.schedulers, o.get(&m.role, &m.name)?));
         Fit::of(&self.outcomes.iter().filter_map(at).collect::<Vec<_>>())
     }
 
@@ -115,7 +115,7 @@
                 "copies a worker": plan::COPIES_A_WORKER, "calls a second each": plan::calls_each(),
                 "things seen a second each": plan::SEEN,
             },
-            "outcomes": self.outcomes.iter().map(Outcome::to_json).collect::<Vec<_>>(),
+            "outcomes": self.outcomes.iter().map(Measurements::to_json).collect::<Vec<_>>(),
             "fits": self.names().iter().filter_map(fit).collect::<Vec<_>>(),
             "steps": self.table().to_json(),
         })
--- a/crates/curlewpoint-rig/src/scale/world.rs
+++ b/crates/curlewpoint-rig/src/scale/simulation.rs
@@ -26,7 +26,7 @@
 /// Tenths of a millisecond in a second.
 const SECOND: u64 = 10_000;
 /// Assumed of a link where nothing else is told: 100 Mbit/s.
-pub const PACE: u64 = 12_500_000;
+pub const DEFAULT_LINK_RATE: u64 = 12_500_000;
 /// As the gateway's `dial-limit`.
 const DIAL_LIMIT: Time = Time(2_500);
 /// One way to the list service.
@@ -213,7 +213,7 @@
 }
 
 /// Many hollow instances in one made-up network, with one event queue. The same seed gives the same events again.
-pub struct World {
+pub struct Simulation {
     pub now: Time,
     all: Vec<Hollow>,
     addresses: BTreeMap<String, usize>,
@@ -228,22 +228,22 @@
     version: u64,
     changes: Vec<(u64, usize)>,
     pub service: Tally,
-    terms: Terms,
+    terms: SimulationSettings,
     meter: Meter,
 }
 
 /// What a world is played with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct SimulationSettings {
     /// Bytes that one link carries in a second, one way.
-    pub pace: u64,
+    pub link_rate: u64,
     /// Bytes a second that the directory of copies may send at each instance; none: hints go round the rings.
-    pub directory: Option<u64>,
+    pub directory_budget: Option<u64>,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms { pace: PACE, directory: None }
+impl Default for SimulationSettings {
+    fn default() -> SimulationSettings {
+        SimulationSettings { link_rate: DEFAULT_LINK_RATE, directory_budget: None }
     }
 }
 
@@ -271,10 +271,10 @@
     (format!("worker-{zone:02}-{worker:05}"), entry)
 }
 
-impl World {
+impl Simulation {
     /// No instance yet; a list of so many workers at the service. `told`: the number of instances in the files.
-    pub fn new(seed: u64, told: u64, rows: usize, terms: Terms) -> World {
-        World {
+    pub fn new(seed: u64, told: u64, rows: usize, terms: SimulationSettings) -> Simulation {
+        Simulation {
             now: Time(10_000_000),
             all: Vec::new(),
             addresses: BTreeMap::new(),
@@ -307,7 +307,7 @@
         let (run, seed) = (RunId(self.rng.rand_u64()), u128::from(self.rng.rand_u64()));
         let (name, address) = (name_of(instance), address_of(instance));
         let mut fleet = Fleet::start(self.now, FLEET, (&name, run), &address, peers, self.told, BOUNDS, seed);
-        if let Some(bytes) = self.terms.directory {
+        if let Some(bytes) = self.terms.directory_budget {
             fleet.enable_directory(self.now, bytes);
         }
         fleet
@@ -337,8 +337,8 @@
     }
 
     /// So many instances that know each other from the start, as after hours; links are not open yet.
-    pub fn settled(seed: u64, n: usize, rows: usize, terms: Terms) -> World {
-        let mut world = World::new(seed, n as u64, rows, terms);
+    pub fn settled(seed: u64, n: usize, rows: usize, terms: SimulationSettings) -> Simulation {
+        let mut world = Simulation::new(seed, n as u64, rows, terms);
         for _ in 0..n {
             let delay = Time(world.rng.rand_range(0..TICK.0));
             world.add(delay);
@@ -353,7 +353,7 @@
             fleet.link_accepted(now, hands, link);
             // Another instance has told it of all, on a link that is gone by now.
             let (id, name, address) = &all[(no + 1) % n];
-            if world.terms.directory.is_some() {
+            if world.terms.directory_budget.is_some() {
                 fleet.directory_join_received(now, hands, link, false);
             }
             fleet.join_received(now, hands, link, FLEET, *id, name, address, MemberState::default(), known);
@@ -402,7 +402,7 @@
 
     /// When so many bytes more have left on a link.
     fn out_by(&mut self, from: usize, link: LinkId, bytes: usize) -> Time {
-        let (now, span) = (self.now, bytes as u64 * SECOND / self.terms.pace.max(1));
+        let (now, span) = (self.now, bytes as u64 * SECOND / self.terms.link_rate.max(1));
         let busy = self.all[from].busy.entry(link).or_insert(now);
         *busy = (*busy).max(now) + Time(span);
         *busy
@@ -621,17 +621,17 @@
     }
 
     pub fn keeps_directory(&self) -> bool {
-        self.terms.directory.is_some()
+        self.terms.directory_budget.is_some()
     }
 
     /// Bytes a second that the directory of copies may send at each instance.
     pub fn directory(&self) -> Option<u64> {
-        self.terms.directory
+        self.terms.directory_budget
     }
 
     /// An instance's scheduler has an RPC of a function.
     pub fn wants(&mut self, no: usize, function: FunctionId) {
-        if self.terms.directory.is_some() && self.all[no].alive {
+        if self.terms.directory_budget.is_some() && self.all[no].alive {
             self.call(no, |f, now, out| f.function_requested(now, out, function));
         }
     }
@@ -713,7 +713,7 @@
     }
 
     /// Lets time pass until `good`, looking every `step`, at most for `most`; none: it did not come.
-    pub fn until(&mut self, step: Time, most: Time, good: impl Fn(&World) -> bool) -> Option<Time> {
+    pub fn until(&mut self, step: Time, most: Time, good: impl Fn(&Simulation) -> bool) -> Option<Time> {
         let began = self.now;
         while self.now - began < most {
             if good(self) {
--- a/crates/curlewpoint-rig/src/scale/steps.rs
+++ b/crates/curlewpoint-rig/src/scale/steps.rs
@@ -4,10 +4,10 @@
 
 use serde_json::{json, Value};
 
-use crate::scale::measure::Outcome;
+use crate::scale::measure::Measurements;
 use crate::scale::parts::{FLEET, MODULE};
 use crate::scale::plan;
-use crate::scale::world::BOUNDS;
+use crate::scale::simulation::BOUNDS;
 
 /// What a fleet keeps of hints, as in `curlewpoint-fleet`.
 const HINTS_KEPT: f64 = 65_536.0;
@@ -46,22 +46,22 @@
 /// Bytes a second that restarts and changes cost one at the plan's rates. A change of the configuration is taken to cost
 /// what a changed row of the list does, and a machine that is restarted to change its row three times; the end of a run
 /// is told as its start is.
-fn churn(o: &Outcome) -> Option<f64> {
+fn churn(o: &Measurements) -> Option<f64> {
     let records = 2.0 * o.get(FLEET, "one starts: record bytes of each other")? * plan::RESTARTS / DAY;
     let rows = o.get(FLEET, "a changed row: bytes sent")? * (plan::CHANGES + 3.0 * plan::RESTARTS) / DAY;
     Some(records + rows)
 }
 
-fn processor(o: &Outcome, counted: &str) -> Option<f64> {
+fn processor(o: &Measurements, counted: &str) -> Option<f64> {
     let module = o.get(MODULE, &format!("a call, choice counted {counted}"))? * plan::calls_each() / 1000.0;
     Some(o.get(FLEET, "steady: processor")? + module)
 }
 
 impl Table {
-    pub fn of(all: &[Outcome]) -> Table {
+    pub fn of(all: &[Measurements]) -> Table {
         let sizes: Vec<usize> = all.iter().map(|o| o.schedulers).collect();
         let mut rows = Vec::new();
-        let mut row = |what: &str, budget: f64, unit, spent: &dyn Fn(&Outcome) -> Option<f64>| {
+        let mut row = |what: &str, budget: f64, unit, spent: &dyn Fn(&Measurements) -> Option<f64>| {
             rows.push(Row { what: what.to_owned(), budget, unit, spent: all.iter().map(spent).collect() });
         };
         let core = plan::CORE * 1000.0;
--- a/crates/curlewpoint-rig/src/scale/worker_part.rs
+++ b/crates/curlewpoint-rig/src/scale/worker_part.rs
@@ -15,7 +15,7 @@
 use serde_json::json;
 
 use crate::scale::plan;
-use crate::scale::world::BOUNDS;
+use crate::scale::simulation::BOUNDS;
 
 /// One way between a scheduler and a worker, in one zone and across.
 const WAY: [Time; 2] = [Time(3), Time(100)];
--- a/crates/curlewpoint-rig/src/play.rs
+++ b/crates/curlewpoint-rig/src/scenario.rs
@@ -5,7 +5,7 @@
 macro_rules! plays {
     ($($name:literal)*) => {
         /// The plays that the program ships, by name.
-        pub const PLAYS: &[(&str, &str)] = &[$(($name, include_str!(concat!("../plays/", $name, ".play")))),*];
+        pub const SHIPPED_SCENARIOS: &[(&str, &str)] = &[$(($name, include_str!(concat!("../plays/", $name, ".play")))),*];
     };
 }
 
@@ -98,7 +98,7 @@
 
 /// A fleet, its load, what happens to it, and what is expected of it.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct FleetScenario {
     pub script: Script,
     /// Workers have just started.
     pub cold: bool,
@@ -179,9 +179,9 @@
     Ok((limit, value))
 }
 
-impl Play {
+impl FleetScenario {
     /// Reads a play; what it does not say of the fleet and the load is that of all plays. All faults are told at once.
-    pub fn parse(name: &str, text: &str) -> Result<Play, ConfigErrors> {
+    pub fn parse(name: &str, text: &str) -> Result<FleetScenario, ConfigErrors> {
         let base = read_lines("base.part", BASE, |lines, fault| {
             Script::of_lines(Script::default(), lines, fault, &mut |_, _| false)
         })?;
@@ -224,14 +224,14 @@
                 let line = lines.iter().find(measures).or(lines.first());
                 line.into_iter().for_each(|l| fault(l, 0, "the play ends before it is over".to_owned()));
             }
-            Play { script, cold, list_takes, idle_rows, events, spans, expects }
+            FleetScenario { script, cold, list_takes, idle_rows, events, spans, expects }
         })
     }
 
     /// One of those that the program ships.
-    pub fn shipped(name: &str) -> Option<Play> {
-        let (name, text) = PLAYS.iter().find(|p| p.0 == name)?;
-        Play::parse(name, text).ok()
+    pub fn shipped(name: &str) -> Option<FleetScenario> {
+        let (name, text) = SHIPPED_SCENARIOS.iter().find(|p| p.0 == name)?;
+        FleetScenario::parse(name, text).ok()
     }
 }
 
--- a/crates/curlewpoint-rig/src/play/tests.rs
+++ b/crates/curlewpoint-rig/src/scenario/tests.rs
@@ -3,8 +3,8 @@
 
 #[test]
 fn all_shipped_plays_are_read() {
-    for (name, text) in PLAYS {
-        let play = Play::parse(name, text).unwrap_or_else(|f| panic!("{f}"));
+    for (name, text) in SHIPPED_SCENARIOS {
+        let play = FleetScenario::parse(name, text).unwrap_or_else(|f| panic!("{f}"));
         assert!(!play.events.is_empty() && !play.expects.is_empty(), "{name}");
         assert!(play.events.iter().all(|e| e.at + e.len < play.script.length), "{name}");
         assert!(play.spans.iter().all(|s| s.at + s.len < play.script.length), "{name}");
@@ -26,6 +26,6 @@
 #[test_case("idle-rows 100001", "no whole number up to 100000" ; "more rows than a list may have")]
 #[test_case("lenth 5s", "no directive 'lenth'" ; "an unknown directive")]
 fn faults_are_told(line: &str, want: &str) {
-    let told = Play::parse("x.play", line).unwrap_err();
+    let told = FleetScenario::parse("x.play", line).unwrap_err();
     assert!(told.rendered.contains(want), "{told}");
 }
--- a/crates/curlewpoint-rig/tests/scale.rs
+++ b/crates/curlewpoint-rig/tests/scale.rs
@@ -2,15 +2,16 @@
 
 use curlewpoint::types::Time;
 use curlewpoint_rig::scale::{
-    off, play, settle, Effort, Fit, Outcome, Part, Report, Terms, FLEET, PACE, SERVICE, WATCHER, WORKER,
+    measure_part, off, settle, Fit, MeasureOptions, Measurements, Part, Report, SimulationSettings,
+    DEFAULT_LINK_RATE, FLEET, SERVICE, WATCHER, WORKER,
 };
 use test_case::test_case;
 
-fn small(part: Part, seed: u64, n: usize) -> Outcome {
-    play(part, seed, n, &Effort::small())
+fn small(part: Part, seed: u64, n: usize) -> Measurements {
+    measure_part(part, seed, n, &MeasureOptions::small())
 }
 
-fn get(o: &Outcome, name: &str) -> f64 {
+fn get(o: &Measurements, name: &str) -> f64 {
     o.get(FLEET, name).unwrap_or_else(|| panic!("'{name}' at {} was not measured", o.schedulers))
 }
 
@@ -67,8 +68,11 @@
 #[test]
 fn a_directory_of_copies_and_the_hints_beside_it_stay_within_its_bytes() {
     let at = |n, directory| {
-        let effort = Effort { terms: Terms { directory, ..Terms::default() }, ..Effort::small() };
-        play(Part::Steady, 1, n, &effort)
+        let effort = MeasureOptions {
+            simulation: SimulationSettings { directory_budget: directory, ..SimulationSettings::default() },
+            ..MeasureOptions::small()
+        };
+        measure_part(Part::Steady, 1, n, &effort)
     };
     let (of_directory, of_hints) = ("0.3 seen a second: directory bytes", "0.3 seen a second: hints bytes");
     let budget = 3_000;
@@ -89,12 +93,12 @@
 #[test_case(60)]
 #[test_case(120)]
 fn with_a_directory_of_copies_faults_are_healed_within_its_bytes_and_alike_again(n: usize) {
-    let terms = Terms { directory: Some(3_000), ..Terms::default() };
-    let effort = Effort { terms, ..Effort::small() };
+    let terms = SimulationSettings { directory_budget: Some(3_000), ..SimulationSettings::default() };
+    let effort = MeasureOptions { simulation: terms, ..MeasureOptions::small() };
     for part in [Part::Start, Part::Faults] {
-        let o = play(part, 7, n, &effort);
+        let o = measure_part(part, 7, n, &effort);
         if n == 60 {
-            assert_eq!(o, play(part, 7, n, &effort));
+            assert_eq!(o, measure_part(part, 7, n, &effort));
         }
         // Notes tell of what did not come and of whoever sent too much.
         let apart = ["regions were apart for 20 s".to_owned()];
@@ -122,11 +126,11 @@
 #[test]
 fn over_slow_links_one_that_starts_waits_for_its_list_and_takes_no_fewer_bytes() {
     let at = |pace| {
-        let terms = Terms { pace, ..Terms::default() };
+        let terms = SimulationSettings { link_rate: pace, ..SimulationSettings::default() };
         let joined = settle(1, 40, terms).joins();
         (joined.listed.expect("it holds the list"), joined.one.got.group("list").1)
     };
-    let ((quick, few), (slow, many)) = (at(PACE), at(20_000));
+    let ((quick, few), (slow, many)) = (at(DEFAULT_LINK_RATE), at(20_000));
     // A hundred rows of some 90 bytes take half a second and not a moment.
     assert!(slow > quick + Time(4_000), "{quick:?} and {slow:?}");
     assert!(few >= 8_000 && many >= few, "{few} and {many} bytes");
@@ -164,13 +168,13 @@
 #[test]
 fn figures_written_as_json_are_read_again() {
     let o = small(Part::Start, 1, 16);
-    assert_eq!(Outcome::of_json(&o.to_json()), Some(o));
-    assert_eq!(Outcome::of_json(&serde_json::json!({"schedulers": "many"})), None);
+    assert_eq!(Measurements::of_json(&o.to_json()), Some(o));
+    assert_eq!(Measurements::of_json(&serde_json::json!({"schedulers": "many"})), None);
 }
 
 fn made_up(sizes: &[usize], value: impl Fn(f64) -> f64) -> Report {
     let one = |n: &usize| {
-        let mut o = Outcome::new(*n);
+        let mut o = Measurements::new(*n);
         o.of(FLEET).count("steady: bytes sent", "B/s", value(*n as f64));
         o
     };
@@ -204,7 +208,7 @@
 #[test]
 fn the_first_to_break_is_that_at_the_smallest_size_and_by_the_larger_factor() {
     let outcome = |n: usize, sent: f64, gets: f64| {
-        let mut o = Outcome::new(n);
+        let mut o = Measurements::new(n);
         let mut fleet = o.of(FLEET);
         fleet.count("steady: bytes sent", "B/s", sent);
         fleet.count("one starts: record bytes of each other", "B", 0.0);
@@ -212,7 +216,7 @@
         fleet.count("one starts: bytes it gets", "B", gets);
         o
     };
-    let first = |all: Vec<Outcome>| {
+    let first = |all: Vec<Measurements>| {
         let table = Report { seed: 1, outcomes: all }.table();
         table.first().map(|(row, n, factor)| (row.what.clone(), n, factor))
     };
