--- a/crates/curlewpoint-cli/src/commands/call.rs
+++ b/crates/curlewpoint-cli/src/commands/call.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use curlewpoint::types::Time;
 use curlewpoint_engine::Answer;
-use curlewpoint_lab::{call, Called};
+use curlewpoint_lab::{call, CallOutcome};
 
 use super::{block_on, fail, AT_FAULT, DONE};
 
@@ -59,11 +59,11 @@
             Bytes::from(body),
         ));
         match called {
-            Ok(Called::Final { answer: Answer::Ok, body, .. }) => {
+            Ok(CallOutcome::Final { answer: Answer::Ok, body, .. }) => {
                 let _ = std::io::stdout().write_all(&body);
                 DONE
             }
-            Ok(Called::Final { answer, rpc, why, retry_after, .. }) => {
+            Ok(CallOutcome::Final { answer, rpc, reason: why, retry_after, .. }) => {
                 let back = if retry_after > Time(0) {
                     format!(", come back in {} ms", retry_after.ms())
                 } else {
@@ -72,8 +72,8 @@
                 let code = if answer == Answer::Denied { DENIED } else { ABORTED };
                 fail(code, &format!("{answer:?} ({rpc}): {why}{back}"))
             }
-            Ok(Called::Refused(why)) => fail(NOTHING, &format!("refused, nothing was taken: {why}")),
-            Ok(Called::Nothing) => fail(NOTHING, "no answer came"),
+            Ok(CallOutcome::Refused(why)) => fail(NOTHING, &format!("refused, nothing was taken: {why}")),
+            Ok(CallOutcome::NoAnswer) => fail(NOTHING, "no answer came"),
             Err(why) => fail(NOTHING, &why.to_string()),
         }
     }
--- a/crates/curlewpoint-cli/src/commands/day.rs
+++ b/crates/curlewpoint-cli/src/commands/day.rs
@@ -2,7 +2,7 @@
 
 use clap::Args;
 use curlewpoint_config::Config;
-use curlewpoint_lab::{play, Entrance, Script, BAD_DAY, CONFIG};
+use curlewpoint_lab::{run_scenario, ClientProtocol, Script, BAD_DAY, REHEARSAL_CONFIG};
 
 use super::{block_on, fail, AT_FAULT, DONE, FAILED};
 
@@ -48,15 +48,15 @@
         script.schedulers, script.workers, script.rate
     );
     for e in &script.events {
-        let kind = curlewpoint_lab::Kind::ALL.iter().find(|k| k.1 == e.kind);
+        let kind = curlewpoint_lab::EventKind::ALL.iter().find(|k| k.1 == e.kind);
         println!("  at {:>6.1} s: {}", e.at.ms() / 1000.0, kind.map_or("", |k| k.2));
     }
-    let by = if http { Entrance::Http } else { Entrance::Native };
+    let by = if http { ClientProtocol::Http } else { ClientProtocol::Native };
     block_on(async {
-        match play(&config, &script, by).await {
+        match run_scenario(&config, &script, by).await {
             Ok(day) => {
-                println!("\n{}", day.drawn);
-                if day.verdict.kept() {
+                println!("\n{}", day.report);
+                if day.verdict.passed() {
                     println!("all five rules kept");
                     DONE
                 } else {
@@ -76,7 +76,7 @@
         };
         let config = match &self.config {
             Some(path) => curlewpoint_config::load(path),
-            None => curlewpoint_config::parse("rehearsal.conf", CONFIG),
+            None => curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG),
         };
         match (config, Script::parse(&self.script.display().to_string(), &text)) {
             (Ok(config), Ok(script)) => run(config, script, self.seed, self.http, self.log),
@@ -87,7 +87,10 @@
 
 impl Rehearse {
     pub fn run(self) -> u8 {
-        match (curlewpoint_config::parse("rehearsal.conf", CONFIG), Script::parse("bad.day", BAD_DAY)) {
+        match (
+            curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG),
+            Script::parse("bad.day", BAD_DAY),
+        ) {
             (Ok(config), Ok(script)) => run(config, script, self.seed, self.http, self.log),
             (Err(faults), _) | (_, Err(faults)) => fail(AT_FAULT, &faults.to_string()),
         }
--- a/crates/curlewpoint-cli/src/commands/stand.rs
+++ b/crates/curlewpoint-cli/src/commands/stand.rs
@@ -3,9 +3,9 @@
 
 use clap::Args;
 use curlewpoint::types::{Lifecycle, Time};
-use curlewpoint_emulator::{Row, StoreSpec, WorkerSpec};
-use curlewpoint_lab::stand::{BrokerStand, ListStand, StoreStand, WorkerStand};
-use curlewpoint_lab::{Record, Script, BAD_DAY};
+use curlewpoint_emulator::{ListEntry, StoreSpec, WorkerSpec};
+use curlewpoint_lab::test_servers::{TestBroker, TestListService, TestStore, TestWorker};
+use curlewpoint_lab::{Script, Transcript, BAD_DAY};
 
 use super::{block_on, fail, AT_FAULT, DONE, FAILED};
 
@@ -57,17 +57,17 @@
             memory_mb: s.memory_mb,
             loads_at_once: s.loads_at_once,
             keep: Time(80_000),
-            cold_from: 1.0,
-            cold_for: Time(1),
+            start_capacity: 1.0,
+            warm_within: Time(1),
             fall_multiple: f64::MAX,
             fall: Time(20_000),
             adds_copies: true,
             answers_miss: false,
         };
-        let trades = s.trades();
+        let trades = s.method_costs();
         block_on(async {
-            let record = Record::default();
-            match WorkerStand::start(&self.listen, &self.name, &record, spec, trades, self.store, self.seed)
+            let record = Transcript::default();
+            match TestWorker::start(&self.listen, &self.name, &record, spec, trades, self.store, self.seed)
                 .await
             {
                 Ok(stand) => until_stopped(stand.address).await,
@@ -93,8 +93,9 @@
 impl Store {
     pub fn run(self) -> u8 {
         block_on(async {
-            let spec = StoreSpec { lines: self.lines, thrash: 0.1, most: self.most };
-            match StoreStand::start(&self.listen, &Record::default(), spec).await {
+            let spec =
+                StoreSpec { parallel_fetches: self.lines, overload_penalty: 0.1, max_fetches: self.most };
+            match TestStore::start(&self.listen, &Transcript::default(), spec).await {
                 Ok(stand) => until_stopped(stand.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
@@ -123,7 +124,15 @@
                 let (zone, cell) = (word(), word());
                 Some((
                     name,
-                    Row { address, standing: Lifecycle::Ready, start: 1, since: None, zone, cell, size: 1.0 },
+                    ListEntry {
+                        address,
+                        lifecycle: Lifecycle::Ready,
+                        start_id: 1,
+                        started_at: None,
+                        zone,
+                        cell,
+                        size: 1.0,
+                    },
                 ))
             });
             match read {
@@ -134,9 +143,9 @@
             }
         }
         block_on(async {
-            match ListStand::start(&self.listen, &Record::default(), Time(0)).await {
+            match TestListService::start(&self.listen, &Transcript::default(), Time(0)).await {
                 Ok(stand) => {
-                    rows.into_iter().for_each(|(name, row)| stand.set(name, row));
+                    rows.into_iter().for_each(|(name, row)| stand.set_entry(name, row));
                     until_stopped(stand.address).await
                 }
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
@@ -159,7 +168,7 @@
     pub fn run(self) -> u8 {
         let queues: Vec<&str> = self.queues.iter().map(String::as_str).collect();
         block_on(async {
-            match BrokerStand::start(&self.listen, &queues).await {
+            match TestBroker::start(&self.listen, &queues).await {
                 Ok(stand) => until_stopped(stand.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
--- a/crates/curlewpoint-cli/src/commands/trigger.rs
+++ b/crates/curlewpoint-cli/src/commands/trigger.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use clap::Args;
 use curlewpoint::types::Time;
-use curlewpoint_lab::{trigger, Ask};
+use curlewpoint_lab::{trigger, TriggerRequest};
 
 use super::call::{block_on_value, ABORTED, DENIED, NOTHING};
 use super::{fail, AT_FAULT, DONE};
@@ -51,7 +51,7 @@
         };
         let (id, body) = (self.id.unwrap_or_else(drawn), Bytes::from(self.body));
         let (method, model, tenant, reply_to) = (self.method, self.model, self.tenant, self.reply_to);
-        let ask = Ask { method, model, tenant, id, reply_to, left, body };
+        let ask = TriggerRequest { method, model, tenant, id, reply_to, time_left: left, body };
         match block_on_value(trigger(&self.address, &self.user, &self.password, &ask)) {
             Ok(Some(told)) if told.answer == "ok" => {
                 let _ = std::io::stdout().write_all(&told.body);
@@ -59,7 +59,7 @@
             }
             Ok(Some(told)) => {
                 let code = if told.answer == "denied" { DENIED } else { ABORTED };
-                fail(code, &format!("{} ({}): {}", told.answer, ask.id, told.why))
+                fail(code, &format!("{} ({}): {}", told.answer, ask.id, told.reason))
             }
             Ok(None) => fail(NOTHING, "no answer came"),
             Err(why) => fail(NOTHING, &why.to_string()),
--- a/crates/curlewpoint-cli/tests/crashes.rs
+++ b/crates/curlewpoint-cli/tests/crashes.rs
@@ -10,9 +10,9 @@
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
 use curlewpoint::types::{Lifecycle, Outcome, Time};
-use curlewpoint_emulator::{Message, Row};
-use curlewpoint_lab::stand::{BrokerStand, ListStand, Puppet};
-use curlewpoint_lab::{Record, CONFIG};
+use curlewpoint_emulator::{ListEntry, Message};
+use curlewpoint_lab::test_servers::{ScriptedWorker, TestBroker, TestListService};
+use curlewpoint_lab::{Transcript, REHEARSAL_CONFIG};
 use curlewpoint_wire::Field;
 use test_case::test_case;
 
@@ -45,8 +45,8 @@
 }
 
 struct Fleet {
-    broker: BrokerStand,
-    list: ListStand,
+    broker: TestBroker,
+    list: TestListService,
     folder: PathBuf,
 }
 
@@ -57,12 +57,16 @@
 }
 
 impl Fleet {
-    async fn start(test: &str, worker: &Puppet) -> Fleet {
-        let broker = BrokerStand::start("127.0.0.1:0", &QUEUES).await.expect("loopback");
-        let list = ListStand::start("127.0.0.1:0", &Record::default(), Time(0)).await.expect("loopback");
+    async fn start(test: &str, worker: &ScriptedWorker) -> Fleet {
+        let broker = TestBroker::start("127.0.0.1:0", &QUEUES).await.expect("loopback");
+        let list =
+            TestListService::start("127.0.0.1:0", &Transcript::default(), Time(0)).await.expect("loopback");
         let (zone, cell) = ("z".to_owned(), "c".to_owned());
         let (address, standing) = (worker.address.to_string(), Lifecycle::Ready);
-        list.set(&worker.name, Row { address, standing, start: 1, since: None, zone, cell, size: 1.0 });
+        list.set_entry(
+            &worker.name,
+            ListEntry { address, lifecycle: standing, start_id: 1, started_at: None, zone, cell, size: 1.0 },
+        );
         let folder = std::env::temp_dir().join(format!("curlewpoint-crash-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         Fleet { broker, list, folder }
@@ -74,7 +78,7 @@
             "amqp {{\n  address {}\n  journal {name}.journal\n  amqp-back-off 20ms\n}}\n",
             self.broker.address
         );
-        let text = CONFIG.replace("name front\n", &format!("name {name}\n"));
+        let text = REHEARSAL_CONFIG.replace("name front\n", &format!("name {name}\n"));
         let text = text.replace("list 127.0.0.1:7001", &format!("list {}", self.list.address));
         let path = self.folder.join(format!("{name}.conf"));
         std::fs::write(&path, text + &amqp).expect("written");
@@ -100,12 +104,13 @@
             .with_reply_to("office".into())
             .with_expiration("4000".into())
             .with_headers(headers);
-        self.broker.put(&format!("curlewpoint.{method}"), properties, Bytes::from_static(b"scan"));
+        self.broker.enqueue(&format!("curlewpoint.{method}"), properties, Bytes::from_static(b"scan"));
     }
 
     /// Waits until one of these queues has a message.
     async fn waiting(&self, queues: &[&str]) {
-        let came = tokio::time::timeout(Duration::from_secs(30), self.broker.until_waiting(queues, 1)).await;
+        let came =
+            tokio::time::timeout(Duration::from_secs(30), self.broker.wait_for_messages(queues, 1)).await;
         assert!(came.is_ok(), "nothing came to {queues:?}");
     }
 }
@@ -147,15 +152,15 @@
     [Step::Delivered, Step::CalledOut, Step::WorkerAnswered, Step::CommitSent, Step::CommitDone];
 
 async fn crash(method: &str, step: Step, next: Next) {
-    let mut worker = Puppet::start("a").await;
+    let mut worker = ScriptedWorker::start("a").await;
     let fleet = Fleet::start(&format!("{method}-{step:?}-{next:?}"), &worker).await;
     let first = fleet.serve("front-1");
     let what = format!("{method}, killed at {step:?}, next is {next:?}");
     let mut ran = BTreeMap::from([("m1".to_owned(), 0)]);
-    let delivered = fleet.broker.at_delivery().await;
+    let delivered = fleet.broker.next_delivery().await;
     let commit = match step {
         Step::CommitSent | Step::CommitDone => {
-            Some(fleet.broker.hold_at_commit(step == Step::CommitDone).await)
+            Some(fleet.broker.silence_at_commit(step == Step::CommitDone).await)
         }
         _ => None,
     };
@@ -165,7 +170,7 @@
         let asked = worker.attempt().await;
         *ran.entry(asked.1.get_text(Field::TOKEN).expect("it has one").to_owned()).or_default() += 1;
         if step != Step::CalledOut {
-            worker.answer(&asked, Outcome::Ok);
+            worker.respond(&asked, Outcome::Ok);
         }
         if let Some(commit) = commit {
             commit.await.expect("it comes");
@@ -194,12 +199,12 @@
                 let asked = worker.attempt().await;
                 *ran.entry(asked.1.get_text(Field::TOKEN).unwrap_or("").to_owned()).or_default() += 1;
                 if worker.peers.contains_key(&asked.0) {
-                    worker.answer(&asked, Outcome::Ok);
+                    worker.respond(&asked, Outcome::Ok);
                 }
             }
         } => unreachable!("it has no end"),
     }
-    let answers = fleet.broker.waiting("office").await;
+    let answers = fleet.broker.messages("office").await;
     let (times, told) = (ran["m1"], word(&answers[0]));
     assert_eq!(answers.len(), 1, "{what}: one final answer");
     if method != "read-fields" {
--- a/crates/curlewpoint-emulator/src/broker.rs
+++ b/crates/curlewpoint-emulator/src/broker.rs
@@ -9,7 +9,7 @@
 use curlewpoint_amqp::Contents;
 
 /// What a broker acts through.
-pub trait Lines {
+pub trait BrokerDriver {
     fn send(&mut self, conn: u64, frame: AMQPFrame);
     /// What was agreed on with a client.
     fn agreed(&mut self, conn: u64, frame_max: u32, channel_max: u16);
@@ -20,11 +20,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BrokerFaults {
     /// Messages that were delivered before are not marked.
-    pub forgets_marks: bool,
+    pub omits_redelivered: bool,
     /// Commits are done and their word is not sent.
-    pub silent_commits: bool,
+    pub omits_commit_ok: bool,
     /// So many confirms are lost, of every ten.
-    pub loses_confirms: u64,
+    pub lost_confirms_per_ten: u64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -34,16 +34,16 @@
     pub properties: AMQPProperties,
     pub body: Bytes,
     /// When it came into its queue.
-    pub at: Time,
+    pub queued_at: Time,
     redelivered: bool,
     /// It may not be delivered after this moment.
-    until: Option<Time>,
-    no: u64,
+    expires_at: Option<Time>,
+    seq: u64,
 }
 
 /// A queue's arguments, as far as they are followed.
 #[derive(Clone, Debug, Default)]
-struct Terms {
+struct QueueArguments {
     ttl: Option<Time>,
     dead_letters: Option<(String, Option<String>)>,
     priorities: u8,
@@ -51,7 +51,7 @@
 
 #[derive(Default)]
 struct Queue {
-    terms: Terms,
+    arguments: QueueArguments,
     ready: VecDeque<Message>,
     /// In turn: connection, channel and tag of each consumer.
     consumers: VecDeque<(u64, u16, String)>,
@@ -62,31 +62,31 @@
     no_ack: bool,
 }
 
-enum Carried {
+enum ContentMethod {
     Publish(basic::Publish),
 }
 
 /// What a transaction holds until its commit.
-enum Held {
+enum TxOperation {
     Publish(basic::Publish, Box<AMQPProperties>, Bytes),
     Ack(u64, bool),
-    Drop(u64, bool, bool),
+    Reject(u64, bool, bool),
 }
 
 #[derive(Default)]
 struct Channel {
     consumers: BTreeMap<String, Consumer>,
     /// Delivered and not acknowledged, by tag.
-    out: BTreeMap<u64, (String, Message)>,
+    unacked: BTreeMap<u64, (String, Message)>,
     next_tag: u64,
     prefetch: u16,
-    tx: Option<Vec<Held>>,
+    tx: Option<Vec<TxOperation>>,
     confirms: Option<u64>,
 }
 
 struct Conn {
     channels: BTreeMap<u16, Channel>,
-    contents: Contents<Carried>,
+    contents: Contents<ContentMethod>,
     frame_max: u32,
     open: bool,
 }
@@ -95,26 +95,26 @@
 /// queues with expiry, dead letters and priorities, consumers with a prefetch, transactions, confirms, returns, `blocked`.
 /// No I/O: what clients send is handed in with the time.
 pub struct Broker<L> {
-    lines: L,
+    driver: L,
     exchanges: BTreeMap<String, (String, Vec<(String, String)>)>,
     queues: BTreeMap<String, Queue>,
     conns: BTreeMap<u64, Conn>,
     blocked: bool,
-    next: u64,
-    confirmed: u64,
+    next_seq: u64,
+    confirm_count: u64,
     pub faults: BrokerFaults,
     now: Time,
 }
 
-const MOST_BODY: u64 = 64 << 20;
+const MAX_BODY_BYTES: u64 = 64 << 20;
 
-impl Terms {
-    fn of(arguments: &FieldTable) -> Terms {
-        let text = |name: &str| match arguments.inner().get(name) {
+impl QueueArguments {
+    fn from_table(table: &FieldTable) -> QueueArguments {
+        let text = |name: &str| match table.inner().get(name) {
             Some(AMQPValue::LongString(s)) => Some(s.to_string()),
             _ => None,
         };
-        let number = |name: &str| match arguments.inner().get(name)? {
+        let number = |name: &str| match table.inner().get(name)? {
             AMQPValue::LongInt(n) => u64::try_from(*n).ok(),
             AMQPValue::LongUInt(n) => Some(u64::from(*n)),
             AMQPValue::LongLongInt(n) => u64::try_from(*n).ok(),
@@ -122,7 +122,7 @@
             AMQPValue::ShortShortUInt(n) => Some(u64::from(*n)),
             _ => None,
         };
-        Terms {
+        QueueArguments {
             ttl: number("x-message-ttl").map(|ms| Time(ms * 10)),
             dead_letters: text("x-dead-letter-exchange").map(|to| (to, text("x-dead-letter-routing-key"))),
             priorities: number("x-max-priority").map_or(0, |n| n.min(255) as u8),
@@ -130,29 +130,29 @@
     }
 }
 
-impl<L: Lines> Broker<L> {
-    pub fn new(lines: L) -> Broker<L> {
-        let kinds = [("", "direct"), ("amq.direct", "direct"), ("amq.fanout", "fanout")];
-        let exchanges = kinds.map(|(name, kind)| (name.to_owned(), (kind.to_owned(), Vec::new())));
+impl<L: BrokerDriver> Broker<L> {
+    pub fn new(driver: L) -> Broker<L> {
+        let exchange_kinds = [("", "direct"), ("amq.direct", "direct"), ("amq.fanout", "fanout")];
+        let exchanges = exchange_kinds.map(|(name, kind)| (name.to_owned(), (kind.to_owned(), Vec::new())));
         Broker {
-            lines,
+            driver,
             exchanges: exchanges.into(),
             queues: BTreeMap::new(),
             conns: BTreeMap::new(),
             blocked: false,
-            next: 0,
-            confirmed: 0,
+            next_seq: 0,
+            confirm_count: 0,
             faults: BrokerFaults::default(),
             now: Time(0),
         }
     }
 
-    pub fn lines(&mut self) -> &mut L {
-        &mut self.lines
+    pub fn driver(&mut self) -> &mut L {
+        &mut self.driver
     }
 
     /// The bodies that wait in a queue, in its order.
-    pub fn waiting(&self, queue: &str) -> Vec<Bytes> {
+    pub fn waiting_bodies(&self, queue: &str) -> Vec<Bytes> {
         self.messages(queue).map(|m| m.body.clone()).collect()
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Puts a message into a queue, as a requester does.
-    pub fn put(&mut self, now: Time, queue: &str, properties: AMQPProperties, body: Bytes) {
+    pub fn enqueue(&mut self, now: Time, queue: &str, properties: AMQPProperties, body: Bytes) {
         self.now = self.now.max(now);
         self.route("", queue, properties, body);
         self.deliver_all();
@@ -174,44 +174,44 @@
 
     /// Messages that are out and not acknowledged.
     pub fn unacknowledged(&self) -> usize {
-        self.conns.values().flat_map(|c| c.channels.values()).map(|c| c.out.len()).sum()
+        self.conns.values().flat_map(|c| c.channels.values()).map(|c| c.unacked.len()).sum()
     }
 
     /// A client has connected.
-    pub fn opened(&mut self, conn: u64) {
-        let (channels, contents) = (BTreeMap::new(), Contents::new(MOST_BODY));
+    pub fn connection_opened(&mut self, conn: u64) {
+        let (channels, contents) = (BTreeMap::new(), Contents::new(MAX_BODY_BYTES));
         self.conns.insert(conn, Conn { channels, contents, frame_max: 4096, open: false });
     }
 
     /// Its connection has ended: what was out on it is ready again, and its transactions are void.
-    pub fn closed(&mut self, now: Time, conn: u64) {
+    pub fn connection_closed(&mut self, now: Time, conn: u64) {
         self.now = self.now.max(now);
-        let Some(gone) = self.conns.remove(&conn) else { return };
-        for (_, channel) in gone.channels {
-            self.give_back(channel);
+        let Some(closed) = self.conns.remove(&conn) else { return };
+        for (_, channel) in closed.channels {
+            self.requeue_unacked(channel);
         }
         self.queues.values_mut().for_each(|q| q.consumers.retain(|c| c.0 != conn));
         self.deliver_all();
     }
 
-    fn give_back(&mut self, channel: Channel) {
+    fn requeue_unacked(&mut self, channel: Channel) {
         // The last is put first before those that came after it.
-        for (queue, message) in channel.out.into_values().rev() {
+        for (queue, message) in channel.unacked.into_values().rev() {
             self.requeue(&queue, message);
         }
     }
 
     fn requeue(&mut self, queue: &str, mut message: Message) {
-        message.redelivered = !self.faults.forgets_marks;
+        message.redelivered = !self.faults.omits_redelivered;
         if let Some(q) = self.queues.get_mut(queue) {
             // At its old place, as far as that can be.
-            let at = q.ready.iter().position(|m| m.no > message.no).unwrap_or(q.ready.len());
+            let at = q.ready.iter().position(|m| m.seq > message.seq).unwrap_or(q.ready.len());
             q.ready.insert(at, message);
         }
     }
 
     /// Tells all clients that nothing is taken, or is again.
-    pub fn block(&mut self, blocked: bool) {
+    pub fn set_blocked(&mut self, blocked: bool) {
         self.blocked = blocked;
         let all: Vec<u64> = self.conns.iter().filter(|(_, c)| c.open).map(|(no, _)| *no).collect();
         for conn in all {
@@ -220,7 +220,7 @@
             } else {
                 connection::AMQPMethod::Unblocked(connection::Unblocked {})
             };
-            self.lines.send(conn, AMQPFrame::Method(0, AMQPClass::Connection(method)));
+            self.driver.send(conn, AMQPFrame::Method(0, AMQPClass::Connection(method)));
         }
     }
 
@@ -241,80 +241,81 @@
         let names: Vec<String> = self.queues.keys().cloned().collect();
         for name in names {
             let Some(q) = self.queues.get_mut(&name) else { continue };
-            let (late, ready): (VecDeque<_>, VecDeque<_>) =
-                q.ready.drain(..).partition(|m| m.until.is_some_and(|until| until <= now));
+            let (expired, ready): (VecDeque<_>, VecDeque<_>) =
+                q.ready.drain(..).partition(|m| m.expires_at.is_some_and(|until| until <= now));
             q.ready = ready;
-            late.into_iter().for_each(|m| self.dead(&name, m, "expired"));
+            expired.into_iter().for_each(|m| self.dead_letter(&name, m, "expired"));
         }
         self.deliver_all();
     }
 
-    fn dead(&mut self, queue: &str, message: Message, why: &str) {
-        let terms = self.queues.get(queue).map(|q| q.terms.clone()).unwrap_or_default();
-        let Some((exchange, key)) = terms.dead_letters else { return };
+    fn dead_letter(&mut self, queue: &str, message: Message, reason: &str) {
+        let arguments = self.queues.get(queue).map(|q| q.arguments.clone()).unwrap_or_default();
+        let Some((exchange, key)) = arguments.dead_letters else { return };
         let key = key.unwrap_or_else(|| message.routing_key.clone());
         let mut headers = message.properties.headers().clone().unwrap_or_default();
-        headers.insert("x-first-death-reason".into(), AMQPValue::LongString(why.into()));
+        headers.insert("x-first-death-reason".into(), AMQPValue::LongString(reason.into()));
         headers.insert("x-first-death-queue".into(), AMQPValue::LongString(queue.into()));
         let mut properties = message.properties.clone().with_headers(headers);
-        if let Some(until) = message.until.filter(|u| *u > self.now) {
-            properties = properties.with_expiration(((until - self.now).0 / 10).to_string().into());
+        if let Some(expires_at) = message.expires_at.filter(|u| *u > self.now) {
+            properties = properties.with_expiration(((expires_at - self.now).0 / 10).to_string().into());
         }
         self.route(&exchange, &key, properties, message.body);
     }
 
     fn send(&mut self, conn: u64, no: u16, method: AMQPClass) {
-        self.lines.send(conn, AMQPFrame::Method(no, method));
+        self.driver.send(conn, AMQPFrame::Method(no, method));
     }
 
-    fn content(
+    fn send_content(
         &mut self, conn: u64, no: u16, method: basic::AMQPMethod, properties: AMQPProperties, body: &Bytes,
     ) {
         self.send(conn, no, AMQPClass::Basic(method));
         let header = AMQPContentHeader { class_id: 60, body_size: body.len() as u64, properties };
-        self.lines.send(conn, AMQPFrame::Header(no, header));
-        let most = self.conns.get(&conn).map_or(4096, |c| c.frame_max) as usize - 8;
-        for part in body.chunks(most) {
-            self.lines.send(conn, AMQPFrame::Body(no, part.to_vec()));
+        self.driver.send(conn, AMQPFrame::Header(no, header));
+        let max_part = self.conns.get(&conn).map_or(4096, |c| c.frame_max) as usize - 8;
+        for part in body.chunks(max_part) {
+            self.driver.send(conn, AMQPFrame::Body(no, part.to_vec()));
         }
     }
 
     /// Puts a message into the queues that its exchange names; false: there is none.
     fn route(&mut self, exchange: &str, key: &str, properties: AMQPProperties, body: Bytes) -> bool {
-        let to: Vec<String> = match self.exchanges.get(exchange) {
+        let queues: Vec<String> = match self.exchanges.get(exchange) {
             _ if exchange.is_empty() => vec![key.to_owned()],
             Some((kind, bound)) => {
-                let fits = |b: &&(String, String)| kind == "fanout" || b.0 == key;
-                bound.iter().filter(fits).map(|b| b.1.clone()).collect()
+                let matches = |b: &&(String, String)| kind == "fanout" || b.0 == key;
+                bound.iter().filter(matches).map(|b| b.1.clone()).collect()
             }
             None => Vec::new(),
         };
-        let mut taken = false;
-        for name in to {
+        let mut routed = false;
+        for name in queues {
             let Some(q) = self.queues.get_mut(&name) else { continue };
-            taken = true;
-            self.next += 1;
-            let of_its_own = properties.expiration().as_ref().and_then(|e| e.as_str().parse::<u64>().ok());
-            let ttl = of_its_own.map(|ms| Time(ms * 10)).into_iter().chain(q.terms.ttl).min();
+            routed = true;
+            self.next_seq += 1;
+            let message_ttl = properties.expiration().as_ref().and_then(|e| e.as_str().parse::<u64>().ok());
+            let ttl = message_ttl.map(|ms| Time(ms * 10)).into_iter().chain(q.arguments.ttl).min();
             let (exchange, routing_key) = (exchange.to_owned(), key.to_owned());
-            let (properties, body, until) = (properties.clone(), body.clone(), ttl.map(|ttl| self.now + ttl));
-            let priority = |m: &Message| (*m.properties.priority()).unwrap_or(0).min(q.terms.priorities);
-            let at = self.now;
+            let (properties, body, expires_at) =
+                (properties.clone(), body.clone(), ttl.map(|ttl| self.now + ttl));
+            let priority = |m: &Message| (*m.properties.priority()).unwrap_or(0).min(q.arguments.priorities);
+            let queued_at = self.now;
             let message = Message {
                 exchange,
                 routing_key,
                 properties,
                 body,
-                at,
+                queued_at,
                 redelivered: false,
-                until,
-                no: self.next,
+                expires_at,
+                seq: self.next_seq,
             };
-            let above = priority(&message);
-            let at = q.ready.iter().position(|m| priority(m) < above).unwrap_or(q.ready.len());
+            let message_priority = priority(&message);
+            let at = q.ready.iter().position(|m| priority(m) < message_priority).unwrap_or(q.ready.len());
             q.ready.insert(at, message);
         }
-        taken
+        routed
     }
 
     fn deliver_all(&mut self) {
@@ -327,11 +328,11 @@
         loop {
             let Some(q) = self.queues.get_mut(name).filter(|q| !q.ready.is_empty()) else { return };
             let conns = &self.conns;
-            let room = |c: &(u64, u16, String)| {
+            let has_capacity = |c: &(u64, u16, String)| {
                 let channel = conns.get(&c.0).and_then(|conn| conn.channels.get(&c.1));
-                channel.is_some_and(|ch| ch.prefetch == 0 || ch.out.len() < usize::from(ch.prefetch))
+                channel.is_some_and(|ch| ch.prefetch == 0 || ch.unacked.len() < usize::from(ch.prefetch))
             };
-            let Some(at) = q.consumers.iter().position(room) else { return };
+            let Some(at) = q.consumers.iter().position(has_capacity) else { return };
             let Some((conn, no, consumer)) = q.consumers.remove(at) else { return };
             let Some(message) = q.ready.pop_front() else { return };
             q.consumers.push_back((conn, no, consumer.clone()));
@@ -341,7 +342,7 @@
             channel.next_tag += 1;
             let tag = channel.next_tag;
             if channel.consumers.get(&consumer).is_some_and(|c| !c.no_ack) {
-                channel.out.insert(tag, (name.to_owned(), message.clone()));
+                channel.unacked.insert(tag, (name.to_owned(), message.clone()));
             }
             let deliver = basic::Deliver {
                 consumer_tag: consumer.as_str().into(),
@@ -350,23 +351,30 @@
                 exchange: message.exchange.as_str().into(),
                 routing_key: message.routing_key.as_str().into(),
             };
-            self.content(conn, no, basic::AMQPMethod::Deliver(deliver), message.properties, &message.body);
+            self.send_content(
+                conn,
+                no,
+                basic::AMQPMethod::Deliver(deliver),
+                message.properties,
+                &message.body,
+            );
         }
     }
 
     /// The client broke the rules of the protocol.
-    fn fault(&mut self, conn: u64, code: u16, why: &str) {
-        let close = connection::Close { reply_code: code, reply_text: why.into(), class_id: 0, method_id: 0 };
+    fn close_with_error(&mut self, conn: u64, code: u16, reason: &str) {
+        let close =
+            connection::Close { reply_code: code, reply_text: reason.into(), class_id: 0, method_id: 0 };
         self.send(conn, 0, AMQPClass::Connection(connection::AMQPMethod::Close(close)));
-        self.lines.close(conn);
-        self.closed(self.now, conn);
+        self.driver.close(conn);
+        self.connection_closed(self.now, conn);
     }
 
     /// A client has sent a frame.
     pub fn frame(&mut self, now: Time, conn: u64, frame: AMQPFrame) {
         self.now = self.now.max(now);
         let Some(c) = self.conns.get_mut(&conn) else { return };
-        let whole = match frame {
+        let content = match frame {
             AMQPFrame::ProtocolHeader(_) => {
                 let (version_major, version_minor) = (0, 9);
                 let (mechanisms, locales) = ("PLAIN AMQPLAIN".into(), "en_US".into());
@@ -380,24 +388,26 @@
                 };
                 return self.send(conn, 0, AMQPClass::Connection(connection::AMQPMethod::Start(start)));
             }
-            AMQPFrame::Method(0, AMQPClass::Connection(method)) => return self.of_connection(conn, method),
-            AMQPFrame::Method(no, method) if c.open => return self.of_channel(conn, no, method),
-            AMQPFrame::Header(no, header) => c.contents.header(no, header).map(|whole| (no, whole)),
-            AMQPFrame::Body(no, data) => c.contents.body(no, &data).map(|whole| (no, whole)),
-            AMQPFrame::Heartbeat => return self.lines.send(conn, AMQPFrame::Heartbeat),
-            _ => return self.fault(conn, 503, "a frame that has no place here"),
+            AMQPFrame::Method(0, AMQPClass::Connection(method)) => {
+                return self.connection_method(conn, method)
+            }
+            AMQPFrame::Method(no, method) if c.open => return self.channel_method(conn, no, method),
+            AMQPFrame::Header(no, header) => c.contents.header(no, header).map(|content| (no, content)),
+            AMQPFrame::Body(no, data) => c.contents.body(no, &data).map(|content| (no, content)),
+            AMQPFrame::Heartbeat => return self.driver.send(conn, AMQPFrame::Heartbeat),
+            _ => return self.close_with_error(conn, 503, "a frame that has no place here"),
         };
-        match whole {
-            Err(e) => self.fault(conn, 505, &e.to_string()),
+        match content {
+            Err(e) => self.close_with_error(conn, 505, &e.to_string()),
             Ok((_, None)) => {}
-            Ok((no, Some(whole))) => {
-                let Carried::Publish(publish) = whole.method;
-                self.publish(conn, no, publish, whole.properties, whole.body);
+            Ok((no, Some(content))) => {
+                let ContentMethod::Publish(publish) = content.method;
+                self.publish(conn, no, publish, content.properties, content.body);
             }
         }
     }
 
-    fn of_connection(&mut self, conn: u64, method: connection::AMQPMethod) {
+    fn connection_method(&mut self, conn: u64, method: connection::AMQPMethod) {
         use connection::AMQPMethod::*;
         let reply = match method {
             StartOk(_) => Tune(connection::Tune { channel_max: 2047, frame_max: 131_072, heartbeat: 60 }),
@@ -405,7 +415,7 @@
                 if let Some(c) = self.conns.get_mut(&conn) {
                     c.frame_max = ok.frame_max.max(4096);
                 }
-                return self.lines.agreed(conn, ok.frame_max, ok.channel_max);
+                return self.driver.agreed(conn, ok.frame_max, ok.channel_max);
             }
             Open(_) => {
                 self.conns.get_mut(&conn).into_iter().for_each(|c| c.open = true);
@@ -413,8 +423,8 @@
             }
             Close(_) => {
                 self.send(conn, 0, AMQPClass::Connection(CloseOk(connection::CloseOk {})));
-                self.lines.close(conn);
-                return self.closed(self.now, conn);
+                self.driver.close(conn);
+                return self.connection_closed(self.now, conn);
             }
             _ => return,
         };
@@ -425,70 +435,74 @@
         &mut self, conn: u64, no: u16, publish: basic::Publish, properties: AMQPProperties, body: Bytes,
     ) {
         let Some(channel) = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no)) else { return };
-        if let Some(held) = &mut channel.tx {
-            return held.push(Held::Publish(publish, Box::new(properties), body));
+        if let Some(tx) = &mut channel.tx {
+            return tx.push(TxOperation::Publish(publish, Box::new(properties), body));
         }
         let seq = channel.confirms.as_mut().map(|n| {
             *n += 1;
             *n
         });
-        self.published(conn, no, publish, properties, body);
+        self.route_published(conn, no, publish, properties, body);
         if let Some(delivery_tag) = seq {
-            self.confirmed += 1;
-            if self.confirmed % 10 >= self.faults.loses_confirms {
+            self.confirm_count += 1;
+            if self.confirm_count % 10 >= self.faults.lost_confirms_per_ten {
                 let ack = basic::Ack { delivery_tag, multiple: false };
                 self.send(conn, no, AMQPClass::Basic(basic::AMQPMethod::Ack(ack)));
             }
         }
     }
 
-    fn published(&mut self, conn: u64, no: u16, p: basic::Publish, properties: AMQPProperties, body: Bytes) {
+    fn route_published(
+        &mut self, conn: u64, no: u16, p: basic::Publish, properties: AMQPProperties, body: Bytes,
+    ) {
         let (exchange, key) = (p.exchange.to_string(), p.routing_key.to_string());
-        let taken = self.route(&exchange, &key, properties.clone(), body.clone());
-        if !taken && p.mandatory {
+        let routed = self.route(&exchange, &key, properties.clone(), body.clone());
+        if !routed && p.mandatory {
             let (reply_code, reply_text) = (312, "NO_ROUTE".into());
             let (exchange, routing_key) = (p.exchange, p.routing_key);
-            let back = basic::Return { reply_code, reply_text, exchange, routing_key };
-            self.content(conn, no, basic::AMQPMethod::Return(back), properties, &body);
+            let returned = basic::Return { reply_code, reply_text, exchange, routing_key };
+            self.send_content(conn, no, basic::AMQPMethod::Return(returned), properties, &body);
         }
         self.deliver_all();
     }
 
     /// Takes deliveries off a channel: one, or all up to it.
-    fn taken(&mut self, conn: u64, no: u16, tag: u64, multiple: bool) -> Vec<(String, Message)> {
+    fn take_unacked(&mut self, conn: u64, no: u16, tag: u64, multiple: bool) -> Vec<(String, Message)> {
         let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no));
         let Some(channel) = channel else { return Vec::new() };
         let tags: Vec<u64> =
-            if multiple { channel.out.range(..=tag).map(|(t, _)| *t).collect() } else { vec![tag] };
-        tags.iter().filter_map(|t| channel.out.remove(t)).collect()
+            if multiple { channel.unacked.range(..=tag).map(|(t, _)| *t).collect() } else { vec![tag] };
+        tags.iter().filter_map(|t| channel.unacked.remove(t)).collect()
     }
 
-    fn apply(&mut self, conn: u64, no: u16, held: Held) {
-        match held {
-            Held::Publish(publish, properties, body) => self.published(conn, no, publish, *properties, body),
-            Held::Ack(tag, multiple) => drop(self.taken(conn, no, tag, multiple)),
-            Held::Drop(tag, multiple, requeue) => {
-                for (queue, message) in self.taken(conn, no, tag, multiple) {
+    fn apply(&mut self, conn: u64, no: u16, operation: TxOperation) {
+        match operation {
+            TxOperation::Publish(publish, properties, body) => {
+                self.route_published(conn, no, publish, *properties, body)
+            }
+            TxOperation::Ack(tag, multiple) => drop(self.take_unacked(conn, no, tag, multiple)),
+            TxOperation::Reject(tag, multiple, requeue) => {
+                for (queue, message) in self.take_unacked(conn, no, tag, multiple) {
                     if requeue {
                         self.requeue(&queue, message);
                     } else {
-                        self.dead(&queue, message, "rejected");
+                        self.dead_letter(&queue, message, "rejected");
                     }
                 }
             }
         }
     }
 
-    fn settle(&mut self, conn: u64, no: u16, held: Held) {
+    fn apply_or_defer(&mut self, conn: u64, no: u16, operation: TxOperation) {
         let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no));
         match channel.and_then(|c| c.tx.as_mut()) {
-            Some(tx) => tx.push(held),
-            None => self.apply(conn, no, held),
+            Some(tx) => tx.push(operation),
+            None => self.apply(conn, no, operation),
         }
         self.deliver_all();
     }
 
-    fn of_channel(&mut self, conn: u64, no: u16, method: AMQPClass) {
+    fn channel_method(&mut self, conn: u64, no: u16, method: AMQPClass) {
         use basic::AMQPMethod as B;
         let Some(c) = self.conns.get_mut(&conn) else { return };
         if let AMQPClass::Channel(channel::AMQPMethod::Open(_)) = method {
@@ -497,23 +511,27 @@
             return self.send(conn, no, AMQPClass::Channel(ok));
         }
         let Some(at) = c.channels.get_mut(&no) else {
-            return self.fault(conn, 504, "a channel that was not opened");
+            return self.close_with_error(conn, 504, "a channel that was not opened");
         };
         let reply = match method {
             AMQPClass::Basic(B::Publish(publish)) => {
-                if c.contents.method(no, Carried::Publish(publish)).is_err() {
-                    self.fault(conn, 505, "content cut short");
+                if c.contents.method(no, ContentMethod::Publish(publish)).is_err() {
+                    self.close_with_error(conn, 505, "content cut short");
                 }
                 return;
             }
             AMQPClass::Basic(B::Ack(ack)) => {
-                return self.settle(conn, no, Held::Ack(ack.delivery_tag, ack.multiple))
+                return self.apply_or_defer(conn, no, TxOperation::Ack(ack.delivery_tag, ack.multiple))
             }
             AMQPClass::Basic(B::Nack(n)) => {
-                return self.settle(conn, no, Held::Drop(n.delivery_tag, n.multiple, n.requeue))
+                return self.apply_or_defer(
+                    conn,
+                    no,
+                    TxOperation::Reject(n.delivery_tag, n.multiple, n.requeue),
+                )
             }
             AMQPClass::Basic(B::Reject(r)) => {
-                return self.settle(conn, no, Held::Drop(r.delivery_tag, false, r.requeue))
+                return self.apply_or_defer(conn, no, TxOperation::Reject(r.delivery_tag, false, r.requeue))
             }
             AMQPClass::Basic(B::Qos(qos)) => {
                 at.prefetch = qos.prefetch_count;
@@ -548,7 +566,7 @@
             AMQPClass::Queue(queue::AMQPMethod::Declare(d)) => {
                 let name = d.queue.to_string();
                 let q = self.queues.entry(name).or_default();
-                q.terms = Terms::of(&d.arguments);
+                q.arguments = QueueArguments::from_table(&d.arguments);
                 let (message_count, consumer_count) = (q.ready.len() as u32, q.consumers.len() as u32);
                 let ok = queue::DeclareOk { queue: d.queue, message_count, consumer_count };
                 AMQPClass::Queue(queue::AMQPMethod::DeclareOk(ok))
@@ -571,8 +589,8 @@
             }
             AMQPClass::Tx(tx::AMQPMethod::Commit(_)) => {
                 let all = at.tx.as_mut().map(std::mem::take).unwrap_or_default();
-                all.into_iter().for_each(|held| self.apply(conn, no, held));
-                if self.faults.silent_commits {
+                all.into_iter().for_each(|operation| self.apply(conn, no, operation));
+                if self.faults.omits_commit_ok {
                     return;
                 }
                 self.send(conn, no, AMQPClass::Tx(tx::AMQPMethod::CommitOk(tx::CommitOk {})));
@@ -587,16 +605,16 @@
                 AMQPClass::Confirm(confirm::AMQPMethod::SelectOk(confirm::SelectOk {}))
             }
             AMQPClass::Channel(channel::AMQPMethod::Close(_)) => {
-                if let Some(gone) = c.channels.remove(&no) {
+                if let Some(closed) = c.channels.remove(&no) {
                     c.contents.closed(no);
                     self.queues.values_mut().for_each(|q| q.consumers.retain(|x| (x.0, x.1) != (conn, no)));
-                    self.give_back(gone);
+                    self.requeue_unacked(closed);
                 }
                 self.send(conn, no, AMQPClass::Channel(channel::AMQPMethod::CloseOk(channel::CloseOk {})));
                 return self.deliver_all();
             }
             AMQPClass::Channel(_) => return,
-            _ => return self.fault(conn, 540, "not served here"),
+            _ => return self.close_with_error(conn, 540, "not served here"),
         };
         self.send(conn, no, reply);
     }
--- a/crates/curlewpoint-emulator/src/lib.rs
+++ b/crates/curlewpoint-emulator/src/lib.rs
@@ -5,12 +5,12 @@
 
 mod broker;
 mod list;
-mod share;
+mod shared_capacity;
 mod store;
 mod worker;
 
-pub use broker::{Broker, BrokerFaults, Lines, Message};
-pub use list::{ListModel, Row};
-pub use share::Share;
+pub use broker::{Broker, BrokerDriver, BrokerFaults, Message};
+pub use list::{ListEntry, ListModel};
+pub use shared_capacity::SharedCapacity;
 pub use store::{FetchId, StoreModel, StoreSpec};
-pub use worker::{Caller, Faults, Job, Neighbours, WorkerModel, WorkerSpec};
+pub use worker::{CallerId, Faults, Job, WorkerDriver, WorkerModel, WorkerSpec};
--- a/crates/curlewpoint-emulator/src/store.rs
+++ b/crates/curlewpoint-emulator/src/store.rs
@@ -1,16 +1,16 @@
 use curlewpoint::types::Time;
 
-use crate::share::Share;
+use crate::shared_capacity::SharedCapacity;
 
 /// The model store that all workers share.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSpec {
     /// Fetches that go at full pace at a time; more share it.
-    pub lines: f64,
+    pub parallel_fetches: f64,
     /// So much of the pace is lost with each further fetch (assumed).
-    pub thrash: f64,
+    pub overload_penalty: f64,
     /// Fetches in hand beyond which it turns one away.
-    pub most: usize,
+    pub max_fetches: usize,
 }
 
 /// Whose fetch it is: the shell's number for who asked.
@@ -20,67 +20,70 @@
 /// A store that slows when crowded, turns fetches away past a limit, and stops for a time.
 pub struct StoreModel {
     spec: StoreSpec,
-    fetches: Share<FetchId>,
+    fetches: SharedCapacity<FetchId>,
     stopped_until: Time,
-    refuses: bool,
+    rejecting: bool,
     pub served: u64,
-    pub turned_away: u64,
+    pub rejected: u64,
 }
 
 impl StoreModel {
     pub fn new(spec: StoreSpec) -> StoreModel {
-        let (fetches, stopped_until) = (Share::default(), Time(0));
-        StoreModel { spec, fetches, stopped_until, refuses: false, served: 0, turned_away: 0 }
+        let (fetches, stopped_until) = (SharedCapacity::default(), Time(0));
+        StoreModel { spec, fetches, stopped_until, rejecting: false, served: 0, rejected: 0 }
     }
 
     /// A fetch that takes `work_ms` at full pace; false: turned away.
     pub fn fetch(&mut self, now: Time, id: FetchId, work_ms: f64) -> bool {
-        if self.refuses || self.fetches.len() >= self.spec.most {
-            self.turned_away += 1;
+        if self.rejecting || self.fetches.len() >= self.spec.max_fetches {
+            self.rejected += 1;
             return false;
         }
         self.fetches.add(now, id, work_ms);
-        self.set_pace(now);
+        self.update_rate(now);
         true
     }
 
     /// Whoever asked is gone.
-    pub fn leave(&mut self, now: Time, gone: impl Fn(FetchId) -> bool) {
-        self.fetches.pass(now);
-        self.fetches.keep(|id| !gone(*id));
-        self.set_pace(now);
+    pub fn abandon(&mut self, now: Time, abandoned: impl Fn(FetchId) -> bool) {
+        self.fetches.advance(now);
+        self.fetches.retain(|id| !abandoned(*id));
+        self.update_rate(now);
     }
 
     pub fn stop(&mut self, now: Time, until: Time) {
         self.stopped_until = until;
-        self.set_pace(now);
+        self.update_rate(now);
     }
 
-    pub fn refuse(&mut self, refuses: bool) {
-        self.refuses = refuses;
+    pub fn set_rejecting(&mut self, rejecting: bool) {
+        self.rejecting = rejecting;
     }
 
-    fn set_pace(&mut self, now: Time) {
-        let over = (self.fetches.len() as f64 / self.spec.lines).max(1.0);
-        let pace =
-            if now < self.stopped_until { 0.0 } else { 1.0 / over / (1.0 + self.spec.thrash * (over - 1.0)) };
-        self.fetches.pace(now, pace);
+    fn update_rate(&mut self, now: Time) {
+        let load = (self.fetches.len() as f64 / self.spec.parallel_fetches).max(1.0);
+        let rate = if now < self.stopped_until {
+            0.0
+        } else {
+            1.0 / load / (1.0 + self.spec.overload_penalty * (load - 1.0))
+        };
+        self.fetches.set_rate(now, rate);
     }
 
     /// The fetches that are done.
     pub fn advance(&mut self, now: Time) -> Vec<FetchId> {
-        let done = self.fetches.done(now);
-        self.served += done.len() as u64;
-        self.set_pace(now);
-        done
+        let finished = self.fetches.take_finished(now);
+        self.served += finished.len() as u64;
+        self.update_rate(now);
+        finished
     }
 
     pub fn next(&self, now: Time) -> Option<Time> {
-        let held = now < self.stopped_until && !self.fetches.is_empty();
-        if held {
+        let stopped = now < self.stopped_until && !self.fetches.is_empty();
+        if stopped {
             Some(self.stopped_until)
         } else {
-            self.fetches.next()
+            self.fetches.next_completion()
         }
     }
 }
@@ -90,7 +93,7 @@
     use super::*;
 
     fn store() -> StoreModel {
-        StoreModel::new(StoreSpec { lines: 2.0, thrash: 0.5, most: 5 })
+        StoreModel::new(StoreSpec { parallel_fetches: 2.0, overload_penalty: 0.5, max_fetches: 5 })
     }
 
     /// When `n` fetches of 100 ms that begin together are all done, in milliseconds.
@@ -112,7 +115,7 @@
         assert_eq!(all_done(4), 300.0, "twice its lines: half the share, and thrashing on top");
         let mut s = store();
         assert_eq!((0..7).filter(|i| s.fetch(Time(0), FetchId(*i), 9.0)).count(), 5);
-        assert_eq!(s.turned_away, 2);
+        assert_eq!(s.rejected, 2);
     }
 
     #[test]
--- a/crates/curlewpoint-emulator/src/worker.rs
+++ b/crates/curlewpoint-emulator/src/worker.rs
@@ -3,7 +3,7 @@
 use curlewpoint::types::{CopyReport, Outcome, Time};
 use oorandom::Rand64;
 
-use crate::share::Share;
+use crate::shared_capacity::SharedCapacity;
 
 /// What a worker is: units in the names, ranges in the users' pages.
 #[derive(Clone, Copy, Debug)]
@@ -17,13 +17,13 @@
     pub queue: usize,
     pub memory_mb: f64,
     pub loads_at_once: usize,
-    pub keep: Time,
-    /// Its capacity when it starts, against the full; it grows evenly over `cold_for`.
-    pub cold_from: f64,
-    pub cold_for: Time,
+    pub keep_alive: Time,
+    /// Its capacity when it starts, against the full; it grows evenly over `warm_within`.
+    pub start_capacity: f64,
+    pub warm_within: Time,
     /// Sent more than this multiple of what it can do, over this time, it falls over while it is cold.
     pub fall_multiple: f64,
-    pub fall: Time,
+    pub fall_window: Time,
     /// Whether it starts another copy by itself when all lanes are taken.
     pub adds_copies: bool,
     /// Whether it answers a miss where the function is neither loaded nor loading.
@@ -32,12 +32,12 @@
 
 /// Who asked: the shell's number for a connection and a tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Caller(pub u64);
+pub struct CallerId(pub u64);
 
 /// An RPC as the worker sees it.
 #[derive(Clone, Debug)]
 pub struct Job {
-    pub caller: Caller,
+    pub caller: CallerId,
     pub model: String,
     /// Work on a core of speed 1, and the mean work of its method, in milliseconds.
     pub work_ms: f64,
@@ -55,39 +55,39 @@
     /// Takes RPCs and answers none.
     pub hangs: bool,
     /// This share fails at once.
-    pub fails: f64,
+    pub error_share: f64,
     /// So many times slower.
-    pub slow: f64,
+    pub slowdown: f64,
     /// This share of answers is lost; the work is done.
-    pub loses: f64,
+    pub lost_answer_share: f64,
 }
 
 impl Default for Faults {
     fn default() -> Self {
-        Faults { hangs: false, fails: 0.0, slow: 1.0, loses: 0.0 }
+        Faults { hangs: false, error_share: 0.0, slowdown: 1.0, lost_answer_share: 0.0 }
     }
 }
 
 /// What a worker acts on.
-pub trait Neighbours {
+pub trait WorkerDriver {
     /// An RPC has had its effect.
-    fn ran(&mut self, caller: Caller);
-    fn answer(&mut self, caller: Caller, outcome: Outcome, copy: CopyReport, held: u64);
-    fn loaded(&mut self, caller: Caller, outcome: Outcome, copies: u64);
+    fn executed(&mut self, caller: CallerId);
+    fn answer(&mut self, caller: CallerId, outcome: Outcome, copy: CopyReport, held: u64);
+    fn loaded(&mut self, caller: CallerId, outcome: Outcome, copies: u64);
     /// Asks the store for a model.
     fn fetch(&mut self, model: &str, work_ms: f64);
     /// Pushed over while cold: the process is down and stays down.
-    fn fell(&mut self, pushed: f64, limit: f64);
+    fn overloaded(&mut self, offered: f64, limit: f64);
 }
 
 #[derive(Default)]
 struct Model {
-    standing: usize,
+    loaded: usize,
     loading: usize,
     busy: usize,
     idle_since: Time,
     waiting: VecDeque<(Job, CopyReport)>,
-    orders: Vec<(Caller, usize)>,
+    orders: Vec<(CallerId, usize)>,
     memory_mb: f64,
     load_ms: f64,
     fetch_share: f64,
@@ -99,21 +99,21 @@
     spec: WorkerSpec,
     rng: Rand64,
     cold_since: Option<Time>,
-    fallen: bool,
+    crashed: bool,
     faults: Faults,
     paused_until: Time,
     models: BTreeMap<String, Model>,
-    running: Share<(Job, CopyReport)>,
+    running: SharedCapacity<(Job, CopyReport)>,
     /// Starts under way after their fetch: when each is done.
     starting: Vec<(Time, String)>,
     /// Loads that wait for their turn, and those that fetch or start.
     load_queue: VecDeque<String>,
-    loads_in_hand: usize,
+    active_loads: usize,
     arrivals: VecDeque<(Time, f64)>,
 }
 
 /// While a worker is cold or slowed, its pace is set anew this often.
-const STEP: Time = Time(200);
+const RATE_UPDATE_INTERVAL: Time = Time(200);
 
 impl WorkerModel {
     pub fn new(spec: WorkerSpec, seed: u128, cold_since: Option<Time>) -> WorkerModel {
@@ -121,128 +121,131 @@
             spec,
             rng: Rand64::new(seed),
             cold_since,
-            fallen: false,
+            crashed: false,
             faults: Faults::default(),
             paused_until: Time(0),
             models: BTreeMap::new(),
-            running: Share::default(),
+            running: SharedCapacity::default(),
             starting: Vec::new(),
             load_queue: VecDeque::new(),
-            loads_in_hand: 0,
+            active_loads: 0,
             arrivals: VecDeque::new(),
         }
     }
 
     pub fn set_faults(&mut self, now: Time, faults: Faults) {
         self.faults = faults;
-        self.set_pace(now);
+        self.update_rate(now);
     }
 
     /// Stands still until then.
     pub fn pause(&mut self, now: Time, until: Time) {
         self.paused_until = until;
-        self.set_pace(now);
+        self.update_rate(now);
     }
 
     /// Models that it holds from the start.
-    pub fn holds(&mut self, now: Time, model: &str, memory_mb: f64) {
+    pub fn preload(&mut self, now: Time, model: &str, memory_mb: f64) {
         let m = self.models.entry(model.to_owned()).or_default();
-        (m.standing, m.memory_mb, m.idle_since) = (1, memory_mb, now);
+        (m.loaded, m.memory_mb, m.idle_since) = (1, memory_mb, now);
     }
 
     /// The model was released anew: idle copies are void.
-    pub fn released(&mut self, model: &str) {
+    pub fn model_released(&mut self, model: &str) {
         if let Some(m) = self.models.get_mut(model) {
-            m.standing = m.busy.min(m.standing);
+            m.loaded = m.busy.min(m.loaded);
         }
     }
 
     /// Its capacity now, against the full.
-    pub fn warmth(&self, now: Time) -> f64 {
+    pub fn capacity_share(&self, now: Time) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
-        let grown = (now - since).0 as f64 / self.spec.cold_for.0.max(1) as f64;
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * grown).min(1.0)
+        let elapsed_share = (now - since).0 as f64 / self.spec.warm_within.0.max(1) as f64;
+        (self.spec.start_capacity + (1.0 - self.spec.start_capacity) * elapsed_share).min(1.0)
     }
 
     /// Busy share of cores, RPCs held, share of memory that cannot be freed.
     pub fn report(&self) -> [f64; 3] {
         let held = self.running.len() + self.models.values().map(|m| m.waiting.len()).sum::<usize>();
-        let fixed: f64 =
-            self.models.values().map(|m| m.memory_mb * (m.loading + m.busy.min(m.standing)) as f64).sum();
+        let pinned_mb: f64 =
+            self.models.values().map(|m| m.memory_mb * (m.loading + m.busy.min(m.loaded)) as f64).sum();
         let busy = (self.running.len() as f64 / self.spec.cores).min(1.0);
-        [busy, held as f64, fixed / self.spec.memory_mb]
+        [busy, held as f64, pinned_mb / self.spec.memory_mb]
     }
 
-    fn set_pace(&mut self, now: Time) {
-        let still = self.faults.hangs || now < self.paused_until;
+    fn update_rate(&mut self, now: Time) {
+        let stopped = self.faults.hangs || now < self.paused_until;
         let each = (self.spec.cores / self.running.len().max(1) as f64).min(1.0);
-        let pace = self.spec.speed * self.warmth(now) * each / self.faults.slow.max(1e-3);
-        self.running.pace(now, if still { 0.0 } else { pace });
+        let rate = self.spec.speed * self.capacity_share(now) * each / self.faults.slowdown.max(1e-3);
+        self.running.set_rate(now, if stopped { 0.0 } else { rate });
     }
 
     /// An RPC arrives.
-    pub fn call(&mut self, now: Time, near: &mut impl Neighbours, job: Job) {
-        if self.fallen || self.pushed_over(now, near, job.mean_ms) {
+    pub fn call(&mut self, now: Time, driver: &mut impl WorkerDriver, job: Job) {
+        if self.crashed || self.check_overload(now, driver, job.mean_ms) {
             return;
         }
         let m = self.models.entry(job.model.clone()).or_default();
         (m.memory_mb, m.load_ms, m.fetch_share) = (job.memory_mb, job.load_ms, job.fetch_share);
         let held = self.running.keys().filter(|(j, _)| j.model == job.model).count() + m.waiting.len();
-        if self.faults.fails > 0.0 && self.rng.rand_float() < self.faults.fails {
+        if self.faults.error_share > 0.0 && self.rng.rand_float() < self.faults.error_share {
             // An error may have had its effect: half of them have.
             if self.rng.rand_float() < 0.5 {
-                near.ran(job.caller);
+                driver.executed(job.caller);
             }
-            return near.answer(job.caller, Outcome::Error, CopyReport::Unreported, held as u64);
+            return driver.answer(job.caller, Outcome::Error, CopyReport::Unreported, held as u64);
         }
         let waiting: usize = self.models.values().map(|m| m.waiting.len()).sum();
         let m = self.models.get_mut(&job.model).expect("entered above");
-        let copy = match (m.standing, m.loading) {
+        let copy = match (m.loaded, m.loading) {
             (0, 0) => CopyReport::BeganLoad,
             (0, _) => CopyReport::WaitedForLoad,
             _ => CopyReport::Warm,
         };
         if self.spec.answers_miss && copy == CopyReport::BeganLoad {
-            return near.answer(job.caller, Outcome::Miss, CopyReport::Unreported, held as u64);
+            return driver.answer(job.caller, Outcome::Miss, CopyReport::Unreported, held as u64);
         }
         if waiting >= self.spec.queue {
-            return near.answer(job.caller, Outcome::Full, CopyReport::Unreported, held as u64);
+            return driver.answer(job.caller, Outcome::Full, CopyReport::Unreported, held as u64);
         }
         let crowded =
-            m.standing > 0 && m.loading == 0 && m.busy >= m.standing * job.lanes && self.spec.adds_copies;
+            m.loaded > 0 && m.loading == 0 && m.busy >= m.loaded * job.lanes && self.spec.adds_copies;
         let model = job.model.clone();
         // One more copy is a wish; without the first there is nothing to wait for.
         let began = (copy == CopyReport::BeganLoad || crowded) && self.load(now, &model);
         if copy == CopyReport::BeganLoad && !began {
-            return near.answer(job.caller, Outcome::Full, CopyReport::Unreported, held as u64);
+            return driver.answer(job.caller, Outcome::Full, CopyReport::Unreported, held as u64);
         }
         self.models.get_mut(&model).expect("entered above").waiting.push_back((job, copy));
-        self.turn(now, near);
+        self.start_ready_work(now, driver);
     }
 
     /// Guards the rule that a cold worker is not pushed over, as the users state it: the work of any window, against
     /// what it could do in that window as it is now.
-    fn pushed_over(&mut self, now: Time, near: &mut impl Neighbours, mean_ms: f64) -> bool {
-        let warmth = self.warmth(now);
-        if warmth >= 1.0 {
+    fn check_overload(&mut self, now: Time, driver: &mut impl WorkerDriver, mean_ms: f64) -> bool {
+        let capacity_share = self.capacity_share(now);
+        if capacity_share >= 1.0 {
             return false;
         }
         self.arrivals.push_back((now, mean_ms));
-        while self.arrivals.front().is_some_and(|(at, _)| *at + self.spec.fall <= now) {
+        while self.arrivals.front().is_some_and(|(at, _)| *at + self.spec.fall_window <= now) {
             self.arrivals.pop_front();
         }
-        let pushed: f64 = self.arrivals.iter().map(|a| a.1).sum();
-        let limit =
-            self.spec.fall_multiple * warmth * self.spec.cores * self.spec.speed * self.spec.fall.ms();
-        if pushed > limit {
-            self.fallen = true;
-            near.fell(pushed, limit);
+        let offered: f64 = self.arrivals.iter().map(|a| a.1).sum();
+        let limit = self.spec.fall_multiple
+            * capacity_share
+            * self.spec.cores
+            * self.spec.speed
+            * self.spec.fall_window.ms();
+        if offered > limit {
+            self.crashed = true;
+            driver.overloaded(offered, limit);
         }
-        self.fallen
+        self.crashed
     }
 
     /// Nobody waits any more: what has not begun is dropped.
-    pub fn withdrawn(&mut self, caller: Caller) {
+    pub fn cancel(&mut self, caller: CallerId) {
         for m in self.models.values_mut() {
             m.waiting.retain(|(j, _)| j.caller != caller);
         }
@@ -250,31 +253,31 @@
 
     /// An order to hold at least so many copies.
     pub fn order(
-        &mut self, now: Time, near: &mut impl Neighbours, caller: Caller, model: &str, copies: usize,
+        &mut self, now: Time, driver: &mut impl WorkerDriver, caller: CallerId, model: &str, copies: usize,
     ) {
         let m = self.models.entry(model.to_owned()).or_default();
         m.idle_since = now;
         if m.memory_mb == 0.0 {
-            return near.loaded(caller, Outcome::Error, 0);
+            return driver.loaded(caller, Outcome::Error, 0);
         }
-        while self.models[model].standing + self.models[model].loading < copies {
+        while self.models[model].loaded + self.models[model].loading < copies {
             if !self.load(now, model) {
-                let standing = self.models[model].standing as u64;
-                return near.loaded(caller, Outcome::Full, standing);
+                let loaded = self.models[model].loaded as u64;
+                return driver.loaded(caller, Outcome::Full, loaded);
             }
         }
         self.models.get_mut(model).expect("entered above").orders.push((caller, copies));
-        self.turn(now, near);
+        self.start_ready_work(now, driver);
     }
 
     /// What a load of this model takes, where no RPC has told it yet.
-    pub fn knows(&mut self, model: &str, memory_mb: f64, load_ms: f64, fetch_share: f64) {
+    pub fn set_load_cost(&mut self, model: &str, memory_mb: f64, load_ms: f64, fetch_share: f64) {
         let m = self.models.entry(model.to_owned()).or_default();
         (m.memory_mb, m.load_ms, m.fetch_share) = (memory_mb, load_ms, fetch_share);
     }
 
     pub fn unload(&mut self, model: &str) {
-        self.released(model);
+        self.model_released(model);
     }
 
     /// Begins a load; false: no room for it, or too many wait.
@@ -289,48 +292,49 @@
 
     /// Unloads idle copies, the one idle longest first, until one more copy of this model fits.
     fn make_room(&mut self, _now: Time, model: &str) -> bool {
-        let need = self.models[model].memory_mb;
+        let needed_mb = self.models[model].memory_mb;
         loop {
-            let used: f64 = self.models.values().map(|m| m.memory_mb * (m.standing + m.loading) as f64).sum();
-            if used + need <= self.spec.memory_mb {
+            let used_mb: f64 =
+                self.models.values().map(|m| m.memory_mb * (m.loaded + m.loading) as f64).sum();
+            if used_mb + needed_mb <= self.spec.memory_mb {
                 return true;
             }
-            let idle = |m: &Model| m.standing > 0 && m.busy == 0 && m.waiting.is_empty();
+            let idle = |m: &Model| m.loaded > 0 && m.busy == 0 && m.waiting.is_empty();
             let idle = self.models.iter_mut().filter(|(name, m)| *name != model && idle(m));
             let Some((_, m)) = idle.min_by_key(|(_, m)| m.idle_since) else { return false };
-            m.standing -= 1;
+            m.loaded -= 1;
         }
     }
 
     /// The store has answered a fetch.
-    pub fn fetched(&mut self, now: Time, near: &mut impl Neighbours, model: &str, ok: bool) {
+    pub fn fetched(&mut self, now: Time, driver: &mut impl WorkerDriver, model: &str, ok: bool) {
         if ok {
             let m = &self.models[model];
             let start = Time::from_ms(m.load_ms * (1.0 - m.fetch_share));
             self.starting.push((now + start, model.to_owned()));
         } else {
-            self.load_over(now, near, model, false);
+            self.load_finished(now, driver, model, false);
         }
-        self.turn(now, near);
+        self.start_ready_work(now, driver);
     }
 
-    fn load_over(&mut self, now: Time, near: &mut impl Neighbours, model: &str, ok: bool) {
-        self.loads_in_hand -= 1;
+    fn load_finished(&mut self, now: Time, driver: &mut impl WorkerDriver, model: &str, ok: bool) {
+        self.active_loads -= 1;
         let m = self.models.get_mut(model).expect("it was loading");
         m.loading -= 1;
         if ok {
-            m.standing += 1;
+            m.loaded += 1;
             m.idle_since = now;
-        } else if m.standing + m.loading == 0 {
+        } else if m.loaded + m.loading == 0 {
             for (job, _) in std::mem::take(&mut m.waiting) {
-                near.answer(job.caller, Outcome::Miss, CopyReport::LoadFailed, 0);
+                driver.answer(job.caller, Outcome::Miss, CopyReport::LoadFailed, 0);
             }
         }
-        let (standing, loading) = (m.standing, m.loading);
+        let (loaded, loading) = (m.loaded, m.loading);
         m.orders.retain(|(caller, copies)| {
-            let stands = standing >= *copies;
-            if stands || standing + loading < *copies {
-                near.loaded(*caller, if stands { Outcome::Ok } else { Outcome::Error }, standing as u64);
+            let satisfied = loaded >= *copies;
+            if satisfied || loaded + loading < *copies {
+                driver.loaded(*caller, if satisfied { Outcome::Ok } else { Outcome::Error }, loaded as u64);
                 return false;
             }
             true
@@ -338,25 +342,25 @@
     }
 
     /// Begins what can begin now.
-    fn turn(&mut self, now: Time, near: &mut impl Neighbours) {
-        while self.loads_in_hand < self.spec.loads_at_once {
+    fn start_ready_work(&mut self, now: Time, driver: &mut impl WorkerDriver) {
+        while self.active_loads < self.spec.loads_at_once {
             let Some(model) = self.load_queue.pop_front() else { break };
-            self.loads_in_hand += 1;
+            self.active_loads += 1;
             let m = &self.models[&model];
-            near.fetch(&model, m.load_ms * m.fetch_share);
+            driver.fetch(&model, m.load_ms * m.fetch_share);
         }
         for m in self.models.values_mut() {
-            let standing = m.standing;
+            let loaded = m.loaded;
             m.orders.retain(|(caller, copies)| {
-                let stands = standing >= *copies;
-                if stands {
-                    near.loaded(*caller, Outcome::Ok, standing as u64);
+                let satisfied = loaded >= *copies;
+                if satisfied {
+                    driver.loaded(*caller, Outcome::Ok, loaded as u64);
                 }
-                !stands
+                !satisfied
             });
             while self.running.len() < self.spec.slots {
                 let lanes = m.waiting.front().map_or(0, |(j, _)| j.lanes);
-                if m.busy >= m.standing * lanes {
+                if m.busy >= m.loaded * lanes {
                     break;
                 }
                 let Some((job, copy)) = m.waiting.pop_front() else { break };
@@ -365,48 +369,49 @@
                 self.running.add(now, (job, copy), work);
             }
         }
-        self.set_pace(now);
+        self.update_rate(now);
     }
 
     /// Time has passed.
-    pub fn advance(&mut self, now: Time, near: &mut impl Neighbours) {
-        if self.fallen {
+    pub fn advance(&mut self, now: Time, driver: &mut impl WorkerDriver) {
+        if self.crashed {
             return;
         }
-        for (job, copy) in self.running.done(now) {
+        for (job, copy) in self.running.take_finished(now) {
             let held = {
                 let m = self.models.get_mut(&job.model).expect("it ran here");
                 m.busy -= 1;
                 m.idle_since = now;
                 m.busy + m.waiting.len()
             };
-            near.ran(job.caller);
-            if self.faults.loses == 0.0 || self.rng.rand_float() >= self.faults.loses {
-                near.answer(job.caller, Outcome::Ok, copy, held as u64);
+            driver.executed(job.caller);
+            if self.faults.lost_answer_share == 0.0 || self.rng.rand_float() >= self.faults.lost_answer_share
+            {
+                driver.answer(job.caller, Outcome::Ok, copy, held as u64);
             }
         }
-        let (done, left): (Vec<_>, Vec<_>) =
+        let (finished, starting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.starting).into_iter().partition(|s| s.0 <= now);
-        self.starting = left;
-        for (_, model) in done {
-            self.load_over(now, near, &model, true);
+        self.starting = starting;
+        for (_, model) in finished {
+            self.load_finished(now, driver, &model, true);
         }
         for m in self.models.values_mut() {
-            if m.busy == 0 && m.waiting.is_empty() && m.idle_since + self.spec.keep <= now {
-                m.standing = 0;
+            if m.busy == 0 && m.waiting.is_empty() && m.idle_since + self.spec.keep_alive <= now {
+                m.loaded = 0;
             }
         }
-        self.turn(now, near);
+        self.start_ready_work(now, driver);
     }
 
     pub fn next(&self, now: Time) -> Option<Time> {
-        if self.fallen {
+        if self.crashed {
             return None;
         }
-        let changes = now < self.paused_until || self.warmth(now) < 1.0;
-        let step = (changes && !self.running.is_empty()).then_some(now + STEP);
+        let changes = now < self.paused_until || self.capacity_share(now) < 1.0;
+        let step = (changes && !self.running.is_empty()).then_some(now + RATE_UPDATE_INTERVAL);
         let starts = self.starting.iter().map(|s| s.0).min();
-        [self.running.next(), step, starts].into_iter().flatten().min()
+        [self.running.next_completion(), step, starts].into_iter().flatten().min()
     }
 }
 
@@ -415,29 +420,29 @@
     use super::*;
 
     #[derive(Default)]
-    struct Seen {
-        ran: Vec<u64>,
+    struct RecordingDriver {
+        executed: Vec<u64>,
         answers: Vec<(u64, Outcome, CopyReport)>,
         loaded: Vec<(u64, Outcome, u64)>,
         fetches: Vec<String>,
-        fell: bool,
+        overloaded: bool,
     }
 
-    impl Neighbours for Seen {
-        fn ran(&mut self, caller: Caller) {
-            self.ran.push(caller.0);
+    impl WorkerDriver for RecordingDriver {
+        fn executed(&mut self, caller: CallerId) {
+            self.executed.push(caller.0);
         }
-        fn answer(&mut self, caller: Caller, outcome: Outcome, copy: CopyReport, _held: u64) {
+        fn answer(&mut self, caller: CallerId, outcome: Outcome, copy: CopyReport, _held: u64) {
             self.answers.push((caller.0, outcome, copy));
         }
-        fn loaded(&mut self, caller: Caller, outcome: Outcome, copies: u64) {
+        fn loaded(&mut self, caller: CallerId, outcome: Outcome, copies: u64) {
             self.loaded.push((caller.0, outcome, copies));
         }
         fn fetch(&mut self, model: &str, _work_ms: f64) {
             self.fetches.push(model.to_owned());
         }
-        fn fell(&mut self, _pushed: f64, _limit: f64) {
-            self.fell = true;
+        fn overloaded(&mut self, _offered: f64, _limit: f64) {
+            self.overloaded = true;
         }
     }
 
@@ -448,118 +453,118 @@
         queue: 3,
         memory_mb: 250.0,
         loads_at_once: 1,
-        keep: Time(80_000),
-        cold_from: 0.2,
-        cold_for: Time(100_000),
+        keep_alive: Time(80_000),
+        start_capacity: 0.2,
+        warm_within: Time(100_000),
         fall_multiple: 2.0,
-        fall: Time(20_000),
+        fall_window: Time(20_000),
         adds_copies: false,
         answers_miss: false,
     };
 
     fn job(caller: u64, model: &str) -> Job {
-        let (model, caller) = (model.to_owned(), Caller(caller));
+        let (model, caller) = (model.to_owned(), CallerId(caller));
         let (work_ms, mean_ms, memory_mb) = (100.0, 100.0, 100.0);
         Job { caller, model, work_ms, mean_ms, memory_mb, lanes: 2, load_ms: 1000.0, fetch_share: 0.5 }
     }
 
     /// Lets time pass; the store answers each fetch at once.
-    fn pass(w: &mut WorkerModel, seen: &mut Seen, mut now: Time, until: Time) {
+    fn run_until(w: &mut WorkerModel, driver: &mut RecordingDriver, mut now: Time, until: Time) {
         loop {
-            for model in std::mem::take(&mut seen.fetches) {
-                w.fetched(now, seen, &model, true);
+            for model in std::mem::take(&mut driver.fetches) {
+                w.fetched(now, driver, &model, true);
             }
             match w.next(now).filter(|at| *at <= until) {
                 Some(at) => now = at.max(now),
                 None => return,
             }
-            w.advance(now, seen);
+            w.advance(now, driver);
         }
     }
 
     #[test]
     fn an_rpc_waits_for_the_load_that_it_began_and_the_next_ones_with_it() {
-        let (mut w, mut seen) = (WorkerModel::new(SPEC, 1, None), Seen::default());
-        w.call(Time(0), &mut seen, job(1, "a"));
-        w.call(Time(0), &mut seen, job(2, "a"));
-        pass(&mut w, &mut seen, Time(0), Time(6_000));
+        let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
+        w.call(Time(0), &mut driver, job(1, "a"));
+        w.call(Time(0), &mut driver, job(2, "a"));
+        run_until(&mut w, &mut driver, Time(0), Time(6_000));
         assert_eq!(
-            seen.answers,
+            driver.answers,
             [(1, Outcome::Ok, CopyReport::BeganLoad), (2, Outcome::Ok, CopyReport::WaitedForLoad)]
         );
-        w.call(Time(7_000), &mut seen, job(3, "a"));
-        pass(&mut w, &mut seen, Time(7_000), Time(9_000));
-        assert_eq!(seen.answers[2], (3, Outcome::Ok, CopyReport::Warm));
-        assert_eq!(seen.ran, [1, 2, 3]);
+        w.call(Time(7_000), &mut driver, job(3, "a"));
+        run_until(&mut w, &mut driver, Time(7_000), Time(9_000));
+        assert_eq!(driver.answers[2], (3, Outcome::Ok, CopyReport::Warm));
+        assert_eq!(driver.executed, [1, 2, 3]);
     }
 
     #[test]
     fn beyond_its_queue_it_turns_away_and_what_is_withdrawn_does_not_run() {
-        let (mut w, mut seen) = (WorkerModel::new(SPEC, 1, None), Seen::default());
-        (1..=4).for_each(|i| w.call(Time(0), &mut seen, job(i, "a")));
-        assert_eq!(seen.answers, [(4, Outcome::Full, CopyReport::Unreported)]);
-        w.withdrawn(Caller(2));
-        pass(&mut w, &mut seen, Time(0), Time(9_000));
-        assert_eq!(seen.ran, [1, 3]);
+        let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
+        (1..=4).for_each(|i| w.call(Time(0), &mut driver, job(i, "a")));
+        assert_eq!(driver.answers, [(4, Outcome::Full, CopyReport::Unreported)]);
+        w.cancel(CallerId(2));
+        run_until(&mut w, &mut driver, Time(0), Time(9_000));
+        assert_eq!(driver.executed, [1, 3]);
     }
 
     #[test]
     fn a_load_makes_room_by_the_longest_idle_and_none_is_made_of_what_is_at_work() {
-        let (mut w, mut seen) = (WorkerModel::new(SPEC, 1, None), Seen::default());
-        w.holds(Time(0), "a", 100.0);
-        w.holds(Time(5), "b", 100.0);
-        w.call(Time(10), &mut seen, job(1, "c"));
-        pass(&mut w, &mut seen, Time(10), Time(5_500));
-        w.call(Time(5_600), &mut seen, job(2, "b"));
-        pass(&mut w, &mut seen, Time(5_600), Time(9_000));
+        let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
+        w.preload(Time(0), "a", 100.0);
+        w.preload(Time(5), "b", 100.0);
+        w.call(Time(10), &mut driver, job(1, "c"));
+        run_until(&mut w, &mut driver, Time(10), Time(5_500));
+        w.call(Time(5_600), &mut driver, job(2, "b"));
+        run_until(&mut w, &mut driver, Time(5_600), Time(9_000));
         assert_eq!(
-            seen.answers[1],
+            driver.answers[1],
             (2, Outcome::Ok, CopyReport::Warm),
             "b had been idle for less long than a"
         );
-        w.call(Time(9_100), &mut seen, job(3, "b"));
-        w.call(Time(9_100), &mut seen, job(4, "c"));
-        w.call(Time(9_100), &mut seen, job(5, "d"));
-        assert_eq!(seen.answers.last(), Some(&(5, Outcome::Full, CopyReport::Unreported)));
+        w.call(Time(9_100), &mut driver, job(3, "b"));
+        w.call(Time(9_100), &mut driver, job(4, "c"));
+        w.call(Time(9_100), &mut driver, job(5, "d"));
+        assert_eq!(driver.answers.last(), Some(&(5, Outcome::Full, CopyReport::Unreported)));
     }
 
     #[test]
     fn a_failed_load_misses_those_that_waited_and_fails_the_order() {
-        let (mut w, mut seen) = (WorkerModel::new(SPEC, 1, None), Seen::default());
-        w.call(Time(0), &mut seen, job(1, "a"));
-        w.order(Time(0), &mut seen, Caller(9), "a", 1);
-        w.fetched(Time(100), &mut seen, "a", false);
-        assert_eq!(seen.answers, [(1, Outcome::Miss, CopyReport::LoadFailed)]);
-        assert_eq!(seen.loaded, [(9, Outcome::Error, 0)]);
+        let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
+        w.call(Time(0), &mut driver, job(1, "a"));
+        w.order(Time(0), &mut driver, CallerId(9), "a", 1);
+        w.fetched(Time(100), &mut driver, "a", false);
+        assert_eq!(driver.answers, [(1, Outcome::Miss, CopyReport::LoadFailed)]);
+        assert_eq!(driver.loaded, [(9, Outcome::Error, 0)]);
     }
 
     #[test]
     fn a_cold_worker_that_is_pushed_falls_over_and_a_warm_one_does_not() {
         // 2 x 0.2 x 2 cores x 2000 ms: 16 RPCs of 100 ms may come in a window.
-        let (mut cold, mut seen) = (WorkerModel::new(SPEC, 1, Some(Time(0))), Seen::default());
-        (0..16).for_each(|i| cold.call(Time(0), &mut seen, job(i, "a")));
-        assert!(!seen.fell);
-        cold.call(Time(0), &mut seen, job(17, "a"));
-        assert!(seen.fell);
-        let (mut warm, mut seen) = (WorkerModel::new(SPEC, 1, None), Seen::default());
-        (0..99).for_each(|i| warm.call(Time(0), &mut seen, job(i, "a")));
-        assert!(!seen.fell);
+        let (mut cold, mut driver) = (WorkerModel::new(SPEC, 1, Some(Time(0))), RecordingDriver::default());
+        (0..16).for_each(|i| cold.call(Time(0), &mut driver, job(i, "a")));
+        assert!(!driver.overloaded);
+        cold.call(Time(0), &mut driver, job(17, "a"));
+        assert!(driver.overloaded);
+        let (mut warm, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
+        (0..99).for_each(|i| warm.call(Time(0), &mut driver, job(i, "a")));
+        assert!(!driver.overloaded);
     }
 
     #[test]
     fn lost_answers_have_run_and_a_hanging_worker_goes_on_afterwards() {
-        let (mut w, mut seen) = (WorkerModel::new(SPEC, 1, None), Seen::default());
-        w.holds(Time(0), "a", 100.0);
-        w.set_faults(Time(0), Faults { loses: 1.0, ..Faults::default() });
-        w.call(Time(0), &mut seen, job(1, "a"));
-        pass(&mut w, &mut seen, Time(0), Time(2_000));
-        assert_eq!((seen.ran.len(), seen.answers.len()), (1, 0));
+        let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
+        w.preload(Time(0), "a", 100.0);
+        w.set_faults(Time(0), Faults { lost_answer_share: 1.0, ..Faults::default() });
+        w.call(Time(0), &mut driver, job(1, "a"));
+        run_until(&mut w, &mut driver, Time(0), Time(2_000));
+        assert_eq!((driver.executed.len(), driver.answers.len()), (1, 0));
         w.set_faults(Time(2_000), Faults { hangs: true, ..Faults::default() });
-        w.call(Time(2_000), &mut seen, job(2, "a"));
-        pass(&mut w, &mut seen, Time(2_000), Time(9_000));
-        assert_eq!(seen.ran.len(), 1);
+        w.call(Time(2_000), &mut driver, job(2, "a"));
+        run_until(&mut w, &mut driver, Time(2_000), Time(9_000));
+        assert_eq!(driver.executed.len(), 1);
         w.set_faults(Time(9_000), Faults::default());
-        pass(&mut w, &mut seen, Time(9_000), Time(11_000));
-        assert_eq!(seen.answers, [(2, Outcome::Ok, CopyReport::Warm)]);
+        run_until(&mut w, &mut driver, Time(9_000), Time(11_000));
+        assert_eq!(driver.answers, [(2, Outcome::Ok, CopyReport::Warm)]);
     }
 }
--- a/crates/curlewpoint-emulator/tests/broker.rs
+++ b/crates/curlewpoint-emulator/tests/broker.rs
@@ -9,12 +9,12 @@
 use bytes::{Bytes, BytesMut};
 use curlewpoint::types::Time;
 use curlewpoint_amqp::{Codec, Host, Login, Session};
-use curlewpoint_emulator::{Broker, Lines};
+use curlewpoint_emulator::{Broker, BrokerDriver};
 use tokio_util::codec::{Decoder, Encoder};
 
 /// What a session was told, and what it has written.
 #[derive(Default)]
-struct Heard {
+struct SessionRecorder {
     out: VecDeque<AMQPFrame>,
     agreed: (u32, u16),
     told: Vec<String>,
@@ -22,7 +22,7 @@
     committed: Vec<u64>,
 }
 
-impl Host for Heard {
+impl Host for SessionRecorder {
     fn send(&mut self, frame: AMQPFrame) {
         self.out.push_back(frame);
     }
@@ -53,13 +53,13 @@
 }
 
 #[derive(Default)]
-struct Sent {
+struct RecordingDriver {
     out: Vec<(u64, AMQPFrame)>,
     agreed: BTreeMap<u64, (u32, u16)>,
     closed: Vec<u64>,
 }
 
-impl Lines for Sent {
+impl BrokerDriver for RecordingDriver {
     fn send(&mut self, conn: u64, frame: AMQPFrame) {
         self.out.push((conn, frame));
     }
@@ -71,10 +71,10 @@
     }
 }
 
-struct Story {
+struct Harness {
     now: Time,
-    broker: Broker<Sent>,
-    sessions: BTreeMap<u64, Session<Heard>>,
+    broker: Broker<RecordingDriver>,
+    sessions: BTreeMap<u64, Session<SessionRecorder>>,
 }
 
 const EXTRACTS: &str = "curlewpoint.issue-extract";
@@ -91,7 +91,7 @@
 }
 
 /// A frame as it arrives: written and read anew.
-fn over_the_wire(frame: AMQPFrame, agreed: (u32, u16)) -> AMQPFrame {
+fn encode_and_decode(frame: AMQPFrame, agreed: (u32, u16)) -> AMQPFrame {
     let mut codec = Codec::default();
     codec.agreed(agreed.0, agreed.1);
     let mut bytes = BytesMut::new();
@@ -99,10 +99,13 @@
     codec.decode(&mut bytes).unwrap().unwrap()
 }
 
-impl Story {
-    fn new() -> Story {
-        let mut s =
-            Story { now: Time(1_000), broker: Broker::new(Sent::default()), sessions: BTreeMap::new() };
+impl Harness {
+    fn new() -> Harness {
+        let mut s = Harness {
+            now: Time(1_000),
+            broker: Broker::new(RecordingDriver::default()),
+            sessions: BTreeMap::new(),
+        };
         // A client of its own sets the queues up.
         s.connect(99);
         let now = s.now;
@@ -121,14 +124,14 @@
             s.broker.frame(s.now, 99, declare);
         }
         s.sessions.clear();
-        s.broker.closed(s.now, 99);
-        s.broker.lines().out.clear();
+        s.broker.connection_closed(s.now, 99);
+        s.broker.driver().out.clear();
         s
     }
 
     fn connect(&mut self, conn: u64) {
-        self.broker.opened(conn);
-        self.sessions.insert(conn, Session::begin(self.now, Heard::default(), login()));
+        self.broker.connection_opened(conn);
+        self.sessions.insert(conn, Session::begin(self.now, SessionRecorder::default(), login()));
         self.run();
     }
 
@@ -140,14 +143,14 @@
                 let agreed = session.host().agreed;
                 while let Some(frame) = session.host().out.pop_front() {
                     moved = true;
-                    self.broker.frame(self.now, *conn, over_the_wire(frame, agreed));
+                    self.broker.frame(self.now, *conn, encode_and_decode(frame, agreed));
                 }
             }
-            for (conn, frame) in std::mem::take(&mut self.broker.lines().out) {
+            for (conn, frame) in std::mem::take(&mut self.broker.driver().out) {
                 moved = true;
-                let agreed = self.broker.lines().agreed.get(&conn).copied().unwrap_or_default();
+                let agreed = self.broker.driver().agreed.get(&conn).copied().unwrap_or_default();
                 if let Some(session) = self.sessions.get_mut(&conn) {
-                    session.frame(self.now, over_the_wire(frame, agreed));
+                    session.frame(self.now, encode_and_decode(frame, agreed));
                 }
             }
             if !moved {
@@ -156,7 +159,7 @@
         }
     }
 
-    fn session(&mut self, conn: u64) -> &mut Session<Heard> {
+    fn session(&mut self, conn: u64) -> &mut Session<SessionRecorder> {
         self.sessions.get_mut(&conn).unwrap()
     }
 
@@ -175,7 +178,7 @@
         self.session(98).exchange(now, "office", None, "", EXTRACTS, properties, body.as_bytes());
         self.run();
         self.sessions.remove(&98);
-        self.broker.closed(now, 98);
+        self.broker.connection_closed(now, 98);
         self.run();
     }
 
@@ -187,7 +190,7 @@
 
     fn drop_conn(&mut self, conn: u64) {
         self.sessions.remove(&conn).unwrap().lost("dropped");
-        self.broker.closed(self.now, conn);
+        self.broker.connection_closed(self.now, conn);
         self.run();
     }
 
@@ -207,7 +210,7 @@
 
 #[test]
 fn a_queue_is_consumed_up_to_what_is_held_and_answers_are_committed_together() {
-    let mut s = Story::new();
+    let mut s = Harness::new();
     (0..5).for_each(|no| s.ask(&format!("m{no}"), plain()));
     s.connect(1);
     assert_eq!(s.told(1), "ready");
@@ -221,15 +224,15 @@
     assert_eq!(s.session(1).host().out.iter().filter(|f| **f == commit).count(), 1);
     s.run();
     assert_eq!(s.session(1).host().committed, [1, 2, 3, 4]);
-    assert_eq!((s.broker.waiting("office").len(), s.bodies(1).len()), (4, 5));
+    assert_eq!((s.broker.waiting_bodies("office").len(), s.bodies(1).len()), (4, 5));
     s.hold(1, 0);
     s.ask("m5", plain());
-    assert_eq!((s.bodies(1).len(), s.broker.waiting(EXTRACTS).len()), (5, 1));
+    assert_eq!((s.bodies(1).len(), s.broker.waiting_bodies(EXTRACTS).len()), (5, 1));
 }
 
 #[test]
 fn what_was_not_committed_comes_again_marked_and_its_answer_is_not_there() {
-    let mut s = Story::new();
+    let mut s = Harness::new();
     s.ask("m0", plain());
     s.connect(1);
     s.hold(1, 9);
@@ -243,33 +246,33 @@
         s.broker.frame(s.now, 1, frame);
     }
     s.drop_conn(1);
-    assert_eq!(s.broker.waiting("office").len(), 0);
+    assert_eq!(s.broker.waiting_bodies("office").len(), 0);
     let again = s.session(2).host().delivered.clone();
     assert_eq!(again, [(1, true, Bytes::from_static(b"m0"))]);
 }
 
 #[test]
 fn a_commit_whose_word_is_lost_is_done_once() {
-    let mut s = Story::new();
+    let mut s = Harness::new();
     s.ask("m0", plain());
     s.connect(1);
     s.hold(1, 9);
-    s.broker.faults.silent_commits = true;
+    s.broker.faults.omits_commit_ok = true;
     s.answer(1, 1);
     s.run();
     assert!(s.session(1).host().committed.is_empty());
     s.drop_conn(1);
-    let left = (s.broker.waiting("office").len(), s.broker.waiting(EXTRACTS).len());
+    let left = (s.broker.waiting_bodies("office").len(), s.broker.waiting_bodies(EXTRACTS).len());
     assert_eq!((left, s.broker.unacknowledged()), ((1, 0), 0));
 }
 
 #[test]
 fn a_broker_that_blocks_cancels_or_closes_is_told() {
-    let mut s = Story::new();
+    let mut s = Harness::new();
     s.connect(1);
     s.hold(1, 9);
-    s.broker.block(true);
-    s.broker.block(false);
+    s.broker.set_blocked(true);
+    s.broker.set_blocked(false);
     s.broker.cancel_consumers(EXTRACTS);
     s.run();
     s.ask("m0", plain());
@@ -282,12 +285,16 @@
     s.run();
     let want = "over: the broker closed no-such-queue: 404 no queue 'no-such-queue'";
     assert!(s.told(1).ends_with(want), "{}", s.told(1));
-    assert_eq!((s.broker.unacknowledged(), s.broker.waiting(EXTRACTS).len()), (0, 1), "all of it was ended");
+    assert_eq!(
+        (s.broker.unacknowledged(), s.broker.waiting_bodies(EXTRACTS).len()),
+        (0, 1),
+        "all of it was ended"
+    );
 }
 
 #[test]
 fn an_answer_that_nobody_takes_comes_back() {
-    let mut s = Story::new();
+    let mut s = Harness::new();
     s.ask("m0", plain());
     s.connect(1);
     s.hold(1, 9);
@@ -300,7 +307,7 @@
 
 #[test]
 fn large_messages_pass_in_parts_and_one_over_the_limit_ends_the_session() {
-    let mut s = Story::new();
+    let mut s = Harness::new();
     let long = "x".repeat(100_000);
     s.ask(&long, plain());
     s.connect(1);
@@ -313,7 +320,7 @@
 
 #[test]
 fn priorities_go_first_and_what_expires_goes_to_the_dead_letters() {
-    let mut s = Story::new();
+    let mut s = Harness::new();
     s.ask("low", plain());
     s.ask("high", plain().with_priority(5));
     s.ask("short", plain().with_expiration("50".into()));
@@ -322,14 +329,14 @@
     s.connect(1);
     s.hold(1, 9);
     assert_eq!(
-        (s.bodies(1), s.broker.waiting("dead")),
+        (s.bodies(1), s.broker.waiting_bodies("dead")),
         (vec!["high".to_owned(), "low".to_owned()], vec![Bytes::from("short")])
     );
 }
 
 #[test]
 fn heartbeats_are_sent_and_a_broker_that_falls_silent_is_given_up() {
-    let mut s = Story::new();
+    let mut s = Harness::new();
     s.connect(1);
     // 10 s were agreed on: one is sent when nothing was said for 5 s.
     for _ in 0..10 {
@@ -355,7 +362,7 @@
         (AMQPFrame::Method(9, qos_ok), "a channel that was not opened"),
         (AMQPFrame::Method(1, commit_ok), "a commit that was not asked for"),
     ] {
-        let mut s = Story::new();
+        let mut s = Harness::new();
         s.connect(1);
         s.hold(1, 1);
         let now = s.now;
--- a/crates/curlewpoint-lab/benches/forward.rs
+++ b/crates/curlewpoint-lab/benches/forward.rs
@@ -10,11 +10,11 @@
 
 use bytes::Bytes;
 use curlewpoint::types::{Lifecycle, Outcome, Time};
-use curlewpoint_emulator::Row;
+use curlewpoint_emulator::ListEntry;
 use curlewpoint_gateway::outcome_code;
-use curlewpoint_lab::stand::wire::{Door, Heard, Say};
-use curlewpoint_lab::stand::ListStand;
-use curlewpoint_lab::{Record, CONFIG};
+use curlewpoint_lab::test_servers::wire::{Listener, Outgoing, PeerEvent};
+use curlewpoint_lab::test_servers::TestListService;
+use curlewpoint_lab::{Transcript, REHEARSAL_CONFIG};
 use curlewpoint_link::{handshake, Link, LinkLimits, Outbox};
 use curlewpoint_wire::{Field, Frame, Kind};
 use hdrhistogram::Histogram;
@@ -39,13 +39,13 @@
     tokio::spawn(async move {
         let (tell, mut heard) = mpsc::unbounded_channel();
         let (_mute, muted) = watch::channel(false);
-        let _door = Door::open(listener, format!("w{no}"), tell, muted);
+        let _door = Listener::open(listener, format!("w{no}"), tell, muted);
         let mut peers = BTreeMap::new();
         while let Some(heard) = heard.recv().await {
             match heard {
-                Heard::Hello(id, _, say) => drop(peers.insert(id, say)),
-                Heard::Gone(id) => drop(peers.remove(&id)),
-                Heard::Frame(id, f) => {
+                PeerEvent::Connected(id, _, say) => drop(peers.insert(id, say)),
+                PeerEvent::Disconnected(id) => drop(peers.remove(&id)),
+                PeerEvent::Frame(id, f) => {
                     let kind = match f.kind {
                         Kind::ATTEMPT => Kind::ANSWER,
                         Kind::PROBE => Kind::REPORT,
@@ -57,7 +57,7 @@
                         Frame::new(kind).int(Field::TAG, tag).int(Field::OUTCOME, outcome_code(Outcome::Ok));
                     let a = a.int(Field::COPY_STATUS, 1).int(Field::COPIES, 1).body(f.body);
                     if let Some(say) = peers.get(&id) {
-                        let _ = say.send(Say::Frame(a));
+                        let _ = say.send(Outgoing::Frame(a));
                     }
                 }
             }
@@ -250,16 +250,24 @@
     for no in 0..WORKERS {
         workers.push(worker(no).await);
     }
-    let record = Record::default();
-    let list = ListStand::start("127.0.0.1:0", &record, Time(0)).await.expect("loopback");
+    let transcript = Transcript::default();
+    let list = TestListService::start("127.0.0.1:0", &transcript, Time(0)).await.expect("loopback");
     for (no, address) in workers.iter().enumerate() {
         let (address, zone, cell) = (address.to_string(), String::new(), String::new());
-        list.set(
+        list.set_entry(
             &format!("w{no}"),
-            Row { address, standing: Lifecycle::Ready, start: 1, since: None, zone, cell, size: 1.0 },
+            ListEntry {
+                address,
+                lifecycle: Lifecycle::Ready,
+                start_id: 1,
+                started_at: None,
+                zone,
+                cell,
+                size: 1.0,
+            },
         );
     }
-    let config = curlewpoint_config::parse("rehearsal.conf", CONFIG).expect("shipped");
+    let config = curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG).expect("shipped");
     let config = config.with_value("list", &list.address.to_string()).with_value("seed", "1");
     let (tell, told) = std::sync::mpsc::channel();
     let gateway = on_its_own(move || async move {
--- a/crates/curlewpoint-lab/benches/triggers.rs
+++ b/crates/curlewpoint-lab/benches/triggers.rs
@@ -8,44 +8,52 @@
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
 use curlewpoint::types::{Lifecycle, Outcome, Time};
-use curlewpoint_emulator::Row;
-use curlewpoint_lab::stand::{BrokerStand, ListStand, Puppet};
-use curlewpoint_lab::{Record, CONFIG};
+use curlewpoint_emulator::ListEntry;
+use curlewpoint_lab::test_servers::{ScriptedWorker, TestBroker, TestListService};
+use curlewpoint_lab::{Transcript, REHEARSAL_CONFIG};
 use hdrhistogram::Histogram;
 
 const BACKLOG: usize = 8_000;
 const STEADY: u64 = 500;
 const SPAN: Duration = Duration::from_secs(4);
 
-struct Rig {
-    broker: BrokerStand,
-    list: ListStand,
+struct TriggerBench {
+    broker: TestBroker,
+    list: TestListService,
     workers: Vec<tokio::task::JoinHandle<()>>,
 }
 
-impl Rig {
-    async fn start() -> Rig {
+impl TriggerBench {
+    async fn start() -> TriggerBench {
         let queues = ["curlewpoint.issue-extract", "curlewpoint.read-fields", "curlewpoint.read-register"];
         let queues = [&queues[..], &["office", "probe", "curlewpoint.dead"]].concat();
-        let broker = BrokerStand::start("127.0.0.1:0", &queues).await.expect("loopback");
-        let list = ListStand::start("127.0.0.1:0", &Record::default(), Time(0)).await.expect("loopback");
+        let broker = TestBroker::start("127.0.0.1:0", &queues).await.expect("loopback");
+        let list =
+            TestListService::start("127.0.0.1:0", &Transcript::default(), Time(0)).await.expect("loopback");
         let mut workers = Vec::new();
         for no in 0..8 {
-            let mut puppet = Puppet::start(&format!("w{no}")).await;
-            let (zone, cell, address) = (String::new(), String::new(), puppet.address.to_string());
-            let row =
-                Row { address, standing: Lifecycle::Ready, start: 1, since: None, zone, cell, size: 1.0 };
-            list.set(&puppet.name, row);
+            let mut worker = ScriptedWorker::start(&format!("w{no}")).await;
+            let (zone, cell, address) = (String::new(), String::new(), worker.address.to_string());
+            let row = ListEntry {
+                address,
+                lifecycle: Lifecycle::Ready,
+                start_id: 1,
+                started_at: None,
+                zone,
+                cell,
+                size: 1.0,
+            };
+            list.set_entry(&worker.name, row);
             workers.push(tokio::spawn(async move {
                 loop {
-                    let asked = puppet.attempt().await;
-                    if puppet.peers.contains_key(&asked.0) {
-                        puppet.answer(&asked, Outcome::Ok);
+                    let asked = worker.next_attempt().await;
+                    if worker.peers.contains_key(&asked.0) {
+                        worker.respond(&asked, Outcome::Ok);
                     }
                 }
             }));
         }
-        Rig { broker, list, workers }
+        TriggerBench { broker, list, workers }
     }
 
     fn put(&self, queue: &str, id: u64, body: Bytes) {
@@ -56,24 +64,25 @@
             .with_message_id(format!("m{id}").into())
             .with_reply_to("office".into())
             .with_headers(headers);
-        self.broker.put(queue, properties, body);
+        self.broker.enqueue(queue, properties, body);
     }
 
-    async fn until(&self, many: usize) {
+    async fn wait_for_answers(&self, many: usize) {
         let began = Instant::now();
-        while self.broker.count("office").await < many && began.elapsed().as_secs() < 60 {
+        while self.broker.message_count("office").await < many && began.elapsed().as_secs() < 60 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 }
 
 async fn measure(method: &str, held: &str, delay: &str) {
-    let rig = Rig::start().await;
+    let rig = TriggerBench::start().await;
     let queue = format!("curlewpoint.{method}");
     let folder = std::env::temp_dir()
         .join(format!("curlewpoint-triggers-{}-{method}-{held}-{delay}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let config = curlewpoint_config::parse("rehearsal.conf", &CONFIG.replace("deadline 4s", "deadline 60s"));
+    let config =
+        curlewpoint_config::parse("rehearsal.conf", &REHEARSAL_CONFIG.replace("deadline 4s", "deadline 60s"));
     let config =
         config.expect("shipped").with_value("list", &rig.list.address.to_string()).with_value("seed", "1");
     let config = config
@@ -84,14 +93,14 @@
     let gateway = curlewpoint_gateway::start(&config).await.expect("it starts");
     // Some to open the window with, before what is counted.
     (0..2_000).for_each(|id| rig.put(&queue, id, Bytes::new()));
-    rig.until(2_000).await;
+    rig.wait_for_answers(2_000).await;
     let began = Instant::now();
     (0..BACKLOG as u64).for_each(|id| rig.put(&queue, 10_000 + id, Bytes::new()));
-    rig.until(2_000 + BACKLOG).await;
+    rig.wait_for_answers(2_000 + BACKLOG).await;
     let rate = BACKLOG as f64 / began.elapsed().as_secs_f64();
     // At a steady rate: the answer's time of arrival at the broker, by the broker's clock.
-    rig.broker.put("probe", AMQPProperties::default(), Bytes::new());
-    let zero = rig.broker.waiting("probe").await[0].at;
+    rig.broker.enqueue("probe", AMQPProperties::default(), Bytes::new());
+    let zero = rig.broker.messages("probe").await[0].queued_at;
     let start = Instant::now();
     let total = STEADY * SPAN.as_secs();
     for no in 0..total {
@@ -99,11 +108,11 @@
         let at = (start.elapsed().as_micros() / 100) as u64;
         rig.put(&queue, 100_000 + no, Bytes::copy_from_slice(&at.to_be_bytes()));
     }
-    rig.until(2_000 + BACKLOG + total as usize).await;
+    rig.wait_for_answers(2_000 + BACKLOG + total as usize).await;
     let mut took = Histogram::<u64>::new(3).expect("three digits");
-    for m in rig.broker.waiting("office").await.iter().filter(|m| m.body.len() == 8) {
+    for m in rig.broker.messages("office").await.iter().filter(|m| m.body.len() == 8) {
         let sent = u64::from_be_bytes(m.body[..].try_into().unwrap_or_default());
-        let _ = took.record((m.at - zero).0.saturating_sub(sent) * 100);
+        let _ = took.record((m.queued_at - zero).0.saturating_sub(sent) * 100);
     }
     let ms = |q| took.value_at_quantile(q) as f64 / 1000.0;
     println!(
--- a/crates/curlewpoint-lab/src/report.rs
+++ b/crates/curlewpoint-lab/src/report.rs
@@ -6,12 +6,12 @@
 use curlewpoint_engine::Answer;
 use hdrhistogram::Histogram;
 
-use crate::check::{Verdict, RULES};
-use crate::record::{Record, Seen};
+use crate::rules::{Verdict, RULES};
+use crate::transcript::{Transcript, TranscriptEvent};
 
 /// Where a method's RPCs went, as their clients saw it.
-pub struct Row {
-    pub asked: u64,
+pub struct MethodSummary {
+    pub sent: u64,
     pub ok: u64,
     pub late: u64,
     pub denied: u64,
@@ -19,56 +19,56 @@
     pub refused: u64,
     pub unanswered: u64,
     /// Of RPCs that ended ok, in tenths of a millisecond.
-    pub took: Histogram<u64>,
+    pub latency: Histogram<u64>,
 }
 
-impl Default for Row {
+impl Default for MethodSummary {
     fn default() -> Self {
-        let took = Histogram::new(3).expect("three digits are allowed");
-        Row { asked: 0, ok: 0, late: 0, denied: 0, aborted: 0, refused: 0, unanswered: 0, took }
+        let latency = Histogram::new(3).expect("three digits are allowed");
+        MethodSummary { sent: 0, ok: 0, late: 0, denied: 0, aborted: 0, refused: 0, unanswered: 0, latency }
     }
 }
 
 /// Answers by method.
-pub fn table(config: &Config, all: &[(Time, Seen)]) -> BTreeMap<String, Row> {
-    let mut rows: BTreeMap<String, Row> = BTreeMap::new();
+pub fn summarize(config: &Config, all: &[(Time, TranscriptEvent)]) -> BTreeMap<String, MethodSummary> {
+    let mut summaries: BTreeMap<String, MethodSummary> = BTreeMap::new();
     let mut open: BTreeMap<u64, (Time, String)> = BTreeMap::new();
-    for (at, seen) in all {
-        match seen {
-            Seen::Asked { key, method, .. } => {
+    for (at, event) in all {
+        match event {
+            TranscriptEvent::RpcSent { key, method, .. } => {
                 open.insert(*key, (*at, method.clone()));
-                rows.entry(method.clone()).or_default().asked += 1;
+                summaries.entry(method.clone()).or_default().sent += 1;
             }
-            Seen::Final { key, answer } => {
-                let Some((asked, method)) = open.remove(key) else { continue };
+            TranscriptEvent::FinalAnswer { key, answer } => {
+                let Some((sent_at, method)) = open.remove(key) else { continue };
                 let soft = milliseconds(config.method_value(&method, "soft-deadline")).unwrap_or(f64::MAX);
-                let row = rows.entry(method).or_default();
+                let summary = summaries.entry(method).or_default();
                 match answer {
                     Answer::Ok => {
-                        let took = *at - asked;
-                        let _ = row.took.record(took.0);
-                        *(if took.ms() <= soft { &mut row.ok } else { &mut row.late }) += 1;
+                        let latency = *at - sent_at;
+                        let _ = summary.latency.record(latency.0);
+                        *(if latency.ms() <= soft { &mut summary.ok } else { &mut summary.late }) += 1;
                     }
-                    Answer::Denied => row.denied += 1,
-                    Answer::Aborted => row.aborted += 1,
+                    Answer::Denied => summary.denied += 1,
+                    Answer::Aborted => summary.aborted += 1,
                 }
             }
-            Seen::Refused { key, .. } => {
+            TranscriptEvent::Refused { key, .. } => {
                 if let Some((_, method)) = open.remove(key) {
-                    rows.entry(method).or_default().refused += 1;
+                    summaries.entry(method).or_default().refused += 1;
                 }
             }
             _ => {}
         }
     }
     for (_, method) in open.into_values() {
-        rows.entry(method).or_default().unanswered += 1;
+        summaries.entry(method).or_default().unanswered += 1;
     }
-    rows
+    summaries
 }
 
 /// Answers by method, latencies and the five rules, for a terminal.
-pub fn draw(config: &Config, all: &[(Time, Seen)], verdict: &Verdict) -> String {
+pub fn render(config: &Config, all: &[(Time, TranscriptEvent)], verdict: &Verdict) -> String {
     let mut out = String::new();
     // Writing to a String cannot fail.
     let _ = writeln!(
@@ -76,12 +76,12 @@
         "{:16} {:>6} {:>6} {:>6} {:>6} {:>7} {:>7} {:>6} {:>8} {:>8} {:>8}",
         "method", "asked", "ok", "late", "denied", "aborted", "refused", "none", "p50 ms", "p99 ms", "max ms"
     );
-    for (method, r) in table(config, all) {
-        let ms = |q| r.took.value_at_quantile(q) as f64 / 10.0;
+    for (method, r) in summarize(config, all) {
+        let ms = |q| r.latency.value_at_quantile(q) as f64 / 10.0;
         let _ = writeln!(
             out,
             "{method:16} {:>6} {:>6} {:>6} {:>6} {:>7} {:>7} {:>6} {:>8.1} {:>8.1} {:>8.1}",
-            r.asked,
+            r.sent,
             r.ok,
             r.late,
             r.denied,
@@ -100,18 +100,25 @@
 impl std::fmt::Display for Verdict {
     /// The five rules, a line each, and what broke them.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        for (no, rule) in RULES.iter().enumerate() {
-            let broken = self.breaks.iter().filter(|b| b.rule == no + 1).count();
-            let kept = if broken == 0 { "kept".to_owned() } else { format!("BROKEN {broken} times") };
-            let (judged, nearest) = (self.judged[no], self.nearest[no] * 100.0);
-            let no = no + 1;
+        for (index, rule) in RULES.iter().enumerate() {
+            let violations = self.violations.iter().filter(|b| b.rule == index + 1).count();
+            let result =
+                if violations == 0 { "kept".to_owned() } else { format!("BROKEN {violations} times") };
+            let (checks, closest) = (self.checks[index], self.closest[index] * 100.0);
+            let number = index + 1;
             writeln!(
                 f,
-                "{no}. {rule:48} {kept:10} judged {judged:>6} times, nearest {nearest:.0}% of the limit"
+                "{number}. {rule:48} {result:10} judged {checks:>6} times, nearest {closest:.0}% of the limit"
             )?;
         }
-        for b in self.breaks.iter().take(20) {
-            writeln!(f, "  at {:.1} ms, rule {}: {}", Record::since_start(b.at).ms(), b.rule, b.what)?;
+        for b in self.violations.iter().take(20) {
+            writeln!(
+                f,
+                "  at {:.1} ms, rule {}: {}",
+                Transcript::since_start(b.at).ms(),
+                b.rule,
+                b.description
+            )?;
         }
         Ok(())
     }
--- a/crates/curlewpoint-lab/src/script.rs
+++ b/crates/curlewpoint-lab/src/script.rs
@@ -5,10 +5,10 @@
 use curlewpoint_config::{bytes, milliseconds, read_lines, share, Config, ConfigErrors, Line};
 use curlewpoint_emulator::WorkerSpec;
 
-use crate::stand::Trade;
+use crate::test_servers::MethodCost;
 
 /// The configuration and the script that `rehearse` plays.
-pub const CONFIG: &str = include_str!("../days/rehearsal.conf");
+pub const REHEARSAL_CONFIG: &str = include_str!("../days/rehearsal.conf");
 pub const BAD_DAY: &str = include_str!("../days/bad.day");
 /// The kinds of trouble that the bad day has not.
 pub const SECOND_DAY: &str = include_str!("../days/second.day");
@@ -17,10 +17,10 @@
     ($($name:ident $text:literal $about:literal)*) => {
         /// What a script can do.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum Kind { $(#[doc = $about] $name),* }
+        pub enum EventKind { $(#[doc = $about] $name),* }
 
-        impl Kind {
-            pub const ALL: &'static [(&'static str, Kind, &'static str)] = &[$(($text, Kind::$name, $about)),*];
+        impl EventKind {
+            pub const ALL: &'static [(&'static str, EventKind, &'static str)] = &[$(($text, EventKind::$name, $about)),*];
         }
     };
 }
@@ -51,18 +51,18 @@
 
 /// One thing that happens, at a time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct At {
+pub struct ScriptEvent {
     pub at: Time,
-    pub kind: Kind,
+    pub kind: EventKind,
     /// Of the workers, schedulers or models.
-    pub part: f64,
-    pub len: Time,
+    pub share: f64,
+    pub duration: Time,
     pub size: f64,
-    pub every: Time,
+    pub interval: Time,
 }
 
 /// Is told of a fault: its line, its word, what is wrong.
-pub type Complain<'a> = dyn FnMut(&Line, usize, String) + 'a;
+pub type ReportError<'a> = dyn FnMut(&Line, usize, String) + 'a;
 
 /// A day: the fleet, the load, and what happens.
 #[derive(Clone, Debug)]
@@ -78,10 +78,10 @@
     pub queue: usize,
     pub memory_mb: f64,
     pub loads_at_once: usize,
-    pub store_lines: f64,
-    pub store_most: usize,
-    pub store_thrash: f64,
-    pub list_late: Time,
+    pub store_parallel_fetches: f64,
+    pub store_max_fetches: usize,
+    pub store_overload_penalty: f64,
+    pub list_delay: Time,
     /// RPCs a second, at all schedulers together.
     pub rate: f64,
     pub models: usize,
@@ -89,8 +89,8 @@
     pub zipf: f64,
     pub body: usize,
     /// Each method's share of the RPCs, and what it costs a worker.
-    pub methods: BTreeMap<String, (f64, Trade)>,
-    pub events: Vec<At>,
+    pub methods: BTreeMap<String, (f64, MethodCost)>,
+    pub events: Vec<ScriptEvent>,
 }
 
 impl Default for Script {
@@ -107,10 +107,10 @@
             queue: 24,
             memory_mb: 4096.0,
             loads_at_once: 4,
-            store_lines: 8.0,
-            store_most: 40,
-            store_thrash: 0.1,
-            list_late: Time(5_000),
+            store_parallel_fetches: 8.0,
+            store_max_fetches: 40,
+            store_overload_penalty: 0.1,
+            list_delay: Time(5_000),
             rate: 60.0,
             models: 24,
             zipf: 1.1,
@@ -154,10 +154,10 @@
         "queue" => s.queue = count(v)?,
         "memory" => s.memory_mb = mib(v)?,
         "loads-at-once" => s.loads_at_once = count(v)?,
-        "store-lines" => s.store_lines = number(v)?,
-        "store-most" => s.store_most = count(v)?,
-        "store-thrash" => s.store_thrash = number(v)?,
-        "list-late" => s.list_late = time(v)?,
+        "store-lines" => s.store_parallel_fetches = number(v)?,
+        "store-most" => s.store_max_fetches = count(v)?,
+        "store-thrash" => s.store_overload_penalty = number(v)?,
+        "list-late" => s.list_delay = time(v)?,
         "rate" => s.rate = number(v)?,
         "models" => s.models = count(v)?,
         "zipf" => s.zipf = number(v)?,
@@ -167,18 +167,18 @@
     Ok(true)
 }
 
-fn trade(line: &Line, fault: &mut dyn FnMut(&Line, usize, String)) -> (f64, Trade) {
-    let mut trade = Trade { work_ms: 20.0, memory_mb: 256.0, load_ms: 500.0, fetch_share: 0.6, lanes: 2 };
-    let mut part = 1.0;
+fn method_cost(line: &Line, fault: &mut dyn FnMut(&Line, usize, String)) -> (f64, MethodCost) {
+    let mut cost = MethodCost { work_ms: 20.0, memory_mb: 256.0, load_ms: 500.0, fetch_share: 0.6, lanes: 2 };
+    let mut share_of_rpcs = 1.0;
     for l in line.block.iter().flatten() {
         let v = l.words.get(1).map_or("", |w| w.text.as_str());
         let read = match l.name() {
-            "share" => share(v).map(|x| part = x),
-            "work" => milliseconds(v).map(|x| trade.work_ms = x),
-            "memory" => mib(v).map(|x| trade.memory_mb = x),
-            "load" => milliseconds(v).map(|x| trade.load_ms = x),
-            "fetch" => share(v).map(|x| trade.fetch_share = x),
-            "lanes" => count(v).map(|x| trade.lanes = x.max(1)),
+            "share" => share(v).map(|x| share_of_rpcs = x),
+            "work" => milliseconds(v).map(|x| cost.work_ms = x),
+            "memory" => mib(v).map(|x| cost.memory_mb = x),
+            "load" => milliseconds(v).map(|x| cost.load_ms = x),
+            "fetch" => share(v).map(|x| cost.fetch_share = x),
+            "lanes" => count(v).map(|x| cost.lanes = x.max(1)),
             other => {
                 fault(l, 0, format!("no directive '{other}' in a method of a script"));
                 Ok(())
@@ -188,10 +188,10 @@
             fault(l, 1, what);
         }
     }
-    (part, trade)
+    (share_of_rpcs, cost)
 }
 
-fn event(line: &Line, fault: &mut dyn FnMut(&Line, usize, String)) -> Option<At> {
+fn event(line: &Line, fault: &mut dyn FnMut(&Line, usize, String)) -> Option<ScriptEvent> {
     let word = |no: usize| line.words.get(no).map_or("", |w| w.text.as_str());
     let mut good = true;
     let mut bad = |no, what| {
@@ -202,27 +202,27 @@
         bad(1, what);
         Time(0)
     });
-    let kind = Kind::ALL.iter().find(|(name, _, _)| *name == word(2)).map(|k| k.1);
+    let kind = EventKind::ALL.iter().find(|(name, _, _)| *name == word(2)).map(|k| k.1);
     if kind.is_none() {
-        let all: Vec<_> = Kind::ALL.iter().map(|k| k.0).collect();
+        let all: Vec<_> = EventKind::ALL.iter().map(|k| k.0).collect();
         bad(2, format!("'{}' is none of {}", word(2), all.join(", ")));
     }
-    let mut e = At {
+    let mut e = ScriptEvent {
         at,
-        kind: kind.unwrap_or(Kind::Crash),
-        part: 0.25,
-        len: Time(20_000),
+        kind: kind.unwrap_or(EventKind::Crash),
+        share: 0.25,
+        duration: Time(20_000),
         size: 1.0,
-        every: Time(5_000),
+        interval: Time(5_000),
     };
     let mut no = 3;
     while no < line.words.len() {
         let value = word(no + 1);
         let read = match word(no) {
-            "part" => share(value).map(|x| e.part = x),
-            "for" => time(value).map(|x| e.len = x),
+            "part" => share(value).map(|x| e.share = x),
+            "for" => time(value).map(|x| e.duration = x),
             "size" => share(value).or_else(|_| number(value)).map(|x| e.size = x),
-            "every" => time(value).map(|x| e.every = x),
+            "every" => time(value).map(|x| e.interval = x),
             other => {
                 bad(no, format!("'{other}' is none of part, for, size, every"));
                 Ok(())
@@ -239,7 +239,7 @@
 impl Script {
     /// What a worker of this script is, where schedulers run with this configuration.
     pub fn worker_spec(&self, config: &Config) -> WorkerSpec {
-        let of = |name| config.number("workers", name);
+        let workers = |name| config.number("workers", name);
         WorkerSpec {
             cores: self.cores,
             speed: 1.0,
@@ -247,18 +247,18 @@
             queue: self.queue,
             memory_mb: self.memory_mb,
             loads_at_once: self.loads_at_once,
-            keep: Time::from_ms(of("keep-alive")),
-            cold_from: of("start-capacity"),
-            cold_for: Time::from_ms(of("warm-within")),
-            fall_multiple: of("fall-multiple"),
-            fall: Time::from_ms(of("fall-window")),
+            keep_alive: Time::from_ms(workers("keep-alive")),
+            start_capacity: workers("start-capacity"),
+            warm_within: Time::from_ms(workers("warm-within")),
+            fall_multiple: workers("fall-multiple"),
+            fall_window: Time::from_ms(workers("fall-window")),
             adds_copies: true,
             answers_miss: config.value("workers", "absent") == Some("miss"),
         }
     }
 
     /// What each method costs a worker.
-    pub fn trades(&self) -> Arc<BTreeMap<String, Trade>> {
+    pub fn method_costs(&self) -> Arc<BTreeMap<String, MethodCost>> {
         Arc::new(self.methods.iter().map(|(m, (_, t))| (m.clone(), *t)).collect())
     }
 
@@ -266,7 +266,7 @@
     pub fn parse(name: &str, text: &str) -> Result<Script, ConfigErrors> {
         read_lines(name, text, |lines, fault| {
             let mut events = Vec::new();
-            let mut s = Script::of_lines(Script::default(), lines, fault, &mut |line, fault| {
+            let mut s = Script::from_lines(Script::default(), lines, fault, &mut |line, fault| {
                 let known = line.name() == "at";
                 if known {
                     events.extend(event(line, fault));
@@ -281,16 +281,16 @@
 
     /// Reads the lines of a script that tell the fleet and the load, and what they leave out from another; `other` is asked about those that do not, and says
     /// whether it knows them.
-    pub fn of_lines(
-        base: Script, lines: &[Line], fault: &mut Complain,
-        other: &mut dyn FnMut(&Line, &mut Complain) -> bool,
+    pub fn from_lines(
+        base: Script, lines: &[Line], fault: &mut ReportError,
+        other: &mut dyn FnMut(&Line, &mut ReportError) -> bool,
     ) -> Script {
         let mut s = base;
         for line in lines {
             let value = line.words.get(1).map_or("", |w| w.text.as_str());
             match line.name() {
                 "method" => {
-                    let read = trade(line, fault);
+                    let read = method_cost(line, fault);
                     s.methods.insert(value.to_owned(), read);
                 }
                 name => match set(&mut s, name, value) {
@@ -301,15 +301,15 @@
                 },
             }
         }
-        for (name, least) in [
+        for (name, value) in [
             ("workers", s.workers),
             ("schedulers", s.schedulers),
             ("cells", s.cells),
             ("zones", s.zones),
             ("models", s.models),
         ] {
-            if let (0, Some(line)) = (least, lines.first()) {
-                fault(line, 0, format!("{name} must be at least 1"));
+            if let (0, Some(line)) = (value, lines.first()) {
+                fault(line, 0, format!("{name} must be at value 1"));
             }
         }
         if let (true, Some(line)) = (s.methods.is_empty(), lines.first()) {
@@ -327,7 +327,8 @@
     #[test]
     fn the_shipped_day_and_its_configuration_are_read() {
         let day = Script::parse("bad.day", BAD_DAY).unwrap_or_else(|f| panic!("{f}"));
-        let config = curlewpoint_config::parse("rehearsal.conf", CONFIG).unwrap_or_else(|f| panic!("{f}"));
+        let config =
+            curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG).unwrap_or_else(|f| panic!("{f}"));
         assert!(day.methods.keys().all(|m| config.methods().contains(m)));
         let kinds: std::collections::BTreeSet<_> = day.events.iter().map(|e| e.kind).collect();
         assert!(kinds.len() >= 6);
@@ -338,7 +339,7 @@
     #[test_case("at 5s crash prt 20%", "'prt' is none of part" ; "an unknown word")]
     #[test_case("rate x", "'x' is not a number" ; "nonsense")]
     #[test_case("rte 5", "no directive 'rte'" ; "an unknown directive")]
-    #[test_case("workers 0", "workers must be at least 1" ; "no worker")]
+    #[test_case("workers 0", "workers must be at value 1" ; "no worker")]
     fn faults_are_told_with_their_place(line: &str, want: &str) {
         let told = Script::parse("x.day", &format!("method a {{\n  work 5ms\n}}\n{line}\n")).unwrap_err();
         assert!(told.rendered.contains(want) && told.rendered.contains("x.day:"), "{told}");
--- a/crates/curlewpoint-lab/src/stand/wire.rs
+++ b/crates/curlewpoint-lab/src/test_servers/wire.rs
@@ -14,53 +14,54 @@
 pub struct PeerId(pub u64);
 
 /// What comes from one.
-pub enum Heard {
+pub enum PeerEvent {
     /// A scheduler has said hello: its name, and the way to it.
-    Hello(PeerId, String, mpsc::UnboundedSender<Say>),
+    Connected(PeerId, String, mpsc::UnboundedSender<Outgoing>),
     Frame(PeerId, Frame),
-    Gone(PeerId),
+    Disconnected(PeerId),
 }
 
 /// What is said on one.
-pub enum Say {
+pub enum Outgoing {
     Frame(Frame),
     /// The first half of a frame, and the end of the connection.
-    Half(Frame),
-    End,
+    HalfFrame(Frame),
+    Close,
 }
 
 /// Serves a stand-in's connections until it is dropped; with it they all end at once, as when a process dies.
-pub struct Door {
+pub struct Listener {
     _tasks: JoinSet<()>,
 }
 
-impl Door {
-    /// While `mute` holds, what peers send is not read.
+impl Listener {
+    /// While `muted` holds, what peers send is not read.
     pub fn open(
-        listener: TcpListener, name: String, heard: mpsc::UnboundedSender<Heard>, mute: watch::Receiver<bool>,
-    ) -> Door {
+        listener: TcpListener, name: String, event_tx: mpsc::UnboundedSender<PeerEvent>,
+        muted: watch::Receiver<bool>,
+    ) -> Listener {
         let mut tasks = JoinSet::new();
         tasks.spawn(async move {
             let (mut peers, mut next) = (JoinSet::new(), 0);
             while let Ok((stream, _)) = listener.accept().await {
                 next += 1;
-                peers.spawn(serve(PeerId(next), stream, name.clone(), heard.clone(), mute.clone()));
+                peers.spawn(serve(PeerId(next), stream, name.clone(), event_tx.clone(), muted.clone()));
                 while peers.try_join_next().is_some() {}
             }
         });
-        Door { _tasks: tasks }
+        Listener { _tasks: tasks }
     }
 }
 
-const MOST: usize = 64 << 20;
+const MAX_FRAME_BYTES: usize = 64 << 20;
 
 async fn serve(
-    id: PeerId, stream: TcpStream, name: String, heard: mpsc::UnboundedSender<Heard>,
-    mut mute: watch::Receiver<bool>,
+    id: PeerId, stream: TcpStream, name: String, event_tx: mpsc::UnboundedSender<PeerEvent>,
+    mut muted: watch::Receiver<bool>,
 ) {
     let _ = stream.set_nodelay(true);
     let (read, mut write) = stream.into_split();
-    let mut codec = Codec { max_frame_bytes: MOST };
+    let mut codec = Codec { max_frame_bytes: MAX_FRAME_BYTES };
     let mut frames = FramedRead::new(read, codec);
     let mut bytes = BytesMut::new();
     let hello = Frame::new(Kind::HELLO).int(Field::VERSION, VERSION).text(Field::INSTANCE, &name);
@@ -70,32 +71,32 @@
     }
     let Some(Ok(hello)) = frames.next().await else { return };
     let peer = hello.get_text(Field::INSTANCE).unwrap_or("?").to_owned();
-    let (say, mut said) = mpsc::unbounded_channel();
-    let _ = heard.send(Heard::Hello(id, peer, say));
+    let (outgoing_tx, mut outgoing_rx) = mpsc::unbounded_channel();
+    let _ = event_tx.send(PeerEvent::Connected(id, peer, outgoing_tx));
     loop {
-        let muted = *mute.borrow_and_update();
+        let muted_now = *muted.borrow_and_update();
         tokio::select! {
-            next = frames.next(), if !muted => match next {
+            next = frames.next(), if !muted_now => match next {
                 Some(Ok(frame)) => {
-                    let _ = heard.send(Heard::Frame(id, frame));
+                    let _ = event_tx.send(PeerEvent::Frame(id, frame));
                 }
                 _ => break,
             },
-            changed = mute.changed() => if changed.is_err() { break },
-            say = said.recv() => {
+            changed = muted.changed() => if changed.is_err() { break },
+            outgoing = outgoing_rx.recv() => {
                 bytes.clear();
-                let (frame, half) = match say {
-                    Some(Say::Frame(frame)) => (frame, false),
-                    Some(Say::Half(frame)) => (frame, true),
-                    Some(Say::End) | None => break,
+                let (frame, half) = match outgoing {
+                    Some(Outgoing::Frame(frame)) => (frame, false),
+                    Some(Outgoing::HalfFrame(frame)) => (frame, true),
+                    Some(Outgoing::Close) | None => break,
                 };
                 let _ = codec.encode(frame, &mut bytes);
-                let upto = if half { bytes.len() / 2 } else { bytes.len() };
-                if write.write_all(&bytes[..upto]).await.is_err() || half {
+                let length = if half { bytes.len() / 2 } else { bytes.len() };
+                if write.write_all(&bytes[..length]).await.is_err() || half {
                     break;
                 }
             }
         }
     }
-    let _ = heard.send(Heard::Gone(id));
+    let _ = event_tx.send(PeerEvent::Disconnected(id));
 }
--- a/crates/curlewpoint-lab/src/record.rs
+++ b/crates/curlewpoint-lab/src/transcript.rs
@@ -8,66 +8,66 @@
 
 /// What a stand-in or a client saw pass on its sockets.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum TranscriptEvent {
     /// A client has sent an RPC, for which it waits so long.
-    Asked {
+    RpcSent {
         key: u64,
         scheduler: String,
         method: String,
-        left: Time,
+        time_left: Time,
     },
-    Final {
+    FinalAnswer {
         key: u64,
         answer: Answer,
     },
     /// The scheduler would not take it.
     Refused {
         key: u64,
-        why: String,
+        reason: String,
     },
     /// The client has lost its connection, or ended it: nothing is owed any more.
-    Left {
+    ClientLeft {
         key: u64,
     },
     /// An attempt has arrived at a worker.
-    Arrived {
+    AttemptArrived {
         key: u64,
         scheduler: String,
         worker: String,
         method: String,
     },
     /// The worker has answered that it never looked at it.
-    TurnedAway {
+    AttemptRejected {
         key: u64,
         worker: String,
     },
     /// The work has had its effect.
-    Ran {
+    Executed {
         key: u64,
         worker: String,
     },
-    Ordered {
+    LoadOrdered {
         scheduler: String,
         worker: String,
     },
     /// The list service has told a scheduler of a worker.
-    Told {
+    ListEntrySent {
         scheduler: String,
         worker: String,
-        standing: Lifecycle,
+        lifecycle: Lifecycle,
     },
     /// A worker's process is up, empty and cold.
-    Started {
+    WorkerStarted {
         worker: String,
     },
-    Fell {
+    WorkerOverloaded {
         worker: String,
-        pushed: f64,
+        offered: f64,
         limit: f64,
     },
     /// The script killed a scheduler or held it still, or kept a worker from reading, up to this moment.
-    Held {
-        who: String,
+    Suspended {
+        component: String,
         until: Time,
     },
     /// The machine gave no turn since then: to this scheduler, or (none) to clients and stand-ins. Measured, never scripted.
@@ -77,59 +77,59 @@
     },
     /// The script did something.
     Scripted {
-        what: String,
+        description: String,
     },
 }
 
 /// All that was seen, by one clock. Every stand-in and client writes here, no scheduler does.
 #[derive(Clone)]
-pub struct Record {
-    began: Instant,
-    seen: Arc<Mutex<Vec<(Time, Seen)>>>,
+pub struct Transcript {
+    started_at: Instant,
+    events: Arc<Mutex<Vec<(Time, TranscriptEvent)>>>,
     /// Something was written down.
     added: watch::Sender<()>,
 }
 
 /// The record's clock starts so far on that nothing in it is "long ago".
-const START: Time = Time(36_000_000);
+const CLOCK_START: Time = Time(36_000_000);
 
 /// Between two looks at whether the machine gives turns; less than this late counts as none.
-const PULSE: Time = Time(100);
+const STALL_CHECK_INTERVAL: Time = Time(100);
 
-impl Default for Record {
+impl Default for Transcript {
     fn default() -> Self {
-        Record { began: Instant::now(), seen: Arc::default(), added: watch::Sender::default() }
+        Transcript { started_at: Instant::now(), events: Arc::default(), added: watch::Sender::default() }
     }
 }
 
-impl Record {
+impl Transcript {
     pub fn now(&self) -> Time {
-        START + Time((self.began.elapsed().as_micros() / 100) as u64)
+        CLOCK_START + Time((self.started_at.elapsed().as_micros() / 100) as u64)
     }
 
-    /// Time since the record began.
+    /// Time since the record started_at.
     pub fn since_start(at: Time) -> Time {
-        at - START
+        at - CLOCK_START
     }
 
     pub fn instant(&self, at: Time) -> Instant {
-        self.began + std::time::Duration::from_micros((at - START).0 * 100)
+        self.started_at + std::time::Duration::from_micros((at - CLOCK_START).0 * 100)
     }
 
-    pub fn add(&self, seen: Seen) {
-        self.add_at(self.now(), seen);
+    pub fn add(&self, event: TranscriptEvent) {
+        self.add_at(self.now(), event);
     }
 
-    pub fn add_at(&self, at: Time, seen: Seen) {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner).push((at, seen));
+    pub fn add_at(&self, at: Time, event: TranscriptEvent) {
+        self.events.lock().unwrap_or_else(PoisonError::into_inner).push((at, event));
         self.added.send_replace(());
     }
 
     /// Waits until `look` finds what it wants in all that was seen, and gives that.
-    pub async fn until<T>(&self, look: impl Fn(Vec<(Time, Seen)>) -> Option<T>) -> T {
+    pub async fn wait_for<T>(&self, find: impl Fn(Vec<(Time, TranscriptEvent)>) -> Option<T>) -> T {
         let mut added = self.added.subscribe();
         loop {
-            if let Some(found) = look(self.all()) {
+            if let Some(found) = find(self.events()) {
                 return found;
             }
             // The sender is the record's own: it cannot have gone.
@@ -140,43 +140,43 @@
     /// Looks again and again how late the runtime of clients and stand-ins wakes, and writes it down. Guards against taking
     /// a machine that is busy with other things for a scheduler that is late: while these get no turn, an answer lies in
     /// a socket.
-    pub async fn feel_the_pulse(self) {
+    pub async fn watch_runtime_stalls(self) {
         loop {
-            let due = self.now() + PULSE;
+            let due = self.now() + STALL_CHECK_INTERVAL;
             sleep_until(self.instant(due).into()).await;
-            if self.now() - due >= PULSE {
-                self.add(Seen::Stalled { scheduler: None, since: due });
+            if self.now() - due >= STALL_CHECK_INTERVAL {
+                self.add(TranscriptEvent::Stalled { scheduler: None, since: due });
             }
         }
     }
 
     /// Writes down how long this thread, a scheduler's own, was ready to run and not let. Only the system's account of that
     /// counts: what the scheduler itself takes, or waits for, is its own fault.
-    pub async fn watch_turns(self, scheduler: String) {
-        let mut before = kept_waiting();
+    pub async fn watch_scheduler_stalls(self, scheduler: String) {
+        let mut before = run_queue_wait();
         loop {
-            sleep_until(self.instant(self.now() + PULSE).into()).await;
-            let waited = kept_waiting();
-            let more = waited - before;
-            if more >= PULSE {
+            sleep_until(self.instant(self.now() + STALL_CHECK_INTERVAL).into()).await;
+            let waited = run_queue_wait();
+            let stalled = waited - before;
+            if stalled >= STALL_CHECK_INTERVAL {
                 before = waited;
-                let (scheduler, since) = (Some(scheduler.clone()), self.now() - more);
-                self.add(Seen::Stalled { scheduler, since });
+                let (scheduler, since) = (Some(scheduler.clone()), self.now() - stalled);
+                self.add(TranscriptEvent::Stalled { scheduler, since });
             }
         }
     }
 
     /// Everything so far, in order of time.
-    pub fn all(&self) -> Vec<(Time, Seen)> {
-        let mut all = self.seen.lock().unwrap_or_else(PoisonError::into_inner).clone();
+    pub fn events(&self) -> Vec<(Time, TranscriptEvent)> {
+        let mut all = self.events.lock().unwrap_or_else(PoisonError::into_inner).clone();
         all.sort_by_key(|(at, _)| *at);
         all
     }
 }
 
 /// How long this thread has waited for a processor in all, as the system tells; nought where it does not.
-fn kept_waiting() -> Time {
-    let told = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
-    let nanoseconds = told.split(' ').nth(1).and_then(|w| w.parse::<u64>().ok()).unwrap_or(0);
+fn run_queue_wait() -> Time {
+    let schedstat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
+    let nanoseconds = schedstat.split(' ').nth(1).and_then(|w| w.parse::<u64>().ok()).unwrap_or(0);
     Time(nanoseconds / 100_000)
 }
--- a/crates/curlewpoint-lab/src/trigger.rs
+++ b/crates/curlewpoint-lab/src/trigger.rs
@@ -14,35 +14,35 @@
 
 /// One message to a method's queue.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct TriggerRequest {
     pub method: String,
     pub model: String,
     pub tenant: String,
     pub id: String,
     pub reply_to: String,
-    pub left: Time,
+    pub time_left: Time,
     pub body: Bytes,
 }
 
 /// What came for it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct TriggerAnswer {
     pub answer: String,
-    pub why: String,
+    pub reason: String,
     pub body: Bytes,
 }
 
 #[derive(Default)]
-struct Ears {
+struct SessionEvents {
     out: VecDeque<AMQPFrame>,
     agreed: Option<(u32, u16)>,
     ready: bool,
     delivered: Vec<(u64, AMQPProperties, Bytes)>,
     committed: Vec<u64>,
-    over: Option<String>,
+    closed: Option<String>,
 }
 
-impl Host for Ears {
+impl Host for SessionEvents {
     fn send(&mut self, frame: AMQPFrame) {
         self.out.push_back(frame);
     }
@@ -58,19 +58,19 @@
     fn committed(&mut self, _: &str, tags: &[u64]) {
         self.committed.extend(tags);
     }
-    fn returned(&mut self, key: &str, why: &str, _: AMQPProperties, _: Bytes) {
-        self.over = Some(format!("nobody consumes {key}: {why}"));
+    fn returned(&mut self, key: &str, reason: &str, _: AMQPProperties, _: Bytes) {
+        self.closed = Some(format!("nobody consumes {key}: {reason}"));
     }
     fn cancelled(&mut self, queue: &str) {
-        self.over = Some(format!("the broker ended the consumer of {queue}"));
+        self.closed = Some(format!("the broker ended the consumer of {queue}"));
     }
     fn blocked(&mut self, _: bool) {}
-    fn over(&mut self, why: &str) {
-        self.over = Some(why.to_owned());
+    fn over(&mut self, reason: &str) {
+        self.closed = Some(reason.to_owned());
     }
 }
 
-fn text(properties: &AMQPProperties, name: &str) -> String {
+fn text_header(properties: &AMQPProperties, name: &str) -> String {
     match properties.headers().as_ref().and_then(|h| h.inner().get(name)) {
         Some(AMQPValue::LongString(s)) => s.to_string(),
         _ => String::new(),
@@ -78,9 +78,11 @@
 }
 
 /// Puts a message into its method's queue and waits for its answer; none: it did not come in its time.
-pub async fn trigger(address: &str, user: &str, password: &str, ask: &Ask) -> std::io::Result<Option<Told>> {
-    let began = Instant::now();
-    let clock = || Time(1 + (began.elapsed().as_micros() / 100) as u64);
+pub async fn trigger(
+    address: &str, user: &str, password: &str, request: &TriggerRequest,
+) -> std::io::Result<Option<TriggerAnswer>> {
+    let started_at = Instant::now();
+    let clock = || Time(1 + (started_at.elapsed().as_micros() / 100) as u64);
     let stream = TcpStream::connect(address).await?;
     let mut framed = Framed::new(stream, Codec::default());
     let login = Login {
@@ -92,39 +94,49 @@
         most_body: 64 << 20,
     };
     let mut headers = FieldTable::default();
-    headers.insert("model".into(), AMQPValue::LongString(ask.model.as_str().into()));
-    if !ask.tenant.is_empty() {
-        headers.insert("tenant".into(), AMQPValue::LongString(ask.tenant.as_str().into()));
+    headers.insert("model".into(), AMQPValue::LongString(request.model.as_str().into()));
+    if !request.tenant.is_empty() {
+        headers.insert("tenant".into(), AMQPValue::LongString(request.tenant.as_str().into()));
     }
     let properties = AMQPProperties::default()
-        .with_message_id(ask.id.as_str().into())
-        .with_reply_to(ask.reply_to.as_str().into())
-        .with_expiration((ask.left.0 / 10).to_string().into())
+        .with_message_id(request.id.as_str().into())
+        .with_reply_to(request.reply_to.as_str().into())
+        .with_expiration((request.time_left.0 / 10).to_string().into())
         .with_delivery_mode(2)
         .with_headers(headers);
-    let queue = format!("curlewpoint.{}", ask.method);
-    let mut session = Session::begin(clock(), Ears::default(), login);
-    let (mut sent, mut told) = (false, None);
+    let queue = format!("curlewpoint.{}", request.method);
+    let mut session = Session::begin(clock(), SessionEvents::default(), login);
+    let (mut sent, mut received) = (false, None);
     // The answer may take its way back after the last moment.
-    let until =
-        tokio::time::Instant::now() + Duration::from_micros(ask.left.0 * 100) + Duration::from_secs(1);
+    let deadline = tokio::time::Instant::now()
+        + Duration::from_micros(request.time_left.0 * 100)
+        + Duration::from_secs(1);
     loop {
         if session.host().ready {
-            session.hold(clock(), &ask.reply_to, 64);
+            session.hold(clock(), &request.reply_to, 64);
             if !sent {
-                sent =
-                    session.exchange(clock(), &ask.reply_to, None, "", &queue, properties.clone(), &ask.body);
+                sent = session.exchange(
+                    clock(),
+                    &request.reply_to,
+                    None,
+                    "",
+                    &queue,
+                    properties.clone(),
+                    &request.body,
+                );
             }
         }
         for (tag, properties, body) in std::mem::take(&mut session.host().delivered) {
             // Others' answers stay unacknowledged, and go back at the end.
-            if told.is_none() && properties.correlation_id().as_ref().is_some_and(|c| c.as_str() == ask.id) {
-                let (answer, why) = (text(&properties, "answer"), text(&properties, "why"));
-                told = Some((tag, Told { answer, why, body }));
-                session.acknowledge(clock(), &ask.reply_to, tag);
+            if received.is_none()
+                && properties.correlation_id().as_ref().is_some_and(|c| c.as_str() == request.id)
+            {
+                let (answer, reason) = (text_header(&properties, "answer"), text_header(&properties, "why"));
+                received = Some((tag, TriggerAnswer { answer, reason, body }));
+                session.acknowledge(clock(), &request.reply_to, tag);
             }
         }
-        let done = told.as_ref().is_some_and(|(tag, _)| session.host().committed.contains(tag));
+        let done = received.as_ref().is_some_and(|(tag, _)| session.host().committed.contains(tag));
         if done {
             session.close(clock());
         }
@@ -136,10 +148,10 @@
         }
         framed.flush().await.map_err(std::io::Error::other)?;
         if done {
-            return Ok(told.map(|(_, told)| told));
+            return Ok(received.map(|(_, received)| received));
         }
-        if let Some(why) = session.host().over.take() {
-            return Err(std::io::Error::other(why));
+        if let Some(reason) = session.host().closed.take() {
+            return Err(std::io::Error::other(reason));
         }
         tokio::select! {
             next = framed.next() => match next {
@@ -147,7 +159,7 @@
                 Some(Err(e)) => return Err(std::io::Error::other(e)),
                 None => return Err(std::io::ErrorKind::UnexpectedEof.into()),
             },
-            () = tokio::time::sleep_until(until) => return Ok(None),
+            () = tokio::time::sleep_until(deadline) => return Ok(None),
         }
     }
 }
--- a/crates/curlewpoint-lab/tests/caught.rs
+++ b/crates/curlewpoint-lab/tests/rule_checker.rs
@@ -3,11 +3,13 @@
 use std::net::SocketAddr;
 
 use curlewpoint::types::{Lifecycle, Time};
-use curlewpoint_emulator::{Row, StoreSpec, WorkerSpec};
+use curlewpoint_emulator::{ListEntry, StoreSpec, WorkerSpec};
 use curlewpoint_engine::Answer;
 use curlewpoint_gateway::answer_code;
-use curlewpoint_lab::stand::{ListStand, StoreStand, Trade, WorkerStand};
-use curlewpoint_lab::{judge, Office, Record, Script, Seen, Terms, Verdict, CONFIG};
+use curlewpoint_lab::test_servers::{MethodCost, TestListService, TestStore, TestWorker};
+use curlewpoint_lab::{
+    check_rules, NativeClient, RuleParameters, Script, Transcript, TranscriptEvent, Verdict, REHEARSAL_CONFIG,
+};
 use curlewpoint_link::{handshake, Link, LinkLimits};
 use curlewpoint_wire::{Field, Frame, Kind};
 use std::collections::BTreeMap;
@@ -16,7 +18,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_stream::StreamExt;
 
-const TRADE: Trade = Trade { work_ms: 20.0, memory_mb: 100.0, load_ms: 20.0, fetch_share: 0.5, lanes: 4 };
+const METHOD_COST: MethodCost =
+    MethodCost { work_ms: 20.0, memory_mb: 100.0, load_ms: 20.0, fetch_share: 0.5, lanes: 4 };
 
 /// What a scripted scheduler does with the RPC that it takes.
 #[derive(Clone, Copy, Debug)]
@@ -80,12 +83,16 @@
 
 /// Plays one RPC of this method through a scheduler that breaks something, and judges what passed.
 async fn play(method: &str, breaks: Breaks) -> Verdict {
-    let record = Record::default();
-    let store = StoreStand::start("127.0.0.1:0", &record, StoreSpec { lines: 8.0, thrash: 0.0, most: 99 })
-        .await
-        .unwrap();
-    let list = ListStand::start("127.0.0.1:0", &record, Time(0)).await.unwrap();
-    let config = curlewpoint_config::parse("rehearsal.conf", CONFIG).expect("it is shipped");
+    let transcript = Transcript::default();
+    let store = TestStore::start(
+        "127.0.0.1:0",
+        &transcript,
+        StoreSpec { parallel_fetches: 8.0, overload_penalty: 0.0, max_fetches: 99 },
+    )
+    .await
+    .unwrap();
+    let list = TestListService::start("127.0.0.1:0", &transcript, Time(0)).await.unwrap();
+    let config = curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG).expect("it is shipped");
     let of = |name| Time::from_ms(config.number("workers", name));
     let spec = WorkerSpec {
         cores: 2.0,
@@ -94,24 +101,25 @@
         queue: 500,
         memory_mb: 1000.0,
         loads_at_once: 4,
-        keep: Time(80_000),
-        cold_from: 0.25,
-        cold_for: of("warm-within"),
+        keep_alive: Time(80_000),
+        start_capacity: 0.25,
+        warm_within: of("warm-within"),
         fall_multiple: 2.0,
-        fall: of("fall-window"),
+        fall_window: of("fall-window"),
         adds_copies: true,
         answers_miss: false,
     };
-    let trades = Arc::new(config.methods().iter().map(|m| (m.clone(), TRADE)).collect::<BTreeMap<_, _>>());
-    let mut terms = Terms::of(&config);
+    let method_costs =
+        Arc::new(config.methods().iter().map(|m| (m.clone(), METHOD_COST)).collect::<BTreeMap<_, _>>());
+    let mut terms = RuleParameters::from_config(&config);
     let mut stands = Vec::new();
     for (no, name) in ["w0", "w1"].into_iter().enumerate() {
-        let stand = WorkerStand::start(
+        let stand = TestWorker::start(
             "127.0.0.1:0",
             name,
-            &record,
+            &transcript,
             spec,
-            Arc::clone(&trades),
+            Arc::clone(&method_costs),
             store.address,
             no as u64,
         )
@@ -119,14 +127,14 @@
         .unwrap();
         terms.groups.insert(name.to_owned(), (format!("cell-{no}"), format!("zone-{no}")));
         terms.capacity.insert(name.to_owned(), 2.0);
-        stand.holds("m", 100.0);
+        stand.preload("m", 100.0);
         stands.push(stand);
     }
-    terms.work = config.methods().iter().map(|m| (m.clone(), TRADE.work_ms)).collect();
+    terms.work = config.methods().iter().map(|m| (m.clone(), METHOD_COST.work_ms)).collect();
     if let Breaks::PushesACold = breaks {
-        stands[0].die();
-        stands[0].begin(true);
-        until(&record, |s| matches!(s, Seen::Started { .. })).await;
+        stands[0].kill();
+        stands[0].start_process(true);
+        until(&transcript, |s| matches!(s, TranscriptEvent::WorkerStarted { .. })).await;
     }
 
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -134,14 +142,14 @@
     let accepting = tokio::spawn(async move {
         handshake(listener.accept().await.unwrap().0, "front", LinkLimits::default()).await.unwrap()
     });
-    let office = Office::open(&address.to_string(), "front", &record).await.unwrap();
+    let rpc_client = NativeClient::open(&address.to_string(), "front", &transcript).await.unwrap();
     let client = accepting.await.unwrap();
     let workers = vec![link(stands[0].address).await, link(stands[1].address).await];
     let mut rogue = Rogue { client, workers, next: 0 };
 
-    office.ask(1, method, "m", "", Time(8_000), 32);
+    rpc_client.send_rpc(1, method, "m", "", Time(8_000), 32);
     let asked = rogue.client.reader.next().await.unwrap().unwrap();
-    misbehave(&mut rogue, &asked, breaks, &record, &list, &mut terms).await;
+    misbehave(&mut rogue, &asked, breaks, &transcript, &list, &mut terms).await;
     // The end of the day is known by an RPC of its own, sent when all else has arrived.
     let last = Frame::new(Kind::ATTEMPT).text(Field::METHOD, "read-fields").text(Field::MODEL, "m");
     let last = last.int(Field::TAG, 0).int(Field::TIME_LEFT, 9).body(99u64.to_be_bytes().to_vec());
@@ -153,17 +161,21 @@
     } else {
         2
     };
-    until_count(&record, wanted, |s| matches!(s, Seen::Arrived { key: 99, .. })).await;
+    until_count(&transcript, wanted, |s| matches!(s, TranscriptEvent::AttemptArrived { key: 99, .. })).await;
     if let Breaks::PushesACold = breaks {
-        until(&record, |s| matches!(s, Seen::Fell { .. })).await;
+        until(&transcript, |s| matches!(s, TranscriptEvent::WorkerOverloaded { .. })).await;
     }
-    let seen: Vec<_> =
-        record.all().into_iter().filter(|(_, s)| !matches!(s, Seen::Arrived { key: 99, .. })).collect();
-    judge(&terms, &seen)
+    let seen: Vec<_> = transcript
+        .events()
+        .into_iter()
+        .filter(|(_, s)| !matches!(s, TranscriptEvent::AttemptArrived { key: 99, .. }))
+        .collect();
+    check_rules(&terms, &seen)
 }
 
 async fn misbehave(
-    r: &mut Rogue, asked: &Frame, breaks: Breaks, record: &Record, list: &ListStand, terms: &mut Terms,
+    r: &mut Rogue, asked: &Frame, breaks: Breaks, transcript: &Transcript, list: &TestListService,
+    terms: &mut RuleParameters,
 ) {
     match breaks {
         Breaks::Nothing | Breaks::Twice | Breaks::Late | Breaks::CallsOutAfterTheAnswer => {
@@ -173,13 +185,14 @@
                 tokio::time::sleep(std::time::Duration::from_millis(850)).await;
             }
             r.answer(asked, Answer::Ok);
-            until(record, |s| matches!(s, Seen::Final { .. })).await;
+            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
             if let Breaks::Twice = breaks {
                 r.answer(asked, Answer::Aborted);
-                until_count(record, 2, |s| matches!(s, Seen::Final { .. })).await;
+                until_count(transcript, 2, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
             }
             if let Breaks::CallsOutAfterTheAnswer = breaks {
-                tokio::time::sleep(std::time::Duration::from_micros(terms.transit.0 * 100 + 20_000)).await;
+                tokio::time::sleep(std::time::Duration::from_micros(terms.max_transit.0 * 100 + 20_000))
+                    .await;
                 r.attempt(1, asked);
             }
         }
@@ -190,7 +203,7 @@
             r.attempt(1, asked);
             r.answered(1).await;
             r.answer(asked, Answer::Ok);
-            until(record, |s| matches!(s, Seen::Final { .. })).await;
+            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
         Breaks::RepeatsAfterTheSpan => {
             for group in terms.groups.values_mut() {
@@ -203,64 +216,75 @@
             }
             r.attempt(0, asked);
             r.answered(0).await;
-            tokio::time::sleep(std::time::Duration::from_micros(terms.transit.0 * 100 + 20_000)).await;
+            tokio::time::sleep(std::time::Duration::from_micros(terms.max_transit.0 * 100 + 20_000)).await;
             r.attempt(1, asked);
             r.answered(1).await;
             r.answer(asked, Answer::Ok);
-            until(record, |s| matches!(s, Seen::Final { .. })).await;
+            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
         Breaks::DeniesWhatMayHaveRun => {
             r.attempt(0, asked);
             r.answered(0).await;
             r.answer(asked, Answer::Denied);
-            until(record, |s| matches!(s, Seen::Final { .. })).await;
+            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
         Breaks::SendsToADrain | Breaks::OrdersAtADrain => {
             let mut watch = link(list.address).await;
             let (address, zone, cell) = ("127.0.0.1:1".to_owned(), "z".to_owned(), "c".to_owned());
-            list.set(
+            list.set_entry(
                 "w0",
-                Row { address, standing: Lifecycle::Draining, start: 1, since: None, zone, cell, size: 1.0 },
+                ListEntry {
+                    address,
+                    lifecycle: Lifecycle::Draining,
+                    start_id: 1,
+                    started_at: None,
+                    zone,
+                    cell,
+                    size: 1.0,
+                },
             );
             watch.outbox.send(Frame::new(Kind::WATCH), None).unwrap();
-            until(record, |s| matches!(s, Seen::Told { standing: Lifecycle::Draining, .. })).await;
+            until(transcript, |s| {
+                matches!(s, TranscriptEvent::ListEntrySent { lifecycle: Lifecycle::Draining, .. })
+            })
+            .await;
             while watch.reader.next().await.unwrap().unwrap().kind != Kind::LIST_END {}
             tokio::time::sleep(std::time::Duration::from_micros(
-                (terms.drain_grace + terms.transit).0 * 100 + 20_000,
+                (terms.drain_grace + terms.max_transit).0 * 100 + 20_000,
             ))
             .await;
             if let Breaks::OrdersAtADrain = breaks {
                 r.order(0);
-                until(record, |s| matches!(s, Seen::Ordered { .. })).await;
+                until(transcript, |s| matches!(s, TranscriptEvent::LoadOrdered { .. })).await;
             } else {
                 r.attempt(0, asked);
-                until(record, |s| matches!(s, Seen::Arrived { .. })).await;
+                until(transcript, |s| matches!(s, TranscriptEvent::AttemptArrived { .. })).await;
             }
             r.answer(asked, Answer::Aborted);
-            until(record, |s| matches!(s, Seen::Final { .. })).await;
+            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
         Breaks::PushesACold => {
             for _ in 0..200 {
                 r.attempt(0, asked);
             }
             r.answer(asked, Answer::Ok);
-            until(record, |s| matches!(s, Seen::Final { .. })).await;
+            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
         Breaks::OrdersTooMany => {
             (0..9).for_each(|_| r.order(0));
-            until_count(record, 9, |s| matches!(s, Seen::Ordered { .. })).await;
+            until_count(transcript, 9, |s| matches!(s, TranscriptEvent::LoadOrdered { .. })).await;
             r.answer(asked, Answer::Aborted);
-            until(record, |s| matches!(s, Seen::Final { .. })).await;
+            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
     }
 }
 
-async fn until(record: &Record, wanted: impl Fn(&Seen) -> bool) {
-    until_count(record, 1, wanted).await;
+async fn until(transcript: &Transcript, wanted: impl Fn(&TranscriptEvent) -> bool) {
+    until_count(transcript, 1, wanted).await;
 }
 
-async fn until_count(record: &Record, n: usize, wanted: impl Fn(&Seen) -> bool) {
-    record.until(|all| (all.iter().filter(|(_, s)| wanted(s)).count() >= n).then_some(())).await;
+async fn until_count(transcript: &Transcript, n: usize, wanted: impl Fn(&TranscriptEvent) -> bool) {
+    transcript.wait_for(|all| (all.iter().filter(|(_, s)| wanted(s)).count() >= n).then_some(())).await;
 }
 
 #[test_case("issue-extract", Breaks::Nothing, 0 ; "one that breaks nothing")]
@@ -280,22 +304,28 @@
 fn a_broken_rule_is_caught(method: &str, breaks: Breaks, rule: usize) {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
     let verdict = runtime.block_on(play(method, breaks));
-    let mut broken: Vec<usize> = verdict.breaks.iter().map(|b| b.rule).collect();
+    let mut broken: Vec<usize> = verdict.violations.iter().map(|b| b.rule).collect();
     broken.dedup();
     let want: Vec<usize> = (rule > 0).then_some(rule).into_iter().collect();
-    assert_eq!(broken, want, "{breaks:?}: {:?}", verdict.breaks);
+    assert_eq!(broken, want, "{breaks:?}: {:?}", verdict.violations);
 }
 
 /// Guards against a worker that nobody reaches, or whose port another takes, between its start and its first turn.
 #[tokio::test]
 async fn a_worker_can_be_reached_from_its_start() {
-    let record = Record::default();
+    let transcript = Transcript::default();
     let any = "127.0.0.1:0";
-    let store =
-        StoreStand::start(any, &record, StoreSpec { lines: 1.0, thrash: 0.0, most: 1 }).await.unwrap();
-    let config = curlewpoint_config::parse("rehearsal.conf", CONFIG).unwrap();
+    let store = TestStore::start(
+        any,
+        &transcript,
+        StoreSpec { parallel_fetches: 1.0, overload_penalty: 0.0, max_fetches: 1 },
+    )
+    .await
+    .unwrap();
+    let config = curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG).unwrap();
     let spec = Script::parse("x", "").unwrap().worker_spec(&config);
-    let worker = WorkerStand::start(any, "w", &record, spec, Arc::default(), store.address, 1).await.unwrap();
+    let worker =
+        TestWorker::start(any, "w", &transcript, spec, Arc::default(), store.address, 1).await.unwrap();
     // By a blocking socket: no task has had a turn since.
     std::net::TcpStream::connect(worker.address).expect("it is there");
 }
@@ -314,48 +344,48 @@
     let ms = |ms: u64| Time(36_000_000 + ms * 10);
     let (key, scheduler, method) = (1, "front".to_owned(), "read-fields".to_owned());
     let mut seen = vec![
-        (ms(1_000), Seen::Asked { key, scheduler, method, left: Time(20_000) }),
-        (ms(3_300), Seen::Final { key, answer: Answer::Denied }),
+        (ms(1_000), TranscriptEvent::RpcSent { key, scheduler, method, time_left: Time(20_000) }),
+        (ms(3_300), TranscriptEvent::FinalAnswer { key, answer: Answer::Denied }),
     ];
     for (who, since, until) in stalls {
         let scheduler = who.map(str::to_owned);
-        seen.push((ms(*until), Seen::Stalled { scheduler, since: ms(*since) }));
+        seen.push((ms(*until), TranscriptEvent::Stalled { scheduler, since: ms(*since) }));
     }
     seen.sort_by_key(|(at, _)| *at);
-    let config = curlewpoint_config::parse("rehearsal.conf", CONFIG).unwrap();
-    let verdict = judge(&Terms::of(&config), &seen);
-    assert_eq!(verdict.breaks.len(), broken, "{verdict}");
+    let config = curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG).unwrap();
+    let verdict = check_rules(&RuleParameters::from_config(&config), &seen);
+    assert_eq!(verdict.violations.len(), broken, "{verdict}");
 }
 
 /// A runtime whose threads are kept from turning says so, by its own clock.
 #[tokio::test]
 async fn a_thread_that_gets_no_turn_is_seen() {
-    let record = Record::default();
-    let began = record.now();
-    tokio::spawn(record.clone().feel_the_pulse());
+    let transcript = Transcript::default();
+    let began = transcript.now();
+    tokio::spawn(transcript.clone().watch_runtime_stalls());
     // What a scheduler's own thread sleeps away is no fault of the machine.
-    tokio::spawn(record.clone().watch_turns("front".to_owned()));
+    tokio::spawn(transcript.clone().watch_scheduler_stalls("front".to_owned()));
     tokio::task::yield_now().await;
-    let from = record.now();
+    let from = transcript.now();
     std::thread::sleep(std::time::Duration::from_millis(200));
-    let until = record.now();
-    let of_clients = |(at, seen): (Time, Seen)| match seen {
-        Seen::Stalled { scheduler: None, since } => Some((at, since)),
+    let until = transcript.now();
+    let of_clients = |(at, seen): (Time, TranscriptEvent)| match seen {
+        TranscriptEvent::Stalled { scheduler: None, since } => Some((at, since)),
         _ => None,
     };
     let (at, since) = loop {
-        if let Some(stall) = record.all().into_iter().find_map(of_clients) {
+        if let Some(stall) = transcript.events().into_iter().find_map(of_clients) {
             break stall;
         }
         tokio::task::yield_now().await;
     };
-    let all = record.all();
+    let all = transcript.events();
     let front = all.iter().filter_map(|(at, seen)| match seen {
-        Seen::Stalled { scheduler: Some(_), since } => Some((*at - *since).0),
+        TranscriptEvent::Stalled { scheduler: Some(_), since } => Some((*at - *since).0),
         _ => None,
     });
     // All but the time slept may have been spent in waiting for a processor.
-    let most = (record.now() - began).0 - 2_000;
+    let most = (transcript.now() - began).0 - 2_000;
     assert!(front.sum::<u64>() <= most, "{all:?}");
     assert!(since <= from + Time(100) && at >= until, "{since:?} to {at:?}, not {from:?} to {until:?}");
 }
--- a/crates/curlewpoint-lab/tests/sockets/amqp.rs
+++ b/crates/curlewpoint-lab/tests/sockets/amqp.rs
@@ -12,37 +12,37 @@
 use curlewpoint_config::Config;
 use curlewpoint_emulator::{BrokerFaults, Message};
 use curlewpoint_gateway::RunningScheduler;
-use curlewpoint_lab::stand::wire::Say;
-use curlewpoint_lab::stand::{BrokerStand, ListStand};
-use curlewpoint_lab::Record;
+use curlewpoint_lab::test_servers::wire::Outgoing;
+use curlewpoint_lab::test_servers::{TestBroker, TestListService};
+use curlewpoint_lab::Transcript;
 use curlewpoint_wire::Field;
 
-use crate::common::{config, name, Puppet};
+use crate::common::{config, name, ScriptedWorker};
 
 const EXTRACTS: &str = "curlewpoint.issue-extract";
 const QUEUES: [&str; 5] =
     [EXTRACTS, "curlewpoint.read-fields", "curlewpoint.read-register", "office", "curlewpoint.dead"];
 
-struct Office {
-    broker: BrokerStand,
-    list: ListStand,
+struct TriggerSetup {
+    broker: TestBroker,
+    list: TestListService,
     folder: PathBuf,
 }
 
-impl Drop for Office {
+impl Drop for TriggerSetup {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Office {
-    async fn open(test: &str, workers: &[&Puppet]) -> Office {
-        let broker = BrokerStand::start("127.0.0.1:0", &QUEUES).await.unwrap();
-        let list = ListStand::start("127.0.0.1:0", &Record::default(), Time(0)).await.unwrap();
+impl TriggerSetup {
+    async fn open(test: &str, workers: &[&ScriptedWorker]) -> TriggerSetup {
+        let broker = TestBroker::start("127.0.0.1:0", &QUEUES).await.unwrap();
+        let list = TestListService::start("127.0.0.1:0", &Transcript::default(), Time(0)).await.unwrap();
         workers.iter().for_each(|w| name(&list, w, Lifecycle::Ready));
         let folder = std::env::temp_dir().join(format!("curlewpoint-amqp-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        Office { broker, list, folder }
+        TriggerSetup { broker, list, folder }
     }
 
     fn config(&self, instance: &str) -> Config {
@@ -68,15 +68,15 @@
             .with_reply_to("office".into())
             .with_expiration("4000".into())
             .with_headers(headers);
-        self.broker.put(queue, with(plain), Bytes::from(id.to_owned()));
+        self.broker.enqueue(queue, with(plain), Bytes::from(id.to_owned()));
     }
 
     /// Waits until so many messages are in a queue.
     async fn waiting(&self, queue: &str, many: usize) -> Vec<Message> {
         let queues = [queue];
-        let coming = self.broker.until_waiting(&queues, many);
+        let coming = self.broker.wait_for_messages(&queues, many);
         let came = tokio::time::timeout(Duration::from_secs(30), coming).await;
-        let all = self.broker.waiting(queue).await;
+        let all = self.broker.messages(queue).await;
         assert!(came.is_ok(), "{} of {many} came to {queue}", all.len());
         all
     }
@@ -148,17 +148,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_message_is_decided_called_out_answered_and_gone() {
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("plain", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("plain", &[&a]).await;
     let gateway = o.gateway("front-1").await;
     o.ask(EXTRACTS, "m1", |p| p);
-    let asked = a.attempt().await;
+    let asked = a.next_attempt().await;
     let read = |f| asked.1.get_text(f).unwrap().to_owned();
     assert_eq!(
         (read(Field::METHOD), read(Field::MODEL), read(Field::TOKEN)),
         ("issue-extract".into(), "births".into(), "m1".into())
     );
-    a.answer(&asked, Outcome::Ok);
+    a.respond(&asked, Outcome::Ok);
     let told = o.waiting("office", 1).await;
     assert_eq!((answer(&told[0]), &told[0].body[..]), (said("m1", "ok"), &b"m1"[..]));
     described(&told[0], "issue-extract");
@@ -169,10 +169,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_cannot_be_read_goes_to_the_dead_letters_and_what_is_refused_is_denied() {
-    let a = Puppet::start("a").await;
-    let o = Office::open("poison", &[&a]).await;
+    let a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("poison", &[&a]).await;
     let gateway = o.gateway("front-1").await;
-    o.broker.put(
+    o.broker.enqueue(
         EXTRACTS,
         AMQPProperties::default().with_reply_to("office".into()),
         Bytes::from_static(b"who"),
@@ -197,13 +197,13 @@
 /// The connection drops while a worker has the extract: it comes again, and the answer is that of the one attempt.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dropped_connection_does_not_run_an_extract_twice() {
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("drop", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("drop", &[&a]).await;
     let gateway = o.gateway("front-1").await;
     o.ask(EXTRACTS, "m1", |p| p);
-    let asked = a.attempt().await;
-    o.broker.drop_all();
-    a.answer(&asked, Outcome::Ok);
+    let asked = a.next_attempt().await;
+    o.broker.disconnect_all();
+    a.respond(&asked, Outcome::Ok);
     let told = o.waiting("office", 1).await;
     assert_eq!(answer(&told[0]), said("m1", "ok"));
     let f = end(gateway).await;
@@ -214,13 +214,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_commit_that_is_cut_off_answers_once() {
     for done in [false, true] {
-        let mut a = Puppet::start("a").await;
-        let o = Office::open(&format!("commit-{done}"), &[&a]).await;
+        let mut a = ScriptedWorker::start("a").await;
+        let o = TriggerSetup::open(&format!("commit-{done}"), &[&a]).await;
         let gateway = o.gateway("front-1").await;
-        o.broker.drop_at_commit(done);
+        o.broker.disconnect_at_commit(done);
         o.ask(EXTRACTS, "m1", |p| p);
-        let asked = a.attempt().await;
-        a.answer(&asked, Outcome::Ok);
+        let asked = a.next_attempt().await;
+        a.respond(&asked, Outcome::Ok);
         let told = o.waiting("office", 1).await;
         assert_eq!(answer(&told[0]), said("m1", "ok"), "{done}");
         let f = end(gateway).await;
@@ -232,17 +232,17 @@
 /// One instance is killed while it has the extract out; another gets the message, and must not run it.
 #[tokio::test(flavor = "multi_thread")]
 async fn another_instance_ends_a_redelivered_extract_aborted_and_repeats_a_read() {
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("another", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("another", &[&a]).await;
     let first = Killable::start(o.config("front-1")).await;
     o.ask(EXTRACTS, "extract", |p| p);
     o.ask("curlewpoint.read-fields", "read", |p| p);
-    let out = [a.attempt().await, a.attempt().await];
+    let out = [a.next_attempt().await, a.next_attempt().await];
     first.kill().await;
     let second = o.gateway("front-2").await;
-    let again = a.attempt().await;
+    let again = a.next_attempt().await;
     assert_eq!(again.1.get_text(Field::METHOD).unwrap(), "read-fields");
-    a.answer(&again, Outcome::Ok);
+    a.respond(&again, Outcome::Ok);
     let mut told: Vec<_> = o.waiting("office", 2).await.iter().map(answer).collect();
     told.sort();
     assert_eq!(told, [said("extract", "aborted"), said("read", "ok")]);
@@ -253,12 +253,12 @@
 /// A broker that forgets what it has delivered: the journal of the instance knows.
 #[tokio::test(flavor = "multi_thread")]
 async fn after_a_kill_the_journal_keeps_an_extract_from_running_twice() {
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("journal", &[&a]).await;
-    o.broker.faults(BrokerFaults { forgets_marks: true, ..BrokerFaults::default() });
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("journal", &[&a]).await;
+    o.broker.set_faults(BrokerFaults { omits_redelivered: true, ..BrokerFaults::default() });
     let first = Killable::start(o.config("front-1")).await;
     o.ask(EXTRACTS, "m1", |p| p);
-    let _out = a.attempt().await;
+    let _out = a.next_attempt().await;
     first.kill().await;
     let next = o.gateway("front-1").await;
     let told = o.waiting("office", 1).await;
@@ -268,20 +268,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_gives_back_what_it_has_not_sent_and_answers_the_rest() {
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("stop", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("stop", &[&a]).await;
     let gateway = o.gateway("front-1").await;
     o.ask(EXTRACTS, "m1", |p| p);
-    let asked = a.attempt().await;
+    let asked = a.next_attempt().await;
     gateway.stop().await;
     o.ask(EXTRACTS, "m2", |p| p);
-    a.answer(&asked, Outcome::Ok);
+    a.respond(&asked, Outcome::Ok);
     assert_eq!(gateway.wait().await.ok, 1);
     assert_eq!(answer(&o.waiting("office", 1).await[0]), said("m1", "ok"));
     // Another instance serves the one that was left, as it was not sent.
     let next = o.gateway("front-2").await;
-    let left = a.attempt().await;
-    a.answer(&left, Outcome::Ok);
+    let left = a.next_attempt().await;
+    a.respond(&left, Outcome::Ok);
     let told: Vec<_> = o.waiting("office", 2).await.iter().map(answer).collect();
     assert_eq!(told[1], said("m2", "ok"));
     end(next).await;
@@ -294,8 +294,8 @@
         BasicConsumeArguments, BasicPublishArguments, ConfirmSelectArguments, QueueDeclareArguments,
     };
     use amqprs::connection::{Connection, OpenConnectionArguments};
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("library", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("library", &[&a]).await;
     let gateway = o.gateway("front-1").await;
     let port = o.broker.address.port();
     let connection =
@@ -311,8 +311,8 @@
     properties.with_message_id("m1").with_reply_to("replies").with_expiration("4000").with_headers(headers);
     let to = BasicPublishArguments::new("", EXTRACTS);
     channel.basic_publish(properties.finish(), b"page 1".to_vec(), to).await.unwrap();
-    let asked = a.attempt().await;
-    a.answer(&asked, Outcome::Ok);
+    let asked = a.next_attempt().await;
+    a.respond(&asked, Outcome::Ok);
     let answer = answers.recv().await.unwrap();
     let told = answer.basic_properties.unwrap();
     assert_eq!(
@@ -327,10 +327,10 @@
 /// A body that its method's schema refuses is denied with the place, and nothing is sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_that_does_not_fit_is_denied_with_its_place() {
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("unfit", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("unfit", &[&a]).await;
     let schema = "method issue-extract {\n  request-schema asked.json";
-    let text = curlewpoint_lab::CONFIG.replace("method issue-extract {", schema);
+    let text = curlewpoint_lab::REHEARSAL_CONFIG.replace("method issue-extract {", schema);
     std::fs::write(o.folder.join("gateway.conf"), text).unwrap();
     std::fs::write(o.folder.join("asked.json"), r#"{"required": ["page"]}"#).unwrap();
     let config = curlewpoint_config::load(o.folder.join("gateway.conf")).unwrap_or_else(|f| panic!("{f}"));
@@ -344,9 +344,9 @@
     let why = told[0].properties.headers().as_ref().and_then(|h| h.inner().get("why"));
     assert_eq!(why, Some(&AMQPValue::LongString("unfit: expected value at line 1 column 1".into())));
     o.ask("curlewpoint.read-fields", "m2", |p| p);
-    let asked = a.attempt().await;
+    let asked = a.next_attempt().await;
     assert_eq!(asked.1.get_text(Field::TOKEN).unwrap(), "m2", "nothing was sent for the first");
-    a.answer(&asked, Outcome::Ok);
+    a.respond(&asked, Outcome::Ok);
     o.waiting("office", 2).await;
     assert_eq!(end(gateway).await.attempts, 1);
 }
@@ -354,15 +354,15 @@
 /// A delivery cut in its middle was never read, but the broker cannot know: it comes again, marked.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_delivery_cut_in_its_middle_comes_again() {
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("cut", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("cut", &[&a]).await;
     let gateway = o.gateway("front-1").await;
     for (queue, id, word) in [("curlewpoint.read-fields", "read", "ok"), (EXTRACTS, "extract", "aborted")] {
         o.broker.cut_delivery();
         o.ask(queue, id, |p| p);
         if word == "ok" {
-            let asked = a.attempt().await;
-            a.answer(&asked, Outcome::Ok);
+            let asked = a.next_attempt().await;
+            a.respond(&asked, Outcome::Ok);
         }
         assert_eq!(
             answer(o.waiting("office", if word == "ok" { 1 } else { 2 }).await.last().unwrap()),
@@ -375,20 +375,20 @@
 /// A broker that reads and writes nothing while its connection stays up is given up, and the answer waits for it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broker_that_stands_still_is_given_up_and_its_message_answered_once() {
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("still", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("still", &[&a]).await;
     let gateway =
         curlewpoint_gateway::start(&o.config("front-1").with_block_value("amqp", "heartbeat", "1s"))
             .await
             .unwrap();
     o.ask(EXTRACTS, "m1", |p| p.with_expiration("20000".into()));
-    let asked = a.attempt().await;
-    o.broker.mute(true);
-    a.answer(&asked, Outcome::Ok);
+    let asked = a.next_attempt().await;
+    o.broker.set_muted(true);
+    a.respond(&asked, Outcome::Ok);
     // Nothing is heard for two heartbeats: another connection is opened. The broker then finds the old one ended.
-    let given_up = tokio::time::timeout(Duration::from_secs(30), o.broker.until_accepted(2)).await;
+    let given_up = tokio::time::timeout(Duration::from_secs(30), o.broker.wait_for_connections(2)).await;
     assert!(given_up.is_ok(), "it is not given up");
-    o.broker.mute(false);
+    o.broker.set_muted(false);
     assert_eq!(answer(&o.waiting("office", 1).await[0]), said("m1", "ok"));
     let f = end(gateway).await;
     assert_eq!((f.attempts, o.waiting("office", 1).await.len()), (1, 1));
@@ -398,8 +398,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broker_behind_tls_has_to_be_the_one_that_is_meant() {
     use tokio_rustls::rustls::pki_types::{PrivateKeyDer, PrivatePkcs8KeyDer};
-    let mut a = Puppet::start("a").await;
-    let o = Office::open("tls", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let o = TriggerSetup::open("tls", &[&a]).await;
     let made = rcgen::generate_simple_self_signed(vec!["broker.test".to_owned()]).unwrap();
     std::fs::write(o.folder.join("roots.pem"), made.cert.pem()).unwrap();
     let key = PrivateKeyDer::Pkcs8(PrivatePkcs8KeyDer::from(made.signing_key.serialize_der()));
@@ -439,8 +439,8 @@
     let right =
         curlewpoint_gateway::start(&tls.with_block_value("amqp", "tls-name", "broker.test")).await.unwrap();
     o.ask(EXTRACTS, "m1", |p| p);
-    let asked = a.attempt().await;
-    a.answer(&asked, Outcome::Ok);
+    let asked = a.next_attempt().await;
+    a.respond(&asked, Outcome::Ok);
     assert_eq!(answer(&o.waiting("office", 1).await[0]), said("m1", "ok"));
     end(right).await;
     let none = o.config("front-2").with_block_value("amqp", "tls-roots", "/nowhere.pem");
@@ -448,10 +448,10 @@
 }
 
 /// Answers every attempt after a while, and counts by message what ran.
-fn works(mut a: Puppet, ran: Arc<Mutex<BTreeMap<String, u32>>>) -> tokio::task::JoinHandle<()> {
+fn works(mut a: ScriptedWorker, ran: Arc<Mutex<BTreeMap<String, u32>>>) -> tokio::task::JoinHandle<()> {
     tokio::spawn(async move {
         loop {
-            let asked = a.attempt().await;
+            let asked = a.next_attempt().await;
             let id = asked.1.get_text(Field::TOKEN).unwrap().to_owned();
             *ran.lock().unwrap().entry(id).or_default() += 1;
             // Some answers take longer, so that there is always something out when trouble comes.
@@ -459,7 +459,7 @@
                 tokio::time::sleep(Duration::from_millis(15)).await;
             }
             if let Some(say) = a.peers.get(&asked.0) {
-                let _ = say.send(Say::Frame(crate::common::answer(&asked.1, Outcome::Ok)));
+                let _ = say.send(Outgoing::Frame(crate::common::encode_answer(&asked.1, Outcome::Ok)));
             }
         }
     })
@@ -481,8 +481,8 @@
 /// cancels. Each message has one answer, no extract ran twice, and each answer is true to what the workers saw.
 async fn morning(rounds: usize, each: usize) {
     let ran = Arc::new(Mutex::new(BTreeMap::new()));
-    let (a, b) = (Puppet::start("a").await, Puppet::start("b").await);
-    let o = Office::open(&format!("morning-{rounds}"), &[&a, &b]).await;
+    let (a, b) = (ScriptedWorker::start("a").await, ScriptedWorker::start("b").await);
+    let o = TriggerSetup::open(&format!("morning-{rounds}"), &[&a, &b]).await;
     let _works = [works(a, Arc::clone(&ran)), works(b, Arc::clone(&ran))];
     let doomed = Killable::start(o.config("front-1")).await;
     let gateways = [o.gateway("front-2").await, o.gateway("front-3").await, o.gateway("front-4").await];
@@ -497,8 +497,8 @@
         // Trouble comes when some of the round is answered and some is not.
         o.waiting("office", (round * 2 * each + each / 2).min(round * 2 * each + 5)).await;
         match round % 8 {
-            1 | 3 | 6 => o.broker.drop_all(),
-            2 => o.broker.block(true),
+            1 | 3 | 6 => o.broker.disconnect_all(),
+            2 => o.broker.set_blocked(true),
             4 => {
                 if let Some(doomed) = doomed.take() {
                     doomed.kill().await;
@@ -508,7 +508,7 @@
             _ => {}
         }
         if round % 8 == 2 {
-            o.broker.block(false);
+            o.broker.set_blocked(false);
         }
         o.waiting("office", (round + 1) * 2 * each).await;
     }
--- a/crates/curlewpoint-lab/tests/sockets/common.rs
+++ b/crates/curlewpoint-lab/tests/sockets/common.rs
@@ -2,14 +2,14 @@
 
 use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_config::Config;
-use curlewpoint_emulator::Row;
+use curlewpoint_emulator::ListEntry;
 use curlewpoint_gateway::RunningScheduler;
-use curlewpoint_lab::stand::ListStand;
-pub use curlewpoint_lab::stand::{answer, Puppet};
-use curlewpoint_lab::{Office, Record, Seen, CONFIG};
+use curlewpoint_lab::test_servers::TestListService;
+pub use curlewpoint_lab::test_servers::{encode_answer, ScriptedWorker};
+use curlewpoint_lab::{NativeClient, Transcript, TranscriptEvent, REHEARSAL_CONFIG};
 
 pub fn config() -> Config {
-    patient(curlewpoint_config::parse("rehearsal.conf", CONFIG).expect("it is shipped"))
+    patient(curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG).expect("it is shipped"))
 }
 
 /// A dial that hangs counts as a dead worker only after so long that no busy machine comes near it: no test on sockets is
@@ -20,52 +20,65 @@
 
 /// A gateway with its list service, and a client.
 pub struct Stage {
-    pub record: Record,
-    pub list: ListStand,
+    pub transcript: Transcript,
+    pub list: TestListService,
     pub gateway: RunningScheduler,
-    pub office: Office,
+    pub client: NativeClient,
 }
 
 impl Stage {
-    pub async fn with(config: Config, workers: &[&Puppet]) -> Stage {
-        let record = Record::default();
-        let list = ListStand::start("127.0.0.1:0", &record, Time(0)).await.expect("loopback");
+    pub async fn with(config: Config, workers: &[&ScriptedWorker]) -> Stage {
+        let transcript = Transcript::default();
+        let list = TestListService::start("127.0.0.1:0", &transcript, Time(0)).await.expect("loopback");
         workers.iter().for_each(|w| name(&list, w, Lifecycle::Ready));
         let config = patient(config).with_value("list", &list.address.to_string());
         let gateway = curlewpoint_gateway::start(&config).await.expect("loopback");
-        let office = Office::open(&gateway.address.to_string(), "front", &record).await.expect("it serves");
-        Stage { record, list, gateway, office }
+        let client =
+            NativeClient::open(&gateway.address.to_string(), "front", &transcript).await.expect("it serves");
+        Stage { transcript, list, gateway, client }
     }
 
-    pub async fn new(workers: &[&Puppet]) -> Stage {
+    pub async fn new(workers: &[&ScriptedWorker]) -> Stage {
         Stage::with(config().with_value("seed", "7"), workers).await
     }
 
     pub fn ask(&self, key: u64, method: &str, left_ms: u64) {
-        self.office.ask(key, method, "model", "", Time(left_ms * 10), 64);
+        self.client.send_rpc(key, method, "model", "", Time(left_ms * 10), 64);
     }
 
     /// Waits until what was seen holds this, and gives it with its time.
-    pub async fn until(&self, wanted: impl Fn(&Seen) -> bool) -> (Time, Seen) {
-        let found = self.record.until(|all| all.into_iter().find(|(_, s)| wanted(s)));
+    pub async fn until(&self, wanted: impl Fn(&TranscriptEvent) -> bool) -> (Time, TranscriptEvent) {
+        let found = self.transcript.wait_for(|all| all.into_iter().find(|(_, s)| wanted(s)));
         let found = tokio::time::timeout(std::time::Duration::from_secs(30), found).await;
-        found.unwrap_or_else(|_| panic!("what was waited for did not come: {:?}", self.record.all()))
+        found.unwrap_or_else(|_| panic!("what was waited for did not come: {:?}", self.transcript.events()))
     }
 
     pub async fn final_of(&self, key: u64) -> curlewpoint_engine::Answer {
-        match self.until(|s| matches!(s, Seen::Final { key: k, .. } if *k == key)).await.1 {
-            Seen::Final { answer, .. } => answer,
+        match self.until(|s| matches!(s, TranscriptEvent::FinalAnswer { key: k, .. } if *k == key)).await.1 {
+            TranscriptEvent::FinalAnswer { answer, .. } => answer,
             _ => unreachable!("it was looked for"),
         }
     }
 
     pub fn finals(&self, key: u64) -> usize {
-        self.record.all().iter().filter(|(_, s)| matches!(s, Seen::Final { key: k, .. } if *k == key)).count()
+        self.transcript
+            .events()
+            .iter()
+            .filter(|(_, s)| matches!(s, TranscriptEvent::FinalAnswer { key: k, .. } if *k == key))
+            .count()
     }
 }
 
-pub fn name(list: &ListStand, w: &Puppet, standing: Lifecycle) {
+pub fn name(list: &TestListService, w: &ScriptedWorker, standing: Lifecycle) {
     let (zone, cell) = ("z".to_owned(), "c".to_owned());
-    let row = Row { address: w.address.to_string(), standing, start: 1, since: None, zone, cell, size: 1.0 };
-    list.set(&w.name, row);
+    let row = ListEntry {
+        address: w.address.to_string(),
+        lifecycle: standing,
+        start_id: 1,
+        started_at: None,
+        zone,
+        cell,
+        size: 1.0,
+    };
+    list.set_entry(&w.name, row);
 }
--- a/crates/curlewpoint-lab/tests/sockets/http.rs
+++ b/crates/curlewpoint-lab/tests/sockets/http.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-use crate::common::{patient, Puppet, Stage};
+use crate::common::{patient, ScriptedWorker, Stage};
 use crate::document::{fits, operations, Draw};
 use curlewpoint::types::Outcome;
 use curlewpoint_engine::Answer;
-use curlewpoint_lab::stand::wire::Say;
-use curlewpoint_lab::{Called, CONFIG};
+use curlewpoint_lab::test_servers::wire::Outgoing;
+use curlewpoint_lab::{CallOutcome, REHEARSAL_CONFIG};
 use curlewpoint_wire::{Field, Frame, Kind};
 use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -58,13 +58,13 @@
 
 const JSON: &str = "content-type: application/json\r\n";
 
-struct Door {
+struct HttpGateway {
     stage: Stage,
     http: String,
     folder: Folder,
 }
 
-impl Door {
+impl HttpGateway {
     /// Reloads with these changes to the file that it was started with.
     async fn reload(&self, changes: &[(&str, &str)]) -> Result<(), curlewpoint_gateway::ReloadError> {
         let path = self.folder.0.join("gateway.conf");
@@ -90,12 +90,12 @@
 }
 
 /// The rehearsal's methods, with schemas for one of them.
-async fn door(name: &str, workers: &[&Puppet]) -> Door {
+async fn start_gateway(name: &str, workers: &[&ScriptedWorker]) -> HttpGateway {
     let folder = std::env::temp_dir().join(format!("curlewpoint-http-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let write = |file: &str, text: &str| std::fs::write(folder.join(file), text).unwrap();
     let schemas = "method issue-extract {\n  request-schema asked.json\n  answer-schema told.json\n  example pages.json\n";
-    let text = CONFIG.replace("method issue-extract {\n", schemas);
+    let text = REHEARSAL_CONFIG.replace("method issue-extract {\n", schemas);
     let text = text.replace("dial-limit 250ms", "dial-limit 250ms\n  http-slow 300ms\n  most-frame 64KiB");
     write("gateway.conf", &format!("http 127.0.0.1:0\n{text}"));
     write(
@@ -107,15 +107,15 @@
     let config = curlewpoint_config::load(folder.join("gateway.conf")).unwrap_or_else(|f| panic!("{f}"));
     let stage = Stage::with(config.with_value("seed", "7"), workers).await;
     let http = stage.gateway.http.expect("it has the door").to_string();
-    Door { stage, http, folder: Folder(folder) }
+    HttpGateway { stage, http, folder: Folder(folder) }
 }
 
 /// A worker that answers every attempt with its own body.
-fn echo(mut a: Puppet) -> tokio::task::JoinHandle<()> {
+fn echo(mut a: ScriptedWorker) -> tokio::task::JoinHandle<()> {
     tokio::spawn(async move {
         loop {
-            let asked = a.attempt().await;
-            a.answer(&asked, Outcome::Ok);
+            let asked = a.next_attempt().await;
+            a.respond(&asked, Outcome::Ok);
         }
     })
 }
@@ -129,8 +129,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn every_published_operation_is_served_and_every_answer_of_the_door_is_described() {
-    let a = Puppet::start("a").await;
-    let d = door("both-ways", &[&a]).await;
+    let a = ScriptedWorker::start("a").await;
+    let d = start_gateway("both-ways", &[&a]).await;
     let _serving = echo(a);
     let document = send(&d.http, "GET", "/openapi.json", "", b"").await.json();
     let paths = document["paths"].as_object().unwrap();
@@ -192,8 +192,8 @@
 /// The three final answers, each caused for real, and an answer that is not what was promised.
 #[tokio::test(flavor = "multi_thread")]
 async fn ok_denied_and_aborted_are_kept_apart() {
-    let mut a = Puppet::start("a").await;
-    let d = door("three", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let d = start_gateway("three", &[&a]).await;
     let document = send(&d.http, "GET", "/openapi.json", "", b"").await.json();
     let path = "/v1/issue-extract/{model}";
     let http = d.http.clone();
@@ -204,18 +204,18 @@
         })
     };
     let call = issue();
-    let (peer, f) = a.attempt().await;
+    let (peer, f) = a.next_attempt().await;
     assert_eq!(f.get_text(Field::MODEL).unwrap(), "büro");
-    a.answer(&(peer, f), Outcome::Ok);
+    a.respond(&(peer, f), Outcome::Ok);
     let ok = call.await.unwrap();
     assert_eq!((ok.status, ok.body.as_slice()), (200, &br#"{"page": 3}"#[..]));
     described(&document, path, &ok);
     // It has run, but its answer breaks its schema: no ok, and as it is side-effecting no second attempt either.
     let call = issue();
-    let (peer, f) = a.attempt().await;
+    let (peer, f) = a.next_attempt().await;
     let tag = f.get_int(Field::TAG).unwrap();
     let unfit = Frame::new(Kind::ANSWER).int(Field::TAG, tag).int(Field::OUTCOME, 0).body(&b"{}"[..]);
-    a.say(peer, Say::Frame(unfit));
+    a.send(peer, Outgoing::Frame(unfit));
     let aborted = call.await.unwrap();
     assert_eq!((aborted.status, aborted.json()["type"].as_str()), (502, Some("/problems/aborted")));
     assert!(aborted.json()["rpc"].is_string());
@@ -224,7 +224,13 @@
     crate::common::name(&d.stage.list, &a, curlewpoint::types::Lifecycle::Draining);
     d.stage
         .until(|s| {
-            matches!(s, curlewpoint_lab::Seen::Told { standing: curlewpoint::types::Lifecycle::Draining, .. })
+            matches!(
+                s,
+                curlewpoint_lab::TranscriptEvent::ListEntrySent {
+                    lifecycle: curlewpoint::types::Lifecycle::Draining,
+                    ..
+                }
+            )
         })
         .await;
     let denied = issue().await.unwrap();
@@ -235,8 +241,8 @@
 /// What clients see of a method that is to go, has gone, and has changed, and what an RPC that was open meanwhile gets.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_reload_changes_what_is_served_and_described_and_nothing_that_is_open() {
-    let mut a = Puppet::start("a").await;
-    let d = door("reload", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let d = start_gateway("reload", &[&a]).await;
     let before = send(&d.http, "GET", "/openapi.json", "", b"").await;
     let issue = |page: u64| {
         let (http, body) = (d.http.clone(), format!("{{\"page\": {page}}}"));
@@ -244,21 +250,21 @@
     };
     // It is told that it goes, and is served with that word; its request is narrowed and its answer is another one.
     let open = issue(390);
-    let (peer, f) = a.attempt().await;
+    let (peer, f) = a.next_attempt().await;
     std::fs::write(d.folder.0.join("asked.json"), r#"{"properties": {"page": {"maximum": 300}}}"#).unwrap();
     std::fs::write(d.folder.0.join("told.json"), r#"{"type": "object", "required": ["extract"]}"#).unwrap();
     let told = "method issue-extract {\n  deprecated 2026-11-01\n  sunset 2027-03-01";
     d.reload(&[("method issue-extract {", told)]).await.unwrap();
     assert_eq!(issue(390).await.unwrap().status, 422);
     // What was taken before the reload ends by the schema of its time.
-    a.answer(&(peer, f), Outcome::Ok);
+    a.respond(&(peer, f), Outcome::Ok);
     assert_eq!(open.await.unwrap().status, 200);
     let call = issue(3);
-    let (peer, f) = a.attempt().await;
+    let (peer, f) = a.next_attempt().await;
     let tag = f.get_int(Field::TAG).unwrap();
     let new =
         Frame::new(Kind::ANSWER).int(Field::TAG, tag).int(Field::OUTCOME, 0).body(&b"{\"extract\": 1}"[..]);
-    a.say(peer, Say::Frame(new));
+    a.send(peer, Outgoing::Frame(new));
     let ok = call.await.unwrap();
     assert_eq!(
         (ok.status, ok.header("deprecation").as_deref(), ok.header("sunset").as_deref()),
@@ -298,9 +304,9 @@
 }"#;
 
 /// All three methods with schemas: JSON to JSON, bytes to JSON, JSON to bytes. A worker answers with drawn bodies.
-async fn described_door(name: &str) -> (Door, Puppet) {
-    let a = Puppet::start("a").await;
-    let d = door(name, &[&a]).await;
+async fn start_described_gateway(name: &str) -> (HttpGateway, ScriptedWorker) {
+    let a = ScriptedWorker::start("a").await;
+    let d = start_gateway(name, &[&a]).await;
     std::fs::write(d.folder.0.join("asked-fields.json"), ASKED).unwrap();
     std::fs::write(d.folder.0.join("told-fields.json"), TOLD).unwrap();
     d.reload(&[
@@ -319,17 +325,17 @@
     (d, a)
 }
 
-fn drawing(mut a: Puppet) -> tokio::task::JoinHandle<()> {
+fn drawing(mut a: ScriptedWorker) -> tokio::task::JoinHandle<()> {
     let (told, mut draw) = (serde_json::from_str::<Value>(TOLD).unwrap(), Draw::new(5));
     tokio::spawn(async move {
         loop {
-            let (peer, f) = a.attempt().await;
+            let (peer, f) = a.next_attempt().await;
             let answer = match f.get_text(Field::METHOD).unwrap() {
                 "issue-extract" => b"%PDF".to_vec(),
                 _ => draw.value(&told).to_string().into_bytes(),
             };
             let frame = Frame::new(Kind::ANSWER).int(Field::TAG, f.get_int(Field::TAG).unwrap());
-            a.say(peer, Say::Frame(frame.int(Field::OUTCOME, 0).body(answer)));
+            a.send(peer, Outgoing::Frame(frame.int(Field::OUTCOME, 0).body(answer)));
         }
     })
 }
@@ -338,7 +344,7 @@
 /// what the document says; then with bodies that were changed, and the door's word is that of the published schema.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_client_driven_by_the_document_alone_is_served_and_refused_as_it_says() {
-    let (d, a) = described_door("alone").await;
+    let (d, a) = start_described_gateway("alone").await;
     let _serving = drawing(a);
     let document = send(&d.http, "GET", "/openapi.json", "", b"").await.json();
     let mut draw = Draw::new(11);
@@ -385,7 +391,7 @@
 /// Taking any one line out of the document that speaks of what was seen is caught, and so is taking out a route.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_document_that_lacks_a_line_is_caught() {
-    let (d, a) = described_door("lacks").await;
+    let (d, a) = start_described_gateway("lacks").await;
     let _serving = drawing(a);
     let document = send(&d.http, "GET", "/openapi.json", "", b"").await.json();
     let path = "/v1/read-register/{model}";
@@ -422,8 +428,8 @@
 /// Both doors refuse the same bodies.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_native_door_refuses_what_does_not_fit_as_well() {
-    let a = Puppet::start("a").await;
-    let d = door("native", &[&a]).await;
+    let a = ScriptedWorker::start("a").await;
+    let d = start_gateway("native", &[&a]).await;
     let _serving = echo(a);
     let native = d.stage.gateway.address.to_string();
     let call = |body: &'static [u8]| {
@@ -431,19 +437,19 @@
         curlewpoint_lab::call(&native, "issue-extract", "m", "", curlewpoint::types::Time(9_000), None, body)
     };
     let told = call(br#"{"page": 401}"#).await.unwrap();
-    assert!(matches!(&told, Called::Refused(why) if why.starts_with("unfit: at '/page'")), "{told:?}");
-    assert!(matches!(call(br#"{"page": 4}"#).await.unwrap(), Called::Final { answer: Answer::Ok, .. }));
-    let Stage { gateway, office, .. } = d.stage;
+    assert!(matches!(&told, CallOutcome::Refused(why) if why.starts_with("unfit: at '/page'")), "{told:?}");
+    assert!(matches!(call(br#"{"page": 4}"#).await.unwrap(), CallOutcome::Final { answer: Answer::Ok, .. }));
+    let Stage { gateway, client, .. } = d.stage;
     gateway.stop().await;
-    office.ended().await;
+    client.wait_closed().await;
     let f = gateway.wait().await;
     assert_eq!((f.taken, f.refused), (1, 1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn odd_requests_take_nothing() {
-    let a = Puppet::start("a").await;
-    let d = door("odd", &[&a]).await;
+    let a = ScriptedWorker::start("a").await;
+    let d = start_gateway("odd", &[&a]).await;
     let _serving = echo(a);
     for path in [
         "/v1/issue-extract/",
@@ -470,23 +476,23 @@
 /// A client that goes away while its RPC is open is owed nothing; a stop answers those that stay.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_client_that_hangs_up_is_let_go_and_a_stop_answers_the_rest() {
-    let mut a = Puppet::start("a").await;
-    let d = door("stop", &[&a]).await;
+    let mut a = ScriptedWorker::start("a").await;
+    let d = start_gateway("stop", &[&a]).await;
     let mut gone = TcpStream::connect(&d.http).await.unwrap();
     let request = "POST /v1/read-fields/m HTTP/1.1\r\nhost: x\r\ncontent-type: application/octet-stream\r\ncontent-length: 1\r\n\r\nx";
     gone.write_all(request.as_bytes()).await.unwrap();
-    let _first = a.attempt().await;
+    let _first = a.next_attempt().await;
     drop(gone);
     let http = d.http.clone();
     let stays = tokio::spawn(async move {
         send(&http, "POST", "/v1/read-fields/m", "content-type: application/octet-stream\r\n", b"x").await
     });
-    let second = a.attempt().await;
+    let second = a.next_attempt().await;
     d.stage.gateway.stop().await;
-    a.answer(&second, Outcome::Ok);
+    a.respond(&second, Outcome::Ok);
     assert_eq!(stays.await.unwrap().status, 200);
-    let Stage { gateway, office, .. } = d.stage;
-    office.ended().await;
+    let Stage { gateway, client, .. } = d.stage;
+    client.wait_closed().await;
     let f = gateway.wait().await;
     assert_eq!((f.taken, f.ok, f.left), (2, 1, 1));
 }
