--- a/crates/curlewpoint-lab/tests/sockets/doors.rs
+++ b/crates/curlewpoint-lab/tests/sockets/listeners.rs
@@ -3,10 +3,10 @@
 use std::io::{Read, Write};
 use std::net::TcpStream as Blocking;
 
-use crate::common::{config, Puppet, Stage};
+use crate::common::{config, ScriptedWorker, Stage};
 use bytes::BytesMut;
 use curlewpoint::types::{Outcome, Time};
-use curlewpoint_lab::rpc_frame;
+use curlewpoint_lab::encode_rpc;
 use curlewpoint_wire::{Codec, Field, Frame, Kind, VERSION};
 use test_case::test_case;
 use tokio::io::AsyncWriteExt;
@@ -38,7 +38,7 @@
 /// answers is destroyed. Here the client's window is full, and it reads only after it has spoilt its connection.
 #[tokio::test]
 async fn a_client_that_is_cut_off_while_it_writes_still_reads_its_answers() {
-    let mut a = Puppet::start("a").await;
+    let mut a = ScriptedWorker::start("a").await;
     let stage = Stage::new(&[&a]).await;
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
@@ -46,14 +46,14 @@
     let hello = Frame::new(Kind::HELLO).int(Field::VERSION, VERSION).text(Field::INSTANCE, "slow");
     slow.write_all(&bytes_of([hello])).await.unwrap();
     for tag in 1..=8 {
-        let rpc = rpc_frame(tag, "issue-extract", "model", "", Time(100_000), None).body(vec![b'x'; 12_000]);
+        let rpc = encode_rpc(tag, "issue-extract", "model", "", Time(100_000), None).body(vec![b'x'; 12_000]);
         slow.write_all(&bytes_of([rpc])).await.unwrap();
-        let asked = a.attempt().await;
-        a.answer(&asked, Outcome::Ok);
+        let asked = a.next_attempt().await;
+        a.respond(&asked, Outcome::Ok);
         // One at a time on one connection: what is answered to this one was answered to the slow one before.
         stage.ask(100 + tag, "issue-extract", 10_000);
-        let asked = a.attempt().await;
-        a.answer(&asked, Outcome::Ok);
+        let asked = a.next_attempt().await;
+        a.respond(&asked, Outcome::Ok);
         stage.final_of(100 + tag).await;
     }
     // The beginning of a frame that is longer than any may be.
@@ -64,7 +64,7 @@
     // It reads nothing until the scheduler, which has this thread for itself, has done with it.
     stage.gateway.stop().await;
     stage.gateway.stop().await;
-    stage.office.ended().await;
+    stage.client.wait_closed().await;
     let reading = std::thread::spawn(move || frames_until_the_end(&mut slow));
     stage.gateway.wait().await;
     let (frames, closed) = reading.join().unwrap();
@@ -85,7 +85,7 @@
 #[test_case(true ; "on a connection that nobody has accepted")]
 #[tokio::test]
 async fn what_has_come_by_the_end_of_serving_is_refused(in_the_backlog: bool) {
-    let a = Puppet::start("a").await;
+    let a = ScriptedWorker::start("a").await;
     let stage = Stage::new(&[&a]).await;
     let hello = Frame::new(Kind::HELLO).int(Field::VERSION, VERSION).text(Field::INSTANCE, "c");
     let mut client = Blocking::connect(stage.gateway.address).unwrap();
@@ -100,7 +100,7 @@
         readable.unwrap().readable().await.unwrap();
         client.set_nonblocking(false).unwrap();
     }
-    let rpcs = (1..=32).map(|tag| rpc_frame(tag, "issue-extract", "model", "", Time(30_000), None));
+    let rpcs = (1..=32).map(|tag| encode_rpc(tag, "issue-extract", "model", "", Time(30_000), None));
     client.write_all(&bytes_of(rpcs)).unwrap();
     // The second time it asks for the end at once.
     stage.gateway.stop().await;
@@ -116,7 +116,7 @@
 }
 
 /// A gateway with the HTTP door.
-async fn with_http(a: &Puppet) -> (Stage, std::net::SocketAddr) {
+async fn with_http(a: &ScriptedWorker) -> (Stage, std::net::SocketAddr) {
     let stage = Stage::with(config().with_value("seed", "7").with_value("http", "127.0.0.1:0"), &[a]).await;
     let http = stage.gateway.http.expect("it has the door");
     (stage, http)
@@ -135,7 +135,7 @@
 /// A request that is refused by its head alone, its body on the way: the answer is read to its end, and nothing is reset.
 #[tokio::test]
 async fn a_body_that_nobody_wants_does_not_destroy_the_refusal() {
-    let a = Puppet::start("a").await;
+    let a = ScriptedWorker::start("a").await;
     let (stage, http) = with_http(&a).await;
     let mut client = Blocking::connect(http).unwrap();
     let head = "POST /v1/no-such-method/x HTTP/1.1\r\nhost: x\r\ncontent-length: 10000000\r\n\r\n";
@@ -164,7 +164,7 @@
 #[test_case(true ; "on a connection that nobody has accepted")]
 #[tokio::test]
 async fn a_request_that_has_come_by_the_end_of_serving_is_refused(in_the_backlog: bool) {
-    let a = Puppet::start("a").await;
+    let a = ScriptedWorker::start("a").await;
     let (stage, http) = with_http(&a).await;
     let mut client = Blocking::connect(http).unwrap();
     if !in_the_backlog {
--- a/crates/curlewpoint-lab/tests/sockets/main.rs
+++ b/crates/curlewpoint-lab/tests/sockets/main.rs
@@ -3,7 +3,7 @@
 mod amqp;
 mod common;
 mod document;
-mod doors;
 mod hard;
 mod http;
+mod listeners;
 mod reload;
--- a/crates/curlewpoint-rig/src/figures.rs
+++ b/crates/curlewpoint-rig/src/figures.rs
@@ -4,7 +4,7 @@
 
 use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_engine::Answer;
-use curlewpoint_lab::Seen;
+use curlewpoint_lab::TranscriptEvent;
 use curlewpoint_wire::Kind;
 
 use crate::calls::CALLED;
@@ -96,8 +96,8 @@
     /// `began`: when the schedulers were started; `over`: when the last fault had ended; `gone`: who was down or stopped,
     /// from when to when.
     pub fn of(
-        tape: &[Passed], seen: &[(Time, Seen)], began: Time, over: Time, end: Time, instances: usize,
-        gone: &[(String, Time, Time)],
+        tape: &[Passed], seen: &[(Time, TranscriptEvent)], began: Time, over: Time, end: Time,
+        instances: usize, gone: &[(String, Time, Time)],
     ) -> Figures {
         let mut f = Figures::default();
         f.of_tape(tape, began, over, end, instances);
@@ -153,7 +153,7 @@
         self.gossip = 2.0 * bytes_late as f64 / instances as f64 / ((end - late).ms() / 1000.0);
     }
 
-    fn of_clients(&mut self, seen: &[(Time, Seen)], began: Time) {
+    fn of_clients(&mut self, seen: &[(Time, TranscriptEvent)], began: Time) {
         let mut asked: BTreeMap<u64, Time> = BTreeMap::new();
         let mut halves: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
         let half = |at: Time| (at - began).0 / 5_000;
@@ -163,12 +163,12 @@
         };
         for (at, seen) in seen {
             match seen {
-                Seen::Asked { key, .. } => {
+                TranscriptEvent::RpcSent { key, .. } => {
                     asked.insert(*key, *at);
                     count(*at, 0);
                     halves.entry(half(*at)).or_default().0 += 1;
                 }
-                Seen::Final { key, answer } => {
+                TranscriptEvent::FinalAnswer { key, answer } => {
                     let Some(at) = asked.remove(key) else { continue };
                     match answer {
                         Answer::Ok => {
@@ -179,7 +179,7 @@
                         Answer::Aborted => count(at, 3),
                     }
                 }
-                Seen::Refused { key, .. } => {
+                TranscriptEvent::Refused { key, .. } => {
                     if let Some(at) = asked.remove(key) {
                         count(at, 4);
                     }
@@ -193,14 +193,16 @@
     }
 
     /// `ready`: who was started anew, and when it was ready.
-    pub fn served(&mut self, seen: &[(Time, Seen)], ready: &[(String, Time)], waits: &Waits) {
+    pub fn served(&mut self, seen: &[(Time, TranscriptEvent)], ready: &[(String, Time)], waits: &Waits) {
         let stalls = directory::stalls(seen);
         let first_ok = |(who, at): &(String, Time)| {
             let mut asked: BTreeSet<u64> = BTreeSet::new();
             for (then, seen) in seen.iter().filter(|(then, _)| then >= at) {
                 match seen {
-                    Seen::Asked { key, scheduler, .. } if scheduler == who => drop(asked.insert(*key)),
-                    Seen::Final { key, answer: Answer::Ok } if asked.contains(key) => {
+                    TranscriptEvent::RpcSent { key, scheduler, .. } if scheduler == who => {
+                        asked.insert(*key);
+                    }
+                    TranscriptEvent::FinalAnswer { key, answer: Answer::Ok } if asked.contains(key) => {
                         let held = directory::held_between(&stalls, waits.get(who), *at, *then);
                         return Some(*then - *at - held);
                     }
@@ -216,18 +218,18 @@
     }
 
     /// What became of calls of a function that is called everywhere.
-    pub fn called(&mut self, seen: &[(Time, Seen)]) {
+    pub fn called(&mut self, seen: &[(Time, TranscriptEvent)]) {
         let mut who: BTreeMap<u64, &str> = BTreeMap::new();
         let mut first: BTreeMap<&str, Option<Time>> = BTreeMap::new();
         let mut began = None;
         for (at, seen) in seen {
             match seen {
-                Seen::Asked { key, scheduler, .. } if key & CALLED != 0 => {
+                TranscriptEvent::RpcSent { key, scheduler, .. } if key & CALLED != 0 => {
                     began = began.or(Some(*at));
                     who.insert(*key, scheduler);
                     first.entry(scheduler).or_insert(None);
                 }
-                Seen::Final { key, answer: Answer::Ok } => {
+                TranscriptEvent::FinalAnswer { key, answer: Answer::Ok } => {
                     let first = who.get(key).and_then(|who| first.get_mut(who));
                     first.into_iter().for_each(|t| *t = t.or(Some(*at)));
                 }
@@ -317,10 +319,10 @@
 }
 
 /// When half and 99 in 100 had been told a first list, from the beginning on.
-fn listed(seen: &[(Time, Seen)], instances: usize, began: Time) -> [Option<Time>; 2] {
+fn listed(seen: &[(Time, TranscriptEvent)], instances: usize, began: Time) -> [Option<Time>; 2] {
     let mut first: BTreeMap<&str, Time> = BTreeMap::new();
     for (at, seen) in seen {
-        if let Seen::Told { scheduler, .. } = seen {
+        if let TranscriptEvent::ListEntrySent { scheduler, .. } = seen {
             first.entry(scheduler).or_insert(*at);
         }
     }
@@ -331,17 +333,17 @@
 
 /// How long the word that a worker drains or is gone took from the first scheduler to 99 in 100 of those that lived, the
 /// worst of all such words.
-fn told(seen: &[(Time, Seen)], instances: usize, gone: &[(String, Time, Time)]) -> Option<Time> {
+fn told(seen: &[(Time, TranscriptEvent)], instances: usize, gone: &[(String, Time, Time)]) -> Option<Time> {
     const WAIT: Time = Time(30_000);
     let mut words: Vec<(Time, BTreeMap<&str, Time>)> = Vec::new();
     // The word that holds of a worker now; one that is ready again has another.
     let mut said: BTreeMap<&str, usize> = BTreeMap::new();
     for (at, seen) in seen {
-        let Seen::Told { scheduler, worker, standing } = seen else { continue };
+        let TranscriptEvent::ListEntrySent { scheduler, worker, lifecycle } = seen else { continue };
         if worker.starts_with(IDLE) {
             continue;
         }
-        if *standing == Lifecycle::Ready {
+        if *lifecycle == Lifecycle::Ready {
             said.remove(worker.as_str());
             continue;
         }
--- a/crates/curlewpoint-rig/src/figures/directory.rs
+++ b/crates/curlewpoint-rig/src/figures/directory.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use curlewpoint::types::Time;
-use curlewpoint_lab::Seen;
+use curlewpoint_lab::TranscriptEvent;
 use curlewpoint_wire::{Kind, PREFIX_BYTES};
 
 use super::is_peer;
@@ -70,9 +70,9 @@
 }
 
 /// When the machine gave no turn to the relays.
-pub(super) fn stalls(seen: &[(Time, Seen)]) -> Vec<(Time, Time)> {
-    let of = |(at, seen): &(Time, Seen)| match seen {
-        Seen::Stalled { scheduler: None, since } => Some((*since, *at)),
+pub(super) fn stalls(seen: &[(Time, TranscriptEvent)]) -> Vec<(Time, Time)> {
+    let of = |(at, seen): &(Time, TranscriptEvent)| match seen {
+        TranscriptEvent::Stalled { scheduler: None, since } => Some((*since, *at)),
         _ => None,
     };
     seen.iter().filter_map(of).collect()
@@ -95,7 +95,7 @@
 
     /// `budget`: bytes a second that each may send; none: nothing is held against it. `gone`: who was down or stopped.
     pub fn of(
-        tape: &[Passed], seen: &[(Time, Seen)], budget: Option<f64>, waits: &Waits, end: Time,
+        tape: &[Passed], seen: &[(Time, TranscriptEvent)], budget: Option<f64>, waits: &Waits, end: Time,
         gone: &[(String, Time, Time)],
     ) -> Directory {
         let mut of = Directory::default();
--- a/crates/curlewpoint-rig/src/figures/spans.rs
+++ b/crates/curlewpoint-rig/src/figures/spans.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 
 use curlewpoint::types::Time;
-use curlewpoint_lab::Seen;
+use curlewpoint_lab::TranscriptEvent;
 use curlewpoint_wire::Kind;
 
 use super::{is_peer, is_worker};
@@ -92,7 +92,7 @@
 impl Cost {
     /// `workers`: how many there are.
     pub fn of(
-        name: &str, from: &Look, to: &Look, tape: &[Passed], seen: &[(Time, Seen)], workers: usize,
+        name: &str, from: &Look, to: &Look, tape: &[Passed], seen: &[(Time, TranscriptEvent)], workers: usize,
     ) -> Cost {
         let (len, n) = (to.at - from.at, to.usage.len());
         let within = |at: Time| from.at <= at && at < to.at;
@@ -152,14 +152,16 @@
     }
 
     /// How many were asked.
-    fn of_calls(&mut self, from: Time, to: Time, seen: &[(Time, Seen)]) -> usize {
+    fn of_calls(&mut self, from: Time, to: Time, seen: &[(Time, TranscriptEvent)]) -> usize {
         let (mut asked, mut reached, mut ran) =
             <(BTreeMap<u64, Time>, BTreeMap<_, _>, BTreeMap<_, _>)>::default();
         for (at, seen) in seen {
             match seen {
-                Seen::Asked { key, .. } if from <= *at && *at < to => drop(asked.insert(*key, *at)),
-                Seen::Arrived { key, .. } => drop(reached.entry(*key).or_insert(*at)),
-                Seen::Ran { key, .. } => drop(ran.entry(*key).or_insert(*at)),
+                TranscriptEvent::RpcSent { key, .. } if from <= *at && *at < to => {
+                    asked.insert(*key, *at);
+                }
+                TranscriptEvent::AttemptArrived { key, .. } => drop(reached.entry(*key).or_insert(*at)),
+                TranscriptEvent::Executed { key, .. } => drop(ran.entry(*key).or_insert(*at)),
                 _ => {}
             }
         }
--- a/crates/curlewpoint-rig/src/figures/tests.rs
+++ b/crates/curlewpoint-rig/src/figures/tests.rs
@@ -10,10 +10,10 @@
 
 #[test]
 fn a_word_that_one_in_a_hundred_missed_is_told_and_one_that_two_missed_is_not() {
-    let word = |no: usize| Seen::Told {
+    let word = |no: usize| TranscriptEvent::ListEntrySent {
         scheduler: format!("front-{no}"),
         worker: "w-001".into(),
-        standing: Lifecycle::Draining,
+        lifecycle: Lifecycle::Draining,
     };
     let all = |n: usize| (0..n).map(|no| (Time(1_000 + 10 * no as u64), word(no))).collect::<Vec<_>>();
     assert_eq!(told(&all(99), 100, &[]), Some(Time(980)));
@@ -26,9 +26,9 @@
 fn one_that_starts_anew_is_judged_by_what_it_was_asked_after_its_ready_line_less_what_the_machine_took() {
     let asked = |at, key, who: &str| {
         let (scheduler, method) = (who.to_owned(), "m".to_owned());
-        (Time(at), Seen::Asked { key, scheduler, method, left: Time(10_000) })
+        (Time(at), TranscriptEvent::RpcSent { key, scheduler, method, time_left: Time(10_000) })
     };
-    let ok = |at, key| (Time(at), Seen::Final { key, answer: Answer::Ok });
+    let ok = |at, key| (Time(at), TranscriptEvent::FinalAnswer { key, answer: Answer::Ok });
     let seen = [
         // Asked of its last run, and answered by nobody but a late frame.
         asked(90_000, 1, "front-1"),
@@ -36,9 +36,9 @@
         asked(101_000, 3, "front-2"),
         ok(102_000, 1),
         ok(103_000, 3),
-        (Time(103_500), Seen::Final { key: 2, answer: Answer::Denied }),
+        (Time(103_500), TranscriptEvent::FinalAnswer { key: 2, answer: Answer::Denied }),
         asked(104_000, 4, "front-1"),
-        (Time(106_000), Seen::Stalled { scheduler: None, since: Time(105_000) }),
+        (Time(106_000), TranscriptEvent::Stalled { scheduler: None, since: Time(105_000) }),
         ok(108_000, 4),
     ];
     let mut f = Figures::default();
@@ -53,9 +53,9 @@
 fn a_function_called_everywhere_has_come_when_the_last_scheduler_has_answered_ok() {
     let asked = |at, no: u64, who: u64| {
         let (scheduler, method) = (format!("front-{who}"), "m".to_owned());
-        (Time(at), Seen::Asked { key: CALLED | no, scheduler, method, left: Time(10_000) })
+        (Time(at), TranscriptEvent::RpcSent { key: CALLED | no, scheduler, method, time_left: Time(10_000) })
     };
-    let end = |at, no: u64, answer| (Time(at), Seen::Final { key: CALLED | no, answer });
+    let end = |at, no: u64, answer| (Time(at), TranscriptEvent::FinalAnswer { key: CALLED | no, answer });
     let mut seen = vec![asked(1_000, 1, 0), asked(1_100, 2, 1), asked(1_200, 3, 1)];
     seen.extend([end(2_000, 1, Answer::Ok), end(2_500, 2, Answer::Denied)]);
     let mut f = Figures::default();
--- a/crates/curlewpoint-rig/src/offline_optimum.rs
+++ b/crates/curlewpoint-rig/src/offline_optimum.rs
@@ -16,7 +16,7 @@
 impl OfflineOptimum {
     pub fn of(s: &Script) -> OfflineOptimum {
         let share: f64 = s.methods.values().map(|m| m.0).sum::<f64>().max(1e-9);
-        let mean = |of: &dyn Fn(&curlewpoint_lab::stand::Trade) -> f64| {
+        let mean = |of: &dyn Fn(&curlewpoint_lab::test_servers::MethodCost) -> f64| {
             s.methods.values().map(|(part, trade)| part * of(trade)).sum::<f64>() / share
         };
         let fetch = mean(&|t| t.load_ms * t.fetch_share);
@@ -34,7 +34,7 @@
             }
         }
         worth.sort_by(|a, b| b.total_cmp(a));
-        let lines = (s.store_lines as usize).max(1);
+        let lines = (s.store_parallel_fetches as usize).max(1);
         let (mut served, mut unmet, mut last) = (0.0, 0.0, 0.0);
         for (no, more) in worth.into_iter().enumerate() {
             let ready = (no / lines + 1) as f64 * fetch + start;
@@ -58,7 +58,7 @@
         let mut s = FleetScenario::shipped("start").expect("it is shipped").script;
         // Two models of 50 a second each; a copy serves 20 a second, the store fetches one at a time in 240 ms, and a
         // start takes 160 ms: copies stand at 400, 640, 880, 1,120, 1,360 and 1,600 ms, for 20, 20, 20, 20, 10 and 10.
-        (s.rate, s.models, s.zipf, s.store_lines) = (100.0, 2, 0.0, 1.0);
+        (s.rate, s.models, s.zipf, s.store_parallel_fetches) = (100.0, 2, 0.0, 1.0);
         let b = OfflineOptimum::of(&s);
         let steady = b.steady.expect("it comes").ms();
         assert!((steady - 1_600.0).abs() < 0.2 && b.loads == 6, "{b:?}");
--- a/crates/curlewpoint-rig/src/relay.rs
+++ b/crates/curlewpoint-rig/src/relay.rs
@@ -6,7 +6,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use curlewpoint::types::Time;
 use curlewpoint_fleet::frames::read_entries;
-use curlewpoint_lab::{Record, Seen};
+use curlewpoint_lab::{Transcript, TranscriptEvent};
 use curlewpoint_wire::{Codec, Field, Frame, Kind};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -156,7 +156,7 @@
 
 impl Lists {
     /// A frame has been handed to `to`; at the end of a list that is newer than all it was told before, it knows.
-    fn pass(&self, record: &Record, to: &str, passing: &mut Passing, f: &Frame) {
+    fn pass(&self, record: &Transcript, to: &str, passing: &mut Passing, f: &Frame) {
         match f.kind {
             Kind::LIST_BEGIN => {
                 let version = f.get_int(Field::EPOCH).ok().zip(f.get_int(Field::LIST_VERSION).ok());
@@ -184,7 +184,11 @@
                 }
                 told.insert(to.to_owned(), version);
                 for (worker, standing) in rows {
-                    record.add(Seen::Told { scheduler: to.to_owned(), worker, standing });
+                    record.add(TranscriptEvent::ListEntrySent {
+                        scheduler: to.to_owned(),
+                        worker,
+                        lifecycle: standing,
+                    });
                 }
             }
             _ => {}
@@ -251,13 +255,13 @@
 pub struct Shared {
     pub rules: Rules,
     pub tape: Tape,
-    pub record: Record,
+    pub record: Transcript,
     lists: Lists,
     sights: Sights,
 }
 
 impl Shared {
-    pub fn new(rules: Rules, record: Record) -> Shared {
+    pub fn new(rules: Rules, record: Transcript) -> Shared {
         let (tape, lists, sights) = Default::default();
         Shared { rules, tape, record, lists, sights }
     }
--- a/crates/curlewpoint-rig/src/run.rs
+++ b/crates/curlewpoint-rig/src/run.rs
@@ -7,10 +7,13 @@
 
 use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_config::{bytes, Config};
-use curlewpoint_emulator::{Row, StoreSpec};
+use curlewpoint_emulator::{ListEntry, StoreSpec};
 use curlewpoint_engine::id_of;
-use curlewpoint_lab::stand::{ListStand, StoreStand, WorkerStand};
-use curlewpoint_lab::{client, judge, Entrance, Record, Seen, Shared as Load, Terms, Traffic, Verdict};
+use curlewpoint_lab::test_servers::{TestListService, TestStore, TestWorker};
+use curlewpoint_lab::{
+    check_rules, generate_load, ClientProtocol, RuleParameters, SharedTraffic as Load, Traffic, Transcript,
+    TranscriptEvent, Verdict,
+};
 use oorandom::Rand64;
 use rustix::process::Signal;
 use tokio::task::JoinSet;
@@ -88,10 +91,10 @@
     ports: Ports,
     shared: Shared,
     rng: Rand64,
-    list: ListStand,
+    list: TestListService,
     list_relay: Relay,
-    store: StoreStand,
-    workers: Vec<WorkerStand>,
+    store: TestStore,
+    workers: Vec<TestWorker>,
     worker_relays: Vec<Relay>,
     starts: Vec<u64>,
     drained: BTreeSet<usize>,
@@ -132,7 +135,7 @@
     let mut stage = Stage::set(plan).await?;
     let began = stage.shared.record.now();
     let mut pulse = JoinSet::new();
-    pulse.spawn(stage.shared.record.clone().feel_the_pulse());
+    pulse.spawn(stage.shared.record.clone().watch_runtime_stalls());
     let clients = stage.begin().await?;
     let up = stage.shared.record.now();
     stage.over = up;
@@ -154,25 +157,29 @@
 impl Stage {
     async fn set(plan: ScenarioRun) -> std::io::Result<Stage> {
         std::fs::create_dir_all(&plan.folder)?;
-        let record = Record::default();
+        let record = Transcript::default();
         let shared = Shared::new(Rules::default(), record.clone());
         let s = &plan.scenario.script;
         let any = "127.0.0.1:0";
-        let spec = StoreSpec { lines: s.store_lines, thrash: s.store_thrash, most: s.store_most };
-        let store = StoreStand::start(any, &record, spec).await?;
-        let list = ListStand::start(any, &record, s.list_late).await?;
+        let spec = StoreSpec {
+            parallel_fetches: s.store_parallel_fetches,
+            overload_penalty: s.store_overload_penalty,
+            max_fetches: s.store_max_fetches,
+        };
+        let store = TestStore::start(any, &record, spec).await?;
+        let list = TestListService::start(any, &record, s.list_delay).await?;
         let list_relay = Relay::start("list", Some(list.address), plan.scenario.list_takes, &shared).await?;
         let config = parsed(&text(&plan, 0, any, any, &list_relay.address.to_string(), None))?;
         let spec = s.worker_spec(&config);
-        let trades = s.trades();
+        let trades = s.method_costs();
         let (mut workers, mut worker_relays) = (Vec::new(), Vec::new());
         for no in 0..s.workers {
             let (name, seed) = (format!("w-{no:03}"), plan.seed * 1000 + no as u64);
             let trades = Arc::clone(&trades);
-            let worker = WorkerStand::start(any, &name, &record, spec, trades, store.address, seed).await?;
+            let worker = TestWorker::start(any, &name, &record, spec, trades, store.address, seed).await?;
             if plan.scenario.cold {
-                worker.die();
-                worker.begin(true);
+                worker.kill();
+                worker.start_process(true);
             }
             worker_relays.push(Relay::start(&name, Some(worker.address), None, &shared).await?);
             workers.push(worker);
@@ -203,11 +210,11 @@
             std::fs::write(&i.config, text)?;
         }
         let load = Traffic {
-            times: 1.0,
+            rate_factor: 1.0,
             shares: vec![1.0 / n as f64; n],
-            scan: 0.0,
+            scan_share: 0.0,
             addresses: (0..n).map(|no| SocketAddr::from(([127, 0, 0, 1], ports[no]))).collect(),
-            over: false,
+            finished: false,
         };
         let stage = Stage {
             rng: Rand64::new(u128::from(plan.seed)),
@@ -250,7 +257,18 @@
                 (format!("{IDLE}{no:06}.zone-{:02}", no % 16), "10.111.122.133:7100".to_owned());
             let (zone, cell) = (format!("zone-{:02}", no % 16), format!("cell-{:02}", no % 64));
             let standing = Lifecycle::Draining;
-            stage.list.set(&name, Row { address, standing, start: 1, since: None, zone, cell, size: 1.0 });
+            stage.list.set_entry(
+                &name,
+                ListEntry {
+                    address,
+                    lifecycle: standing,
+                    start_id: 1,
+                    started_at: None,
+                    zone,
+                    cell,
+                    size: 1.0,
+                },
+            );
         }
         Ok(stage)
     }
@@ -260,7 +278,18 @@
         let cell = no * s.cells / s.workers;
         let (zone, cell) = (format!("zone-{}", cell % s.zones), format!("cell-{cell}"));
         let (address, start) = (self.worker_relays[no].address.to_string(), self.starts[no]);
-        self.list.set(&self.workers[no].name, Row { address, standing, start, since, zone, cell, size: 1.0 });
+        self.list.set_entry(
+            &self.workers[no].name,
+            ListEntry {
+                address,
+                lifecycle: standing,
+                start_id: start,
+                started_at: since,
+                zone,
+                cell,
+                size: 1.0,
+            },
+        );
     }
 
     /// Starts all schedulers at once, with their clients, and waits until they are up.
@@ -271,7 +300,7 @@
             let (record, load) = (self.shared.record.clone(), Arc::clone(&self.load));
             let mut script = self.plan.scenario.script.clone();
             script.seed = self.plan.seed;
-            clients.spawn(client(no, Entrance::Native, record, load, script, config.clone()));
+            clients.spawn(generate_load(no, ClientProtocol::Native, record, load, script, config.clone()));
             self.start(no);
         }
         while let Some(started) = self.starting.join_next().await {
@@ -381,7 +410,7 @@
         let now = self.shared.record.now();
         let who = self.instances[no].name.clone();
         self.gone.push((who.clone(), now, until + BACK));
-        self.shared.record.add(Seen::Held { who, until: until + BACK });
+        self.shared.record.add(TranscriptEvent::Suspended { component: who, until: until + BACK });
     }
 
     async fn act(&mut self, at: Time, deed: Deed) -> std::io::Result<()> {
@@ -401,14 +430,14 @@
             Deed::KillOld(process, who) => {
                 process.signal(Signal::KILL);
                 let until = self.shared.record.now() + BACK;
-                self.shared.record.add(Seen::Held { who, until });
+                self.shared.record.add(TranscriptEvent::Suspended { component: who, until });
             }
             Deed::Worker(no) => {
-                self.workers[no].begin(true);
+                self.workers[no].start_process(true);
                 self.starts[no] += 1;
                 self.tell(no, Lifecycle::Ready, Some(self.shared.record.now()));
             }
-            Deed::Tell(no, standing) => self.list.standing(&self.workers[no].name, standing),
+            Deed::Tell(no, standing) => self.list.set_lifecycle(&self.workers[no].name, standing),
             Deed::Look(no) => {
                 let look = self.look();
                 self.looks.entry(no).or_default().push(look);
@@ -464,7 +493,7 @@
     async fn happens(&mut self, at: Time, e: At) -> std::io::Result<()> {
         let now = self.shared.record.now();
         let end = at + e.len;
-        self.shared.record.add(Seen::Scripted { what: format!("{e:?}") });
+        self.shared.record.add(TranscriptEvent::Scripted { description: format!("{e:?}") });
         match e.action {
             Action::Cut | Action::Delay | Action::Slow => {
                 let effect = match e.action {
@@ -557,10 +586,10 @@
                 for no in self.draw(left, e.part) {
                     self.drained.insert(no);
                     if e.action == Action::Drain {
-                        self.list.standing(&self.workers[no].name, Lifecycle::Draining);
+                        self.list.set_lifecycle(&self.workers[no].name, Lifecycle::Draining);
                         continue;
                     }
-                    self.workers[no].die();
+                    self.workers[no].kill();
                     self.plan(at + Time(10_000), Deed::Tell(no, Lifecycle::Gone));
                     self.plan(end.max(at + Time(10_001)), Deed::Worker(no));
                 }
@@ -603,7 +632,7 @@
     /// No more is asked; what is open has its time, and then the schedulers end in order.
     async fn finish(mut self, began: Time, mut clients: JoinSet<()>) -> std::io::Result<Outcome> {
         let end = self.shared.record.now();
-        traffic(&self.load).over = true;
+        traffic(&self.load).finished = true;
         while let Some(started) = self.starting.join_next().await {
             self.started(started)?;
         }
@@ -635,15 +664,16 @@
         while clients.join_next().await.is_some() {}
         while self.calling.join_next().await.is_some() {}
         let s = &self.plan.scenario.script;
-        let mut terms = Terms::of(&parsed(&std::fs::read_to_string(&self.instances[0].config)?)?);
+        let mut terms =
+            RuleParameters::from_config(&parsed(&std::fs::read_to_string(&self.instances[0].config)?)?);
         for (no, w) in self.workers.iter().enumerate() {
             let cell = no * s.cells / s.workers;
             terms.groups.insert(w.name.clone(), (format!("cell-{cell}"), format!("zone-{}", cell % s.zones)));
             terms.capacity.insert(w.name.clone(), s.cores);
         }
         terms.work = s.methods.iter().map(|(m, (_, t))| (m.clone(), t.work_ms)).collect();
-        let (seen, tape) = (self.shared.record.all(), self.shared.tape.all());
-        let verdict = judge(&terms, &seen);
+        let (seen, tape) = (self.shared.record.events(), self.shared.tape.all());
+        let verdict = check_rules(&terms, &seen);
         let n = self.instances.len();
         let mut figures = Figures::of(&tape, &seen, began, self.over, end, n, &self.gone);
         let budget = self.plan.directory.as_deref().map(bytes).transpose().map_err(std::io::Error::other)?;
@@ -657,7 +687,8 @@
                 figures.spans.push(Cost::of(&span.name, from, to, &tape, &seen, self.workers.len()));
             }
         }
-        (figures.turned_away, figures.fetches) = (self.store.turned_away(), self.store.asked());
+        (figures.turned_away, figures.fetches) =
+            (self.store.rejected_fetches(), self.store.requested_fetches());
         missed.extend(figures.directory.over.as_ref().map(|s| s.told(began)));
         for (limit, most) in &self.plan.scenario.expects {
             missed.extend(miss(*limit, *most, &figures, self.plan.peers));
--- a/crates/curlewpoint-rig/src/scenario.rs
+++ b/crates/curlewpoint-rig/src/scenario.rs
@@ -1,6 +1,6 @@
 use curlewpoint::types::Time;
 use curlewpoint_config::{milliseconds, read_lines, share, ConfigErrors, Line};
-use curlewpoint_lab::{Complain, Script};
+use curlewpoint_lab::{ReportError, Script};
 
 macro_rules! plays {
     ($($name:literal)*) => {
@@ -183,39 +183,40 @@
     /// Reads a play; what it does not say of the fleet and the load is that of all plays. All faults are told at once.
     pub fn parse(name: &str, text: &str) -> Result<FleetScenario, ConfigErrors> {
         let base = read_lines("base.part", BASE, |lines, fault| {
-            Script::of_lines(Script::default(), lines, fault, &mut |_, _| false)
+            Script::from_lines(Script::default(), lines, fault, &mut |_, _| false)
         })?;
         read_lines(name, text, |lines, fault| {
             let (mut cold, mut list_takes, mut idle_rows) = (false, None, 0);
             let (mut events, mut spans, mut expects) = (Vec::new(), Vec::new(), Vec::new());
-            let script = Script::of_lines(base, lines, fault, &mut |line: &Line, fault: &mut Complain| {
-                let value = line.words.get(1).map_or("", |w| w.text.as_str());
-                let read = match line.name() {
-                    "at" => event(line).map(|e| events.push(e)),
-                    "measure" => span(line).map(|s| spans.push(s)),
-                    "expect" => expect(line).map(|e| expects.push(e)),
-                    "cold" => match value {
-                        "yes" | "no" => {
-                            cold = value == "yes";
-                            Ok(())
-                        }
-                        _ => Err((1, format!("'{value}' is neither yes nor no"))),
-                    },
-                    "list-takes" => number(value).map(|n| list_takes = Some(n)).map_err(|e| (1, e)),
-                    "idle-rows" => match value.parse() {
-                        Ok(n) if n <= MOST_ROWS => {
-                            idle_rows = n;
-                            Ok(())
-                        }
-                        _ => Err((1, format!("'{value}' is no whole number up to {MOST_ROWS}"))),
-                    },
-                    _ => return false,
-                };
-                if let Err((word, what)) = read {
-                    fault(line, word, what);
-                }
-                true
-            });
+            let script =
+                Script::from_lines(base, lines, fault, &mut |line: &Line, fault: &mut ReportError| {
+                    let value = line.words.get(1).map_or("", |w| w.text.as_str());
+                    let read = match line.name() {
+                        "at" => event(line).map(|e| events.push(e)),
+                        "measure" => span(line).map(|s| spans.push(s)),
+                        "expect" => expect(line).map(|e| expects.push(e)),
+                        "cold" => match value {
+                            "yes" | "no" => {
+                                cold = value == "yes";
+                                Ok(())
+                            }
+                            _ => Err((1, format!("'{value}' is neither yes nor no"))),
+                        },
+                        "list-takes" => number(value).map(|n| list_takes = Some(n)).map_err(|e| (1, e)),
+                        "idle-rows" => match value.parse() {
+                            Ok(n) if n <= MOST_ROWS => {
+                                idle_rows = n;
+                                Ok(())
+                            }
+                            _ => Err((1, format!("'{value}' is no whole number up to {MOST_ROWS}"))),
+                        },
+                        _ => return false,
+                    };
+                    if let Err((word, what)) = read {
+                        fault(line, word, what);
+                    }
+                    true
+                });
             events.sort_by_key(|e: &At| e.at);
             spans.sort_by_key(|s: &Span| s.at);
             if let Some(late) = spans.iter().find(|s| s.at + s.len >= script.length) {
--- a/crates/curlewpoint-rig/tests/relay.rs
+++ b/crates/curlewpoint-rig/tests/relay.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use curlewpoint::types::Time;
-use curlewpoint_lab::Record;
+use curlewpoint_lab::Transcript;
 use curlewpoint_link::{handshake, listen, Link, LinkLimits};
 use curlewpoint_rig::{Effect, Relay, Rules, Shared, Taped};
 use curlewpoint_wire::{Field, Frame, Kind};
@@ -42,7 +42,7 @@
 
 fn shared() -> (Rules, Shared) {
     let rules = Rules::default();
-    (rules.clone(), Shared::new(rules, Record::default()))
+    (rules.clone(), Shared::new(rules, Transcript::default()))
 }
 
 /// One way is cut: what goes that way lies until the cut is over, and comes in its order; the other way goes on.
