--- a/crates/curlewpoint-cli/src/commands/fleet.rs
+++ b/crates/curlewpoint-cli/src/commands/fleet.rs
@@ -290,7 +290,7 @@
             print!("{}", outcome.verdict);
             outcome.missed.iter().for_each(|m| println!("  missed: {m}"));
             // Only the parts that are on have to keep what is expected; the rules hold for all.
-            good &= outcome.verdict.kept() && (kind.is_some() || outcome.missed.is_empty());
+            good &= outcome.verdict.passed() && (kind.is_some() || outcome.missed.is_empty());
             columns.push((name.to_owned(), outcome.figures));
         }
         print!("\n{}", Figures::draw(&columns));
--- a/crates/curlewpoint-cli/src/commands/stand.rs
+++ b/crates/curlewpoint-cli/src/commands/stand.rs
@@ -56,11 +56,11 @@
             queue: s.queue,
             memory_mb: s.memory_mb,
             loads_at_once: s.loads_at_once,
-            keep: Time(80_000),
+            keep_alive: Time(80_000),
             start_capacity: 1.0,
             warm_within: Time(1),
             fall_multiple: f64::MAX,
-            fall: Time(20_000),
+            fall_window: Time(20_000),
             adds_copies: true,
             answers_miss: false,
         };
--- a/crates/curlewpoint-cli/tests/crashes.rs
+++ b/crates/curlewpoint-cli/tests/crashes.rs
@@ -167,7 +167,7 @@
     fleet.ask(method);
     delivered.await.expect("it is delivered");
     if step != Step::Delivered {
-        let asked = worker.attempt().await;
+        let asked = worker.next_attempt().await;
         *ran.entry(asked.1.get_text(Field::TOKEN).expect("it has one").to_owned()).or_default() += 1;
         if step != Step::CalledOut {
             worker.respond(&asked, Outcome::Ok);
@@ -196,7 +196,7 @@
         } => {}
         () = async {
             loop {
-                let asked = worker.attempt().await;
+                let asked = worker.next_attempt().await;
                 *ran.entry(asked.1.get_text(Field::TOKEN).unwrap_or("").to_owned()).or_default() += 1;
                 if worker.peers.contains_key(&asked.0) {
                     worker.respond(&asked, Outcome::Ok);
