--- a/crates/curlewpoint-amqp/src/codec.rs
+++ b/crates/curlewpoint-amqp/src/codec.rs
@@ -6,7 +6,7 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 /// No peer may negotiate less.
-pub const LEAST_FRAME: u32 = 4096;
+pub const MIN_FRAME_SIZE: u32 = 4096;
 /// The bytes around a payload: type, channel and size before it, the end after it.
 const AROUND: usize = 8;
 const END: u8 = 0xCE;
@@ -55,19 +55,19 @@
 impl Default for Codec {
     /// As it is until the peers have agreed.
     fn default() -> Self {
-        Codec { frame_max: LEAST_FRAME, channel_max: 0, room: Vec::new() }
+        Codec { frame_max: MIN_FRAME_SIZE, channel_max: 0, room: Vec::new() }
     }
 }
 
 impl Codec {
     /// What was agreed on; nought stands for no limit in the protocol, and for ours here.
-    pub fn agreed(&mut self, frame_max: u32, channel_max: u16) {
-        self.frame_max = if frame_max == 0 { 1 << 20 } else { frame_max.max(LEAST_FRAME) };
+    pub fn set_limits(&mut self, frame_max: u32, channel_max: u16) {
+        self.frame_max = if frame_max == 0 { 1 << 20 } else { frame_max.max(MIN_FRAME_SIZE) };
         self.channel_max = if channel_max == 0 { u16::MAX } else { channel_max };
     }
 
     /// The longest body that one frame takes.
-    pub fn most_body(&self) -> usize {
+    pub fn max_body(&self) -> usize {
         self.frame_max as usize - AROUND
     }
 }
--- a/crates/curlewpoint-amqp/src/lib.rs
+++ b/crates/curlewpoint-amqp/src/lib.rs
@@ -5,6 +5,6 @@
 mod content;
 mod session;
 
-pub use codec::{Codec, FrameError, LEAST_FRAME};
-pub use content::{Content, Contents, Misplaced};
-pub use session::{Host, Login, Session};
+pub use codec::{Codec, FrameError, MIN_FRAME_SIZE};
+pub use content::{Content, ContentAssembler, ContentError};
+pub use session::{Login, Session, SessionDriver};
--- a/crates/curlewpoint-amqp/src/session.rs
+++ b/crates/curlewpoint-amqp/src/session.rs
@@ -7,13 +7,13 @@
 use bytes::Bytes;
 use curlewpoint::types::Time;
 
-use crate::content::Contents;
+use crate::content::ContentAssembler;
 
 /// What a session acts through, and tells.
-pub trait Host {
+pub trait SessionDriver {
     fn send(&mut self, frame: AMQPFrame);
     /// What was agreed on; frames from here on go by it.
-    fn agreed(&mut self, frame_max: u32, channel_max: u16);
+    fn negotiated(&mut self, frame_max: u32, channel_max: u16);
     /// The connection is open: queues may be consumed.
     fn ready(&mut self);
     fn delivered(
@@ -28,7 +28,7 @@
     /// The broker takes nothing that is published, or takes it again.
     fn blocked(&mut self, blocked: bool);
     /// The session is over: deliveries that were not committed come again, here or elsewhere.
-    fn over(&mut self, why: &str);
+    fn closed(&mut self, why: &str);
 }
 
 /// How to log in, and what to agree on at most.
@@ -41,7 +41,7 @@
     pub heartbeat: Time,
     pub frame_max: u32,
     /// A message longer than this ends the session.
-    pub most_body: u64,
+    pub max_body: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,12 +75,12 @@
 /// Guards against all that a broker may do: close, cancel, block, fall silent, answer what was not asked. A session that is
 /// over is never mended: a new one begins, as the broker gives back what it had delivered on the old one. It harms where a
 /// broker ends single channels often: all queues of the connection then begin anew.
-pub struct Session<H> {
-    host: H,
+pub struct Session<D> {
+    driver: D,
     login: Login,
     stage: Stage,
     lines: BTreeMap<u16, Line>,
-    contents: Contents<Carrier>,
+    content_assembler: ContentAssembler<Carrier>,
     heard: Time,
     said: Time,
     beat: Time,
@@ -103,35 +103,35 @@
     short(text.get(..250).unwrap_or(text))
 }
 
-impl<H: Host> Session<H> {
-    pub fn begin(now: Time, host: H, login: Login) -> Session<H> {
-        let contents = Contents::new(login.most_body);
+impl<D: SessionDriver> Session<D> {
+    pub fn start(now: Time, driver: D, login: Login) -> Session<D> {
+        let content_assembler = ContentAssembler::new(login.max_body);
         let mut session = Session {
-            host,
+            driver,
             login,
             stage: Stage::Greeted,
             lines: BTreeMap::new(),
-            contents,
+            content_assembler,
             heard: now,
             said: now,
             beat: Time(0),
-            frame_max: crate::LEAST_FRAME,
+            frame_max: crate::MIN_FRAME_SIZE,
         };
         session.send(now, AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1()));
         session
     }
 
-    pub fn host(&mut self) -> &mut H {
-        &mut self.host
+    pub fn driver(&mut self) -> &mut D {
+        &mut self.driver
     }
 
-    pub fn is_over(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.stage == Stage::Over
     }
 
     fn send(&mut self, now: Time, frame: AMQPFrame) {
         self.said = now;
-        self.host.send(frame);
+        self.driver.send(frame);
     }
 
     fn connection(&mut self, now: Time, method: connection::AMQPMethod) {
@@ -146,7 +146,7 @@
         if self.stage != Stage::Over {
             self.stage = Stage::Over;
             self.lines.clear();
-            self.host.over(why);
+            self.driver.closed(why);
         }
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Holds up to so many messages of a queue, from here on; nought: none more come, those that are here stay.
-    pub fn hold(&mut self, now: Time, queue: &str, most: u16) {
+    pub fn set_prefetch(&mut self, now: Time, queue: &str, most: u16) {
         if self.stage != Stage::Open {
             return;
         }
@@ -211,7 +211,7 @@
 
     /// Publishes something and acknowledges a delivery, if there is one, in one transaction; `committed` follows, or the
     /// session ends. False: its queue's channel is not up yet, and nothing was done.
-    pub fn exchange(
+    pub fn publish_and_ack(
         &mut self, now: Time, queue: &str, tag: Option<u64>, exchange: &str, routing_key: &str,
         properties: AMQPProperties, body: &[u8],
     ) -> bool {
@@ -224,14 +224,14 @@
         for part in body.chunks(self.frame_max as usize - 8) {
             self.send(now, AMQPFrame::Body(no, part.to_vec()));
         }
-        self.acknowledge_on(now, no, tag);
+        self.ack_on(now, no, tag);
         true
     }
 
     /// Acknowledges a delivery for which nothing is published; `committed` follows.
-    pub fn acknowledge(&mut self, now: Time, queue: &str, tag: u64) {
+    pub fn ack(&mut self, now: Time, queue: &str, tag: u64) {
         if let Some(no) = self.channel_of(queue) {
-            self.acknowledge_on(now, no, Some(tag));
+            self.ack_on(now, no, Some(tag));
         }
     }
 
@@ -239,7 +239,7 @@
         self.lines.iter().find(|(_, l)| l.queue == queue && l.up).map(|(no, _)| *no)
     }
 
-    fn acknowledge_on(&mut self, now: Time, no: u16, tag: Option<u64>) {
+    fn ack_on(&mut self, now: Time, no: u16, tag: Option<u64>) {
         if let Some(delivery_tag) = tag {
             self.basic(now, no, basic::AMQPMethod::Ack(basic::Ack { delivery_tag, multiple: false }));
         }
@@ -267,7 +267,7 @@
     }
 
     /// The connection has ended, or what came on it could not be read.
-    pub fn lost(&mut self, why: &str) {
+    pub fn connection_lost(&mut self, why: &str) {
         self.end(why);
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// A frame has come.
-    pub fn frame(&mut self, now: Time, frame: AMQPFrame) {
+    pub fn handle_frame(&mut self, now: Time, frame: AMQPFrame) {
         self.heard = now;
         if self.stage == Stage::Over {
             return;
@@ -296,8 +296,10 @@
             AMQPFrame::Method(no, method) if self.stage == Stage::Open => {
                 return self.of_channel(now, no, method)
             }
-            AMQPFrame::Header(no, header) => self.contents.header(no, header).map(|whole| (no, whole)),
-            AMQPFrame::Body(no, data) => self.contents.body(no, &data).map(|whole| (no, whole)),
+            AMQPFrame::Header(no, header) => {
+                self.content_assembler.header(no, header).map(|whole| (no, whole))
+            }
+            AMQPFrame::Body(no, data) => self.content_assembler.body(no, &data).map(|whole| (no, whole)),
             AMQPFrame::Heartbeat => return,
             _ => return self.fault(now, 503, "a frame that has no place here"),
         };
@@ -307,11 +309,11 @@
             Ok((no, Some(whole))) => match whole.method {
                 Carrier::Deliver(tag, redelivered) => {
                     let Some(line) = self.lines.get(&no) else { return };
-                    self.host.delivered(&line.queue, tag, redelivered, whole.properties, whole.body);
+                    self.driver.delivered(&line.queue, tag, redelivered, whole.properties, whole.body);
                 }
                 Carrier::Return(r) => {
                     let (key, why) = (r.routing_key.to_string(), r.reply_text.to_string());
-                    self.host.returned(&key, &why, whole.properties, whole.body);
+                    self.driver.returned(&key, &why, whole.properties, whole.body);
                 }
             },
         }
@@ -346,27 +348,27 @@
             (Stage::Started, Tune(tune)) => {
                 self.stage = Stage::Tuned;
                 let least = |theirs: u32, ours: u32| if theirs == 0 { ours } else { theirs.min(ours) };
-                let frame_max = least(tune.frame_max, self.login.frame_max).max(crate::LEAST_FRAME);
+                let frame_max = least(tune.frame_max, self.login.frame_max).max(crate::MIN_FRAME_SIZE);
                 let channel_max = least(u32::from(tune.channel_max), 2047) as u16;
                 let ours = self.login.heartbeat.0.div_ceil(10_000) as u32;
                 // Nought on either side: no heartbeats are wanted there, and the other's are kept.
                 let heartbeat = if ours == 0 { 0 } else { least(u32::from(tune.heartbeat), ours) as u16 };
                 (self.frame_max, self.beat) = (frame_max, Time(u64::from(heartbeat) * 10_000));
-                self.host.agreed(frame_max, channel_max);
+                self.driver.negotiated(frame_max, channel_max);
                 self.connection(now, TuneOk(connection::TuneOk { channel_max, frame_max, heartbeat }));
                 let virtual_host = short(&self.login.vhost);
                 self.connection(now, Open(connection::Open { virtual_host }));
             }
             (Stage::Tuned, OpenOk(_)) => {
                 self.stage = Stage::Open;
-                self.host.ready();
+                self.driver.ready();
             }
             (_, Close(close)) => {
                 self.connection(now, CloseOk(connection::CloseOk {}));
                 self.end(&format!("the broker closed: {} {}", close.reply_code, close.reply_text));
             }
-            (Stage::Open, Blocked(_)) => self.host.blocked(true),
-            (Stage::Open, Unblocked(_)) => self.host.blocked(false),
+            (Stage::Open, Blocked(_)) => self.driver.blocked(true),
+            (Stage::Open, Unblocked(_)) => self.driver.blocked(false),
             _ => self.fault(now, 503, "a method of the connection that has no place here"),
         }
     }
@@ -396,13 +398,13 @@
                 };
                 let queue = line.queue.clone();
                 self.commit(now, no);
-                self.host.committed(&queue, &tags);
+                self.driver.committed(&queue, &tags);
                 None
             }
             AMQPClass::Basic(Cancel(cancel)) => {
                 line.consuming = false;
                 line.hold = 0;
-                self.host.cancelled(&line.queue);
+                self.driver.cancelled(&line.queue);
                 if !cancel.nowait {
                     let consumer_tag = cancel.consumer_tag;
                     self.basic(now, no, CancelOk(basic::CancelOk { consumer_tag }));
@@ -417,15 +419,15 @@
             AMQPClass::Channel(channel::AMQPMethod::Flow(flow)) => {
                 let ok = channel::FlowOk { active: flow.active };
                 self.send(now, AMQPFrame::Method(no, AMQPClass::Channel(channel::AMQPMethod::FlowOk(ok))));
-                self.host.blocked(!flow.active);
+                self.driver.blocked(!flow.active);
                 None
             }
             AMQPClass::Basic(QosOk(_) | ConsumeOk(_) | CancelOk(_)) => None,
             _ => return self.fault(now, 503, "a method of a channel that has no place here"),
         };
         let placed = match carried {
-            Some(carrier) => self.contents.method(no, carrier),
-            None => self.contents.plain(no),
+            Some(carrier) => self.content_assembler.start(no, carrier),
+            None => self.content_assembler.check_idle(no),
         };
         if let Err(e) = placed {
             self.fault(now, 505, &e.to_string());
--- a/crates/curlewpoint-amqp/tests/frames.rs
+++ b/crates/curlewpoint-amqp/tests/frames.rs
@@ -5,14 +5,14 @@
 use amq_protocol::protocol::{channel, connection, queue, tx, AMQPClass};
 use amq_protocol::types::{AMQPValue, FieldTable, LongString, ShortString};
 use bytes::{Buf, BytesMut};
-use curlewpoint_amqp::{Codec, Content, Contents, FrameError, Misplaced};
+use curlewpoint_amqp::{Codec, Content, ContentAssembler, ContentError, FrameError};
 use proptest::prelude::*;
 use test_case::test_case;
 use tokio_util::codec::{Decoder, Encoder};
 
 fn codec() -> Codec {
     let mut codec = Codec::default();
-    codec.agreed(8192, 100);
+    codec.set_limits(8192, 100);
     codec
 }
 
@@ -116,7 +116,7 @@
 #[test]
 fn tables_nested_too_deep_are_refused_before_they_are_read() {
     let mut codec = Codec::default();
-    codec.agreed(1 << 20, 0);
+    codec.set_limits(1 << 20, 0);
     let mut inner = Vec::new();
     while inner.len() < 20_000 {
         let mut outer = b"\x01kF".to_vec();
@@ -144,7 +144,7 @@
 
 #[test]
 fn what_is_longer_than_was_agreed_on_is_not_written() {
-    let (mut out, most) = (BytesMut::new(), codec().most_body());
+    let (mut out, most) = (BytesMut::new(), codec().max_body());
     codec().encode(AMQPFrame::Body(1, vec![7; most]), &mut out).unwrap();
     assert_eq!(out.len(), 8192);
     assert!(codec().encode(AMQPFrame::Body(1, vec![7; most + 1]), &mut out).is_err());
@@ -177,26 +177,26 @@
 
 #[test]
 fn contents_of_channels_mixed_are_put_together_and_misplaced_frames_are_told() {
-    let mut c = Contents::new(100);
-    c.method(1, "deliver").unwrap();
-    c.method(2, "return").unwrap();
+    let mut c = ContentAssembler::new(100);
+    c.start(1, "deliver").unwrap();
+    c.start(2, "return").unwrap();
     assert_eq!(c.header(1, header(4)), Ok(None));
     let empty = Content { method: "return", properties: properties(), body: Default::default() };
     assert_eq!(c.header(2, header(0)), Ok(Some(empty)));
     assert_eq!(c.body(1, b"sc"), Ok(None));
-    assert_eq!(c.plain(1), Err(Misplaced::CutShort(1)));
-    assert_eq!(c.method(1, "deliver"), Err(Misplaced::CutShort(1)));
+    assert_eq!(c.check_idle(1), Err(ContentError::Interrupted(1)));
+    assert_eq!(c.start(1, "deliver"), Err(ContentError::Interrupted(1)));
     let whole = c.body(1, b"an").unwrap().unwrap();
     assert_eq!((whole.method, &whole.body[..]), ("deliver", &b"scan"[..]));
-    assert_eq!(c.body(1, b"x"), Err(Misplaced::Unannounced(1)));
-    assert_eq!(c.header(3, header(1)), Err(Misplaced::Unannounced(3)));
-    c.method(4, "deliver").unwrap();
-    assert_eq!(c.header(4, header(101)), Err(Misplaced::OverLimit(101, 4)));
-    c.method(5, "deliver").unwrap();
+    assert_eq!(c.body(1, b"x"), Err(ContentError::Unexpected(1)));
+    assert_eq!(c.header(3, header(1)), Err(ContentError::Unexpected(3)));
+    c.start(4, "deliver").unwrap();
+    assert_eq!(c.header(4, header(101)), Err(ContentError::OverLimit(101, 4)));
+    c.start(5, "deliver").unwrap();
     c.header(5, header(2)).unwrap();
-    assert_eq!(c.body(5, b"xyz"), Err(Misplaced::Longer(5)));
-    c.closed(5);
-    assert_eq!(c.plain(5), Ok(()));
+    assert_eq!(c.body(5, b"xyz"), Err(ContentError::TooLong(5)));
+    c.channel_closed(5);
+    assert_eq!(c.check_idle(5), Ok(()));
 }
 
 fn text() -> impl Strategy<Value = ShortString> {
--- a/crates/curlewpoint-cli/src/commands/journal.rs
+++ b/crates/curlewpoint-cli/src/commands/journal.rs
@@ -3,8 +3,8 @@
 
 use clap::{Args, Subcommand};
 use curlewpoint::types::Time;
-use curlewpoint_journal::{Journal, Reader};
-use curlewpoint_trigger::{Final, Name};
+use curlewpoint_journal::{Journal, RecordVisitor};
+use curlewpoint_trigger::{FinalAnswer, MessageKey};
 
 use super::{fail, DONE, FAILED};
 
@@ -33,14 +33,14 @@
     format!("{:.1} s ago", ago.as_secs_f64())
 }
 
-impl Reader for Lines {
-    fn intent(&mut self, name: Name, at: Time) {
+impl RecordVisitor for Lines {
+    fn intent(&mut self, name: MessageKey, at: Time) {
         let what = "may have been sent; comes again: aborted, or repeated by its token within its span";
         self.0.push((at, format!("{}  {}  {}  {what}", name.id, name.reply_to, since(at))));
     }
 
-    fn answer(&mut self, name: Name, at: Time, answer: Final) {
-        let (end, length) = (answer.end, answer.body.len());
+    fn answer(&mut self, name: MessageKey, at: Time, answer: FinalAnswer) {
+        let (end, length) = (answer.kind, answer.body.len());
         let what = format!("answered {end:?}, {length} bytes; comes again: this answer");
         self.0.push((at, format!("{}  {}  {}  {what}", name.id, name.reply_to, since(at))));
     }
--- a/crates/curlewpoint-cli/tests/processes.rs
+++ b/crates/curlewpoint-cli/tests/processes.rs
@@ -236,19 +236,19 @@
 #[test]
 fn a_journal_is_listed_and_verified() {
     use curlewpoint::types::Time;
-    use curlewpoint_journal::{Journal, Limits, Reader};
-    use curlewpoint_trigger::{End, Final, Name};
+    use curlewpoint_journal::{Journal, JournalLimits, RecordVisitor};
+    use curlewpoint_trigger::{AnswerKind, FinalAnswer, MessageKey};
     struct Nobody;
-    impl Reader for Nobody {
-        fn intent(&mut self, _: Name, _: Time) {}
-        fn answer(&mut self, _: Name, _: Time, _: Final) {}
+    impl RecordVisitor for Nobody {
+        fn intent(&mut self, _: MessageKey, _: Time) {}
+        fn answer(&mut self, _: MessageKey, _: Time, _: FinalAnswer) {}
     }
     let path = std::env::temp_dir().join(format!("curlewpoint-journal-{}", std::process::id()));
-    let journal = Journal::open(&path, Limits::default(), &mut Nobody).expect("it opens");
-    let name = |id: &str| Name { id: id.to_owned(), reply_to: "office".to_owned() };
-    journal.intent(&name("sent"), Time(1), |_| {});
-    let aborted = Final { end: End::Aborted, why: String::new(), body: Default::default() };
-    journal.answer(&name("told"), Time(2), &aborted);
+    let journal = Journal::open(&path, JournalLimits::default(), &mut Nobody).expect("it opens");
+    let name = |id: &str| MessageKey { id: id.to_owned(), reply_to: "office".to_owned() };
+    journal.write_intent(&name("sent"), Time(1), |_| {});
+    let aborted = FinalAnswer { kind: AnswerKind::Aborted, reason: String::new(), body: Default::default() };
+    journal.write_answer(&name("told"), Time(2), &aborted);
     let run = |what: &str| program().args(["journal", what]).arg(&path).output().expect("it runs");
     let busy = run("verify");
     assert_eq!(busy.status.code(), Some(1), "a scheduler holds it");
--- a/crates/curlewpoint-emulator/src/broker.rs
+++ b/crates/curlewpoint-emulator/src/broker.rs
@@ -6,7 +6,7 @@
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
 use curlewpoint::types::Time;
-use curlewpoint_amqp::Contents;
+use curlewpoint_amqp::ContentAssembler;
 
 /// What a broker acts through.
 pub trait Lines {
@@ -86,7 +86,7 @@
 
 struct Conn {
     channels: BTreeMap<u16, Channel>,
-    contents: Contents<Carried>,
+    contents: ContentAssembler<Carried>,
     frame_max: u32,
     open: bool,
 }
@@ -179,7 +179,7 @@
 
     /// A client has connected.
     pub fn opened(&mut self, conn: u64) {
-        let (channels, contents) = (BTreeMap::new(), Contents::new(MOST_BODY));
+        let (channels, contents) = (BTreeMap::new(), ContentAssembler::new(MOST_BODY));
         self.conns.insert(conn, Conn { channels, contents, frame_max: 4096, open: false });
     }
 
@@ -501,7 +501,7 @@
         };
         let reply = match method {
             AMQPClass::Basic(B::Publish(publish)) => {
-                if c.contents.method(no, Carried::Publish(publish)).is_err() {
+                if c.contents.start(no, Carried::Publish(publish)).is_err() {
                     self.fault(conn, 505, "content cut short");
                 }
                 return;
@@ -588,7 +588,7 @@
             }
             AMQPClass::Channel(channel::AMQPMethod::Close(_)) => {
                 if let Some(gone) = c.channels.remove(&no) {
-                    c.contents.closed(no);
+                    c.contents.channel_closed(no);
                     self.queues.values_mut().for_each(|q| q.consumers.retain(|x| (x.0, x.1) != (conn, no)));
                     self.give_back(gone);
                 }
--- a/crates/curlewpoint-emulator/tests/broker.rs
+++ b/crates/curlewpoint-emulator/tests/broker.rs
@@ -8,7 +8,7 @@
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::{Bytes, BytesMut};
 use curlewpoint::types::Time;
-use curlewpoint_amqp::{Codec, Host, Login, Session};
+use curlewpoint_amqp::{Codec, Login, Session, SessionDriver};
 use curlewpoint_emulator::{Broker, Lines};
 use tokio_util::codec::{Decoder, Encoder};
 
@@ -22,11 +22,11 @@
     committed: Vec<u64>,
 }
 
-impl Host for Heard {
+impl SessionDriver for Heard {
     fn send(&mut self, frame: AMQPFrame) {
         self.out.push_back(frame);
     }
-    fn agreed(&mut self, frame_max: u32, channel_max: u16) {
+    fn negotiated(&mut self, frame_max: u32, channel_max: u16) {
         self.agreed = (frame_max, channel_max);
     }
     fn ready(&mut self) {
@@ -47,7 +47,7 @@
     fn blocked(&mut self, blocked: bool) {
         self.told.push(format!("blocked {blocked}"));
     }
-    fn over(&mut self, why: &str) {
+    fn closed(&mut self, why: &str) {
         self.told.push(format!("over: {why}"));
     }
 }
@@ -86,14 +86,14 @@
         vhost: "/".to_owned(),
         heartbeat: Time(100_000),
         frame_max: 8192,
-        most_body: 1 << 20,
+        max_body: 1 << 20,
     }
 }
 
 /// A frame as it arrives: written and read anew.
 fn over_the_wire(frame: AMQPFrame, agreed: (u32, u16)) -> AMQPFrame {
     let mut codec = Codec::default();
-    codec.agreed(agreed.0, agreed.1);
+    codec.set_limits(agreed.0, agreed.1);
     let mut bytes = BytesMut::new();
     codec.encode(frame, &mut bytes).unwrap();
     codec.decode(&mut bytes).unwrap().unwrap()
@@ -106,7 +106,7 @@
         // A client of its own sets the queues up.
         s.connect(99);
         let now = s.now;
-        s.session(99).hold(now, "none", 0);
+        s.session(99).set_prefetch(now, "none", 0);
         s.run();
         let mut dead = FieldTable::default();
         dead.insert("x-dead-letter-exchange".into(), AMQPValue::LongString("".into()));
@@ -128,7 +128,7 @@
 
     fn connect(&mut self, conn: u64) {
         self.broker.opened(conn);
-        self.sessions.insert(conn, Session::begin(self.now, Heard::default(), login()));
+        self.sessions.insert(conn, Session::start(self.now, Heard::default(), login()));
         self.run();
     }
 
@@ -137,8 +137,8 @@
         loop {
             let mut moved = false;
             for (conn, session) in &mut self.sessions {
-                let agreed = session.host().agreed;
-                while let Some(frame) = session.host().out.pop_front() {
+                let agreed = session.driver().agreed;
+                while let Some(frame) = session.driver().out.pop_front() {
                     moved = true;
                     self.broker.frame(self.now, *conn, over_the_wire(frame, agreed));
                 }
@@ -147,7 +147,7 @@
                 moved = true;
                 let agreed = self.broker.lines().agreed.get(&conn).copied().unwrap_or_default();
                 if let Some(session) = self.sessions.get_mut(&conn) {
-                    session.frame(self.now, over_the_wire(frame, agreed));
+                    session.handle_frame(self.now, over_the_wire(frame, agreed));
                 }
             }
             if !moved {
@@ -160,9 +160,9 @@
         self.sessions.get_mut(&conn).unwrap()
     }
 
-    fn hold(&mut self, conn: u64, most: u16) {
+    fn set_prefetch(&mut self, conn: u64, most: u16) {
         let now = self.now;
-        self.session(conn).hold(now, EXTRACTS, most);
+        self.session(conn).set_prefetch(now, EXTRACTS, most);
         self.run();
     }
 
@@ -170,9 +170,9 @@
     fn ask(&mut self, body: &str, properties: AMQPProperties) {
         self.connect(98);
         let now = self.now;
-        self.session(98).hold(now, "office", 0);
+        self.session(98).set_prefetch(now, "office", 0);
         self.run();
-        self.session(98).exchange(now, "office", None, "", EXTRACTS, properties, body.as_bytes());
+        self.session(98).publish_and_ack(now, "office", None, "", EXTRACTS, properties, body.as_bytes());
         self.run();
         self.sessions.remove(&98);
         self.broker.closed(now, 98);
@@ -182,22 +182,22 @@
     /// Answers a delivery, up to the commit.
     fn answer(&mut self, conn: u64, tag: u64) {
         let now = self.now;
-        self.session(conn).exchange(now, EXTRACTS, Some(tag), "", "office", plain(), b"extract");
+        self.session(conn).publish_and_ack(now, EXTRACTS, Some(tag), "", "office", plain(), b"extract");
     }
 
     fn drop_conn(&mut self, conn: u64) {
-        self.sessions.remove(&conn).unwrap().lost("dropped");
+        self.sessions.remove(&conn).unwrap().connection_lost("dropped");
         self.broker.closed(self.now, conn);
         self.run();
     }
 
     fn bodies(&mut self, conn: u64) -> Vec<String> {
-        let all = &self.session(conn).host().delivered;
+        let all = &self.session(conn).driver().delivered;
         all.iter().map(|d| String::from_utf8_lossy(&d.2).into_owned()).collect()
     }
 
     fn told(&mut self, conn: u64) -> String {
-        self.session(conn).host().told.join("; ")
+        self.session(conn).driver().told.join("; ")
     }
 }
 
@@ -211,18 +211,18 @@
     (0..5).for_each(|no| s.ask(&format!("m{no}"), plain()));
     s.connect(1);
     assert_eq!(s.told(1), "ready");
-    s.hold(1, 2);
+    s.set_prefetch(1, 2);
     assert_eq!(s.bodies(1), ["m0", "m1"]);
-    s.hold(1, 4);
+    s.set_prefetch(1, 4);
     assert_eq!(s.bodies(1).len(), 4);
     // The first goes alone; what comes before its word goes with the next commit.
     (1..=4).for_each(|tag| s.answer(1, tag));
     let commit = AMQPFrame::Method(1, AMQPClass::Tx(tx::AMQPMethod::Commit(tx::Commit {})));
-    assert_eq!(s.session(1).host().out.iter().filter(|f| **f == commit).count(), 1);
+    assert_eq!(s.session(1).driver().out.iter().filter(|f| **f == commit).count(), 1);
     s.run();
-    assert_eq!(s.session(1).host().committed, [1, 2, 3, 4]);
+    assert_eq!(s.session(1).driver().committed, [1, 2, 3, 4]);
     assert_eq!((s.broker.waiting("office").len(), s.bodies(1).len()), (4, 5));
-    s.hold(1, 0);
+    s.set_prefetch(1, 0);
     s.ask("m5", plain());
     assert_eq!((s.bodies(1).len(), s.broker.waiting(EXTRACTS).len()), (5, 1));
 }
@@ -232,19 +232,19 @@
     let mut s = Story::new();
     s.ask("m0", plain());
     s.connect(1);
-    s.hold(1, 9);
+    s.set_prefetch(1, 9);
     s.connect(2);
-    s.hold(2, 9);
+    s.set_prefetch(2, 9);
     // Publish and acknowledge arrive, the commit does not.
     s.answer(1, 1);
-    let mut frames: Vec<_> = s.session(1).host().out.drain(..).collect();
+    let mut frames: Vec<_> = s.session(1).driver().out.drain(..).collect();
     frames.pop();
     for frame in frames {
         s.broker.frame(s.now, 1, frame);
     }
     s.drop_conn(1);
     assert_eq!(s.broker.waiting("office").len(), 0);
-    let again = s.session(2).host().delivered.clone();
+    let again = s.session(2).driver().delivered.clone();
     assert_eq!(again, [(1, true, Bytes::from_static(b"m0"))]);
 }
 
@@ -253,11 +253,11 @@
     let mut s = Story::new();
     s.ask("m0", plain());
     s.connect(1);
-    s.hold(1, 9);
+    s.set_prefetch(1, 9);
     s.broker.faults.silent_commits = true;
     s.answer(1, 1);
     s.run();
-    assert!(s.session(1).host().committed.is_empty());
+    assert!(s.session(1).driver().committed.is_empty());
     s.drop_conn(1);
     let left = (s.broker.waiting("office").len(), s.broker.waiting(EXTRACTS).len());
     assert_eq!((left, s.broker.unacknowledged()), ((1, 0), 0));
@@ -267,7 +267,7 @@
 fn a_broker_that_blocks_cancels_or_closes_is_told() {
     let mut s = Story::new();
     s.connect(1);
-    s.hold(1, 9);
+    s.set_prefetch(1, 9);
     s.broker.block(true);
     s.broker.block(false);
     s.broker.cancel_consumers(EXTRACTS);
@@ -275,10 +275,10 @@
     s.ask("m0", plain());
     let want = format!("ready; blocked true; blocked false; cancelled {EXTRACTS}");
     assert_eq!((s.told(1), s.bodies(1).len()), (want, 0));
-    s.hold(1, 3);
+    s.set_prefetch(1, 3);
     assert_eq!(s.bodies(1), ["m0"], "it is asked for again");
     let now = s.now;
-    s.session(1).hold(now, "no-such-queue", 3);
+    s.session(1).set_prefetch(now, "no-such-queue", 3);
     s.run();
     let want = "over: the broker closed no-such-queue: 404 no queue 'no-such-queue'";
     assert!(s.told(1).ends_with(want), "{}", s.told(1));
@@ -290,12 +290,12 @@
     let mut s = Story::new();
     s.ask("m0", plain());
     s.connect(1);
-    s.hold(1, 9);
+    s.set_prefetch(1, 9);
     let now = s.now;
-    s.session(1).exchange(now, EXTRACTS, Some(1), "", "no-office", plain(), b"extract");
+    s.session(1).publish_and_ack(now, EXTRACTS, Some(1), "", "no-office", plain(), b"extract");
     s.run();
     assert_eq!(s.told(1), "ready; returned no-office: NO_ROUTE, 7 bytes");
-    assert_eq!(s.session(1).host().committed, [1]);
+    assert_eq!(s.session(1).driver().committed, [1]);
 }
 
 #[test]
@@ -304,7 +304,7 @@
     let long = "x".repeat(100_000);
     s.ask(&long, plain());
     s.connect(1);
-    s.hold(1, 9);
+    s.set_prefetch(1, 9);
     assert_eq!(s.bodies(1), [long]);
     s.ask(&"x".repeat((1 << 20) + 1), plain());
     let want = "over: content of 1048577 bytes on channel 1 is over the limit";
@@ -320,7 +320,7 @@
     s.now = s.now + Time(500);
     s.broker.advance(s.now);
     s.connect(1);
-    s.hold(1, 9);
+    s.set_prefetch(1, 9);
     assert_eq!(
         (s.bodies(1), s.broker.waiting("dead")),
         (vec!["high".to_owned(), "low".to_owned()], vec![Bytes::from("short")])
@@ -336,12 +336,12 @@
         s.now = s.now + Time(50_000);
         let now = s.now;
         s.session(1).tick(now);
-        assert_eq!(s.session(1).host().out, [AMQPFrame::Heartbeat]);
+        assert_eq!(s.session(1).driver().out, [AMQPFrame::Heartbeat]);
         s.run();
     }
     let now = s.now + Time(199_999);
     s.session(1).tick(now);
-    assert!(!s.session(1).is_over());
+    assert!(!s.session(1).is_closed());
     s.session(1).tick(now + Time(1));
     assert_eq!(s.told(1), "ready; over: the broker has fallen silent");
 }
@@ -357,10 +357,10 @@
     ] {
         let mut s = Story::new();
         s.connect(1);
-        s.hold(1, 1);
+        s.set_prefetch(1, 1);
         let now = s.now;
-        s.session(1).frame(now, frame);
+        s.session(1).handle_frame(now, frame);
         assert!(s.told(1).contains(want), "{}", s.told(1));
-        assert!(s.session(1).is_over());
+        assert!(s.session(1).is_closed());
     }
 }
--- a/crates/curlewpoint-gateway/src/amqp.rs
+++ b/crates/curlewpoint-gateway/src/amqp.rs
@@ -8,11 +8,13 @@
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
 use curlewpoint::types::Time;
-use curlewpoint_amqp::{Codec, Host, Login, Session};
+use curlewpoint_amqp::{Codec, Login, Session, SessionDriver};
 use curlewpoint_engine::{Answer, ClientId, Refusal};
-use curlewpoint_journal::{Journal, Reader};
+use curlewpoint_journal::{Journal, RecordVisitor};
 use curlewpoint_link::Clock;
-use curlewpoint_trigger::{Delivery, Desk, End, Final, Inbox, Intake, Name, Terms};
+use curlewpoint_trigger::{
+    AnswerKind, Delivery, DeliveryInfo, FinalAnswer, Inbox, InboxDriver, MessageKey, PrefetchController,
+};
 use futures_util::SinkExt;
 use oorandom::Rand64;
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -100,11 +102,11 @@
     /// A connection was lost, and why.
     Disconnected(u64, String),
     /// The journal has handled an intent, and whether it was written.
-    IntentWritten(Name, u64, bool),
+    IntentWritten(MessageKey, u64, bool),
     /// The message does not match its method's schema.
-    InvalidRpc(Name, String),
+    InvalidRpc(MessageKey, String),
     /// An RPC has ended. None: the engine ended while the RPC was open.
-    RpcEnded(Name, Option<Reply>),
+    RpcEnded(MessageKey, Option<Reply>),
 }
 
 /// Commands for the task of a broker connection.
@@ -122,20 +124,20 @@
     Returned(String, String, Box<AMQPProperties>, Bytes),
     Cancelled(String),
     Blocked(bool),
-    Over(String),
+    Closed(String),
 }
 
-/// Implements the session's host: queues its frames for the connection task and its events for the inbox task.
-struct SessionHost {
+/// Implements the session's driver: queues its frames for the connection task and its events for the inbox task.
+struct ConnectionDriver {
     outgoing_tx: mpsc::UnboundedSender<Outgoing>,
     events: VecDeque<SessionEvent>,
 }
 
-impl Host for SessionHost {
+impl SessionDriver for ConnectionDriver {
     fn send(&mut self, frame: AMQPFrame) {
         let _ = self.outgoing_tx.send(Outgoing::Frame(Box::new(frame)));
     }
-    fn agreed(&mut self, frame_max: u32, channel_max: u16) {
+    fn negotiated(&mut self, frame_max: u32, channel_max: u16) {
         let _ = self.outgoing_tx.send(Outgoing::Negotiated(frame_max, channel_max));
     }
     fn ready(&mut self) {
@@ -169,8 +171,8 @@
     fn blocked(&mut self, blocked: bool) {
         self.events.push_back(SessionEvent::Blocked(blocked));
     }
-    fn over(&mut self, reason: &str) {
-        self.events.push_back(SessionEvent::Over(reason.to_owned()));
+    fn closed(&mut self, reason: &str) {
+        self.events.push_back(SessionEvent::Closed(reason.to_owned()));
     }
 }
 
@@ -241,7 +243,7 @@
                         Some(Outgoing::Frame(frame)) => if let Err(e) = framed.feed(*frame).await {
                             return e.to_string();
                         },
-                        Some(Outgoing::Negotiated(frame_max, channel_max)) => framed.codec_mut().agreed(frame_max, channel_max),
+                        Some(Outgoing::Negotiated(frame_max, channel_max)) => framed.codec_mut().set_limits(frame_max, channel_max),
                         None => {
                             let _ = framed.flush().await;
                             return "closed by this scheduler".to_owned();
@@ -263,7 +265,7 @@
 
 /// A message that has been delivered and not settled.
 struct HeldMessage {
-    name: Option<Name>,
+    name: Option<MessageKey>,
     method: String,
     properties: AMQPProperties,
     body: Bytes,
@@ -271,7 +273,7 @@
 
 struct BrokerConnection {
     slot: usize,
-    session: Session<SessionHost>,
+    session: Session<ConnectionDriver>,
     task: AbortHandle,
 }
 
@@ -280,7 +282,7 @@
     connections: BTreeMap<u64, BrokerConnection>,
     held: BTreeMap<Delivery, HeldMessage>,
     /// The latest delivery of each message.
-    latest: BTreeMap<Name, Delivery>,
+    latest: BTreeMap<MessageKey, Delivery>,
     journal: Journal,
     broker_event_tx: mpsc::UnboundedSender<BrokerEvent>,
     request_tx: mpsc::Sender<Event>,
@@ -325,11 +327,11 @@
 
 impl TriggerDriver {
     /// Publishes a message and acknowledges a held delivery in one transaction.
-    fn exchange(&mut self, delivery: Delivery, to: &str, properties: AMQPProperties, body: &[u8]) {
+    fn publish_and_ack(&mut self, delivery: Delivery, to: &str, properties: AMQPProperties, body: &[u8]) {
         let Some(queue) = self.queues.get((delivery.tag >> QUEUE_SHIFT) as usize) else { return };
         let Some(connection) = self.connections.get_mut(&delivery.conn) else { return };
         let tag = delivery.tag & ((1 << QUEUE_SHIFT) - 1);
-        connection.session.exchange(self.clock.now(), queue, Some(tag), "", to, properties, body);
+        connection.session.publish_and_ack(self.clock.now(), queue, Some(tag), "", to, properties, body);
     }
 
     /// Forgets a delivery that is settled or lost.
@@ -342,23 +344,23 @@
     }
 }
 
-impl Desk for TriggerDriver {
-    fn write_intent(&mut self, name: &Name, number: u64) {
+impl InboxDriver for TriggerDriver {
+    fn write_intent(&mut self, name: &MessageKey, number: u64) {
         let (event_tx, intent_name) = (self.broker_event_tx.clone(), name.clone());
-        self.journal.intent(name, wall_clock(), move |written| {
+        self.journal.write_intent(name, wall_clock(), move |written| {
             drop(event_tx.send(BrokerEvent::IntentWritten(intent_name, number, written)))
         });
     }
 
-    fn write_answer(&mut self, name: &Name, answer: &Final) {
-        self.journal.answer(name, wall_clock(), answer);
+    fn write_answer(&mut self, name: &MessageKey, answer: &FinalAnswer) {
+        self.journal.write_answer(name, wall_clock(), answer);
     }
 
-    fn write_done(&mut self, name: &Name) {
-        self.journal.done(name);
+    fn remove_record(&mut self, name: &MessageKey) {
+        self.journal.remove(name);
     }
 
-    fn ask(&mut self, name: &Name, until: Time) {
+    fn submit(&mut self, name: &MessageKey, until: Time) {
         let Some(held) = self.latest.get(name).and_then(|d| self.held.get(d)) else { return };
         let (method, body, properties) = (held.method.clone(), held.body.clone(), &held.properties);
         let (model, tenant) = (text_header(properties, "model"), text_header(properties, "tenant"));
@@ -397,12 +399,12 @@
         });
     }
 
-    fn settle(&mut self, name: &Name, delivery: Delivery, answer: &Final) {
+    fn settle(&mut self, name: &MessageKey, delivery: Delivery, answer: &FinalAnswer) {
         let Some(held) = self.held.get(&delivery) else { return };
-        let answer_name = match answer.end {
-            End::Ok => "ok",
-            End::Denied => "denied",
-            End::Aborted => "aborted",
+        let answer_name = match answer.kind {
+            AnswerKind::Ok => "ok",
+            AnswerKind::Denied => "denied",
+            AnswerKind::Aborted => "aborted",
         };
         let catalogue = Arc::clone(&self.active_methods.borrow().prepared.catalogue);
         let media_type =
@@ -412,18 +414,19 @@
             .with_delivery_mode(2)
             .with_content_type(media_type.into());
         properties = with_header(&properties, "answer", AMQPValue::LongString(answer_name.into()));
-        if !answer.why.is_empty() {
-            properties = with_header(&properties, "why", AMQPValue::LongString(answer.why.as_str().into()));
+        if !answer.reason.is_empty() {
+            properties =
+                with_header(&properties, "why", AMQPValue::LongString(answer.reason.as_str().into()));
         }
-        self.exchange(delivery, &name.reply_to, properties, &answer.body);
+        self.publish_and_ack(delivery, &name.reply_to, properties, &answer.body);
     }
 
-    fn give_back(&mut self, _: &Name, delivery: Delivery, given_back: u32) {
+    fn requeue(&mut self, _: &MessageKey, delivery: Delivery, requeue_count: u32) {
         let Some(held) = self.held.get(&delivery) else { return };
         let (queue, body) = (format!("{QUEUE_PREFIX}{}", held.method), held.body.clone());
         let properties =
-            with_header(&held.properties, GIVEN_BACK_HEADER, AMQPValue::LongInt(given_back as i32));
-        self.exchange(delivery, &queue, properties, &body);
+            with_header(&held.properties, GIVEN_BACK_HEADER, AMQPValue::LongInt(requeue_count as i32));
+        self.publish_and_ack(delivery, &queue, properties, &body);
     }
 
     fn dead_letter(&mut self, delivery: Delivery, reason: &str) {
@@ -432,30 +435,30 @@
         let properties =
             with_header(&held.properties, "curlewpoint-why", AMQPValue::LongString(reason.into()));
         info!(method = held.method, "a message goes to {to}: {reason}");
-        self.exchange(delivery, &to, properties, &body);
+        self.publish_and_ack(delivery, &to, properties, &body);
     }
 
-    fn log(&mut self, name: &Name, line: &str) {
+    fn log(&mut self, name: &MessageKey, line: &str) {
         info!(id = name.id, "{line}");
     }
 }
 
 /// Records that previous runs have left in the journal.
 #[derive(Default)]
-pub(crate) struct RecoveredRecords(Vec<(Name, Time, Option<Final>)>);
+pub(crate) struct RecoveredRecords(Vec<(MessageKey, Time, Option<FinalAnswer>)>);
 
-impl Reader for RecoveredRecords {
-    fn intent(&mut self, name: Name, at: Time) {
+impl RecordVisitor for RecoveredRecords {
+    fn intent(&mut self, name: MessageKey, at: Time) {
         self.0.push((name, at, None));
     }
-    fn answer(&mut self, name: Name, at: Time, answer: Final) {
+    fn answer(&mut self, name: MessageKey, at: Time, answer: FinalAnswer) {
         self.0.push((name, at, Some(answer)));
     }
 }
 
 struct Trigger {
     inbox: Inbox<TriggerDriver>,
-    intakes: BTreeMap<String, Intake>,
+    prefetch_controllers: BTreeMap<String, PrefetchController>,
     settings: Settings,
     clock: Clock,
     stopping: bool,
@@ -505,7 +508,8 @@
     if found > 0 {
         info!(found, "the journal holds messages of a previous run that may be delivered again");
     }
-    let mut trigger = Trigger { inbox, intakes: BTreeMap::new(), settings, clock, stopping: false };
+    let mut trigger =
+        Trigger { inbox, prefetch_controllers: BTreeMap::new(), settings, clock, stopping: false };
     let mut tick = interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(MissedTickBehavior::Skip);
     loop {
@@ -523,7 +527,7 @@
     }
     connection_tasks.iter().for_each(AbortHandle::abort);
     let now = clock.now();
-    let driver = trigger.inbox.desk();
+    let driver = trigger.inbox.driver();
     for connection in driver.connections.values_mut() {
         connection.session.close(now);
     }
@@ -538,27 +542,27 @@
 
 impl Trigger {
     fn is_over(&mut self) -> bool {
-        self.stopping && self.inbox.open() == 0 && self.inbox.desk().held.is_empty()
+        self.stopping && self.inbox.open() == 0 && self.inbox.driver().held.is_empty()
     }
 
     fn stop(&mut self) {
         self.stopping = true;
         self.inbox.stop();
-        self.intakes.values_mut().for_each(Intake::stop);
+        self.prefetch_controllers.values_mut().for_each(PrefetchController::stop);
         self.update_prefetch();
     }
 
     /// Sets the number of messages that each queue may hold now. Adds queues of methods that a reload has added.
     fn update_prefetch(&mut self) {
         let (now, max_held) = (self.clock.now(), self.settings.max_held);
-        let driver = self.inbox.desk();
+        let driver = self.inbox.driver();
         let active_methods = Arc::clone(&driver.active_methods.borrow());
         for method in active_methods.prepared.catalogue.methods() {
             let queue = format!("{QUEUE_PREFIX}{}", method.name);
             if !driver.queues.contains(&queue) {
                 driver.queues.push(queue.clone());
             }
-            self.intakes.entry(queue).or_insert_with(|| Intake::new(now, max_held));
+            self.prefetch_controllers.entry(queue).or_insert_with(|| PrefetchController::new(now, max_held));
         }
         let slots = self.settings.connections.max(1);
         for connection in driver.connections.values_mut() {
@@ -568,8 +572,12 @@
                     .catalogue
                     .method(queue.trim_start_matches(QUEUE_PREFIX))
                     .is_some();
-                let prefetch = self.intakes.get(queue).filter(|_| served).map_or(0, Intake::prefetch);
-                connection.session.hold(now, queue, u16::try_from(prefetch).unwrap_or(u16::MAX));
+                let prefetch = self
+                    .prefetch_controllers
+                    .get(queue)
+                    .filter(|_| served)
+                    .map_or(0, PrefetchController::prefetch);
+                connection.session.set_prefetch(now, queue, u16::try_from(prefetch).unwrap_or(u16::MAX));
             }
         }
     }
@@ -577,27 +585,27 @@
     fn tick(&mut self) {
         let now = self.clock.now();
         self.inbox.sweep(now);
-        let conns: Vec<u64> = self.inbox.desk().connections.keys().copied().collect();
+        let conns: Vec<u64> = self.inbox.driver().connections.keys().copied().collect();
         for conn in conns {
             self.with_session(conn, |session| session.tick(now));
         }
-        self.intakes.values_mut().for_each(|i| {
+        self.prefetch_controllers.values_mut().for_each(|i| {
             i.tick(now);
         });
         self.update_prefetch();
     }
 
-    fn with_session(&mut self, conn: u64, action: impl FnOnce(&mut Session<SessionHost>)) {
-        if let Some(connection) = self.inbox.desk().connections.get_mut(&conn) {
+    fn with_session(&mut self, conn: u64, action: impl FnOnce(&mut Session<ConnectionDriver>)) {
+        if let Some(connection) = self.inbox.driver().connections.get_mut(&conn) {
             action(&mut connection.session);
         }
         // One event at a time, as processing an event may cause the session to report more.
         while let Some(event) = self
             .inbox
-            .desk()
+            .driver()
             .connections
             .get_mut(&conn)
-            .and_then(|connection| connection.session.host().events.pop_front())
+            .and_then(|connection| connection.session.driver().events.pop_front())
         {
             self.handle_session_event(conn, event);
         }
@@ -607,36 +615,41 @@
         let now = self.clock.now();
         match event {
             BrokerEvent::Connected(conn, slot, outgoing_tx, task) => {
-                let host = SessionHost { outgoing_tx, events: VecDeque::new() };
-                let session = Session::begin(now, host, self.settings.login.clone());
-                self.inbox.desk().connections.insert(conn, BrokerConnection { slot, session, task });
+                let driver = ConnectionDriver { outgoing_tx, events: VecDeque::new() };
+                let session = Session::start(now, driver, self.settings.login.clone());
+                self.inbox.driver().connections.insert(conn, BrokerConnection { slot, session, task });
+            }
+            BrokerEvent::Frame(conn, frame) => {
+                self.with_session(conn, |session| session.handle_frame(now, *frame))
             }
-            BrokerEvent::Frame(conn, frame) => self.with_session(conn, |session| session.frame(now, *frame)),
             BrokerEvent::Disconnected(conn, reason) => {
-                self.with_session(conn, |session| session.lost(&reason));
+                self.with_session(conn, |session| session.connection_lost(&reason));
                 self.connection_lost(conn);
             }
             BrokerEvent::IntentWritten(name, number, true) => self.inbox.intent_written(&name, number),
-            BrokerEvent::IntentWritten(name, number, false) => self.inbox.intent_lost(&name, number),
+            BrokerEvent::IntentWritten(name, number, false) => self.inbox.intent_failed(&name, number),
             BrokerEvent::InvalidRpc(name, reason) => {
                 self.inbox.refused(now, &name, &format!("unfit: {reason}"), true)
             }
             BrokerEvent::RpcEnded(name, None) => {
-                let (why, body) = ("the scheduler ended".to_owned(), Bytes::new());
-                self.inbox.answered(&name, Final { end: End::Aborted, why, body });
+                let (reason, body) = ("the scheduler ended".to_owned(), Bytes::new());
+                self.inbox.answered(&name, FinalAnswer { kind: AnswerKind::Aborted, reason, body });
             }
             BrokerEvent::RpcEnded(name, Some(Reply::Final { answer, reason, body, .. })) => {
-                let end = match answer {
-                    Answer::Ok => End::Ok,
-                    Answer::Denied => End::Denied,
-                    Answer::Aborted => End::Aborted,
+                let kind = match answer {
+                    Answer::Ok => AnswerKind::Ok,
+                    Answer::Denied => AnswerKind::Denied,
+                    Answer::Aborted => AnswerKind::Aborted,
                 };
-                let failed = end != End::Ok;
-                let driver = self.inbox.desk();
+                let failed = kind != AnswerKind::Ok;
+                let driver = self.inbox.driver();
                 let delivery = driver.latest.get(&name);
                 let queue = delivery.and_then(|d| driver.queues.get((d.tag >> QUEUE_SHIFT) as usize));
-                queue.and_then(|q| self.intakes.get_mut(q)).into_iter().for_each(|i| i.answered(failed));
-                self.inbox.answered(&name, Final { end, why: reason, body });
+                queue
+                    .and_then(|q| self.prefetch_controllers.get_mut(q))
+                    .into_iter()
+                    .for_each(|i| i.answered(failed));
+                self.inbox.answered(&name, FinalAnswer { kind, reason, body });
             }
             BrokerEvent::RpcEnded(name, Some(Reply::Refused(refusal))) => {
                 let is_permanent = !matches!(refusal, Refusal::Full | Refusal::Stopping);
@@ -648,7 +661,7 @@
 
     fn connection_lost(&mut self, conn: u64) {
         let now = self.clock.now();
-        let driver = self.inbox.desk();
+        let driver = self.inbox.driver();
         if let Some(connection) = driver.connections.remove(&conn) {
             connection.task.abort();
         }
@@ -656,7 +669,7 @@
         for delivery in lost {
             driver.release(delivery);
         }
-        self.inbox.conn_lost(now, conn);
+        self.inbox.connection_lost(now, conn);
     }
 
     fn handle_session_event(&mut self, conn: u64, event: SessionEvent) {
@@ -670,16 +683,17 @@
                 self.delivered(conn, &queue, tag, redelivered, *properties, body);
             }
             SessionEvent::Committed(queue, tags) => {
-                let Some(index) = self.inbox.desk().queues.iter().position(|q| *q == queue) else { return };
+                let Some(index) = self.inbox.driver().queues.iter().position(|q| *q == queue) else { return };
                 for tag in tags {
                     let delivery = Delivery { conn, tag: (index as u64) << QUEUE_SHIFT | tag };
-                    if let Some(HeldMessage { name: Some(name), .. }) = self.inbox.desk().release(delivery) {
+                    if let Some(HeldMessage { name: Some(name), .. }) = self.inbox.driver().release(delivery)
+                    {
                         self.inbox.settled(&name, delivery);
                     }
                 }
             }
             SessionEvent::Returned(to, reason, properties, body) => {
-                let driver = self.inbox.desk();
+                let driver = self.inbox.driver();
                 warn!(to, "an answer was returned: {reason}");
                 let dead_letters = driver.dead_letters.clone();
                 let Some(connection) = driver.connections.get_mut(&conn).filter(|_| to != dead_letters)
@@ -690,7 +704,7 @@
                 let properties = with_header(&properties, "curlewpoint-why", reason);
                 // Any open channel of the connection can publish it.
                 let publish = |queue: &String| {
-                    connection.session.exchange(
+                    connection.session.publish_and_ack(
                         now,
                         queue,
                         None,
@@ -709,10 +723,10 @@
             }
             SessionEvent::Blocked(blocked) => {
                 info!(blocked, "the broker has blocked or unblocked the connection");
-                self.intakes.values_mut().for_each(|i| i.blocked(blocked));
+                self.prefetch_controllers.values_mut().for_each(|i| i.blocked(blocked));
                 self.update_prefetch();
             }
-            SessionEvent::Over(reason) => {
+            SessionEvent::Closed(reason) => {
                 warn!(conn, "the broker's session is over: {reason}");
                 self.connection_lost(conn);
             }
@@ -724,7 +738,7 @@
         body: Bytes,
     ) {
         let (now, default_time_left) = (self.clock.now(), self.settings.default_time_left);
-        let driver = self.inbox.desk();
+        let driver = self.inbox.driver();
         let Some(index) = driver.queues.iter().position(|q| q == queue) else { return };
         let delivery = Delivery { conn, tag: (index as u64) << QUEUE_SHIFT | tag };
         let method = queue.trim_start_matches(QUEUE_PREFIX).to_owned();
@@ -732,14 +746,15 @@
         let described = active_methods.prepared.catalogue.method(&method);
         let effect = active_methods.prepared.effects.get(&method).copied();
         let (id, reply_to) = (properties.message_id().clone(), properties.reply_to().clone());
-        let name = id.zip(reply_to).map(|(id, to)| Name { id: id.to_string(), reply_to: to.to_string() });
+        let name =
+            id.zip(reply_to).map(|(id, to)| MessageKey { id: id.to_string(), reply_to: to.to_string() });
         let age = properties.timestamp().and_then(|at| {
             let sent = Time(at.saturating_mul(10_000));
             // The age is unknown if the sender's clock is ahead.
             wall_clock().0.checked_sub(sent.0).map(Time)
         });
         let expiration = properties.expiration().as_ref().and_then(|e| e.as_str().parse::<u64>().ok());
-        let given_back = match header(&properties, GIVEN_BACK_HEADER) {
+        let requeue_count = match header(&properties, GIVEN_BACK_HEADER) {
             Some(AMQPValue::LongInt(n)) => u32::try_from(*n).unwrap_or(0),
             _ => 0,
         };
@@ -756,10 +771,10 @@
         let deadline = Time::from_ms(described.deadline);
         let waiting_time =
             expiration.map(|ms| Time(ms.saturating_mul(10))).or(default_time_left).unwrap_or(deadline);
-        let left = (waiting_time - age.unwrap_or(Time(0))).min(deadline);
-        let terms = Terms { effect, left, redelivered, age, given_back };
+        let time_left = (waiting_time - age.unwrap_or(Time(0))).min(deadline);
+        let info = DeliveryInfo { effect, time_left, redelivered, age, requeue_count };
         let open = self.inbox.open() as u64 + 1;
-        self.intakes.get_mut(queue).into_iter().for_each(|i| i.delivered(left, open));
-        self.inbox.delivered(now, name, delivery, terms);
+        self.prefetch_controllers.get_mut(queue).into_iter().for_each(|i| i.delivered(time_left, open));
+        self.inbox.delivered(now, name, delivery, info);
     }
 }
--- a/crates/curlewpoint-gateway/src/reload.rs
+++ b/crates/curlewpoint-gateway/src/reload.rs
@@ -41,9 +41,9 @@
         let effect = |name: &String| match config.method_value(name, "effect") {
             "idempotent" => Effect::Idempotent,
             "tokened" => {
-                let span = milliseconds(config.method_value(name, "memory-span")).unwrap_or(0.0);
-                let everywhere = config.method_value(name, "group") == "all";
-                Effect::Tokened { everywhere, span: Time::from_ms(span) }
+                let token_lifetime = milliseconds(config.method_value(name, "memory-span")).unwrap_or(0.0);
+                let all_workers = config.method_value(name, "group") == "all";
+                Effect::Tokened { all_workers, token_lifetime: Time::from_ms(token_lifetime) }
             }
             _ => Effect::SideEffecting,
         };
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -8,7 +8,7 @@
 use curlewpoint_catalogue::{Release, Releases, Standing};
 use curlewpoint_config::Config;
 use curlewpoint_engine::{ClientId, ConnId, Engine, EngineCounters, Pool, PoolLimits, Refusal, RequestId};
-use curlewpoint_journal::{Journal, JournalError, Limits as JournalLimits};
+use curlewpoint_journal::{Journal, JournalError, JournalLimits};
 use curlewpoint_link::{Clock, EventQueue, LinkLimits};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 use thiserror::Error;
@@ -116,7 +116,7 @@
         vhost: text("vhost"),
         heartbeat: ms("heartbeat"),
         frame_max: 128 << 10,
-        most_body: config.number("connections", "most-frame") as u64,
+        max_body: config.number("connections", "most-frame") as u64,
     };
     Ok(Some(amqp::Settings {
         address: address.to_owned(),
@@ -219,8 +219,8 @@
         let path = config.value("amqp", "journal").ok_or(StartError::MissingJournal)?;
         let max_bytes = config.number("amqp", "journal-most") as u64;
         let limits = JournalLimits {
-            delay: config.duration("amqp", "journal-delay"),
-            most: max_bytes,
+            commit_delay: config.duration("amqp", "journal-delay"),
+            max_bytes,
             ..Default::default()
         };
         let mut recovered = amqp::RecoveredRecords::default();
--- a/crates/curlewpoint-journal/benches/journal.rs
+++ b/crates/curlewpoint-journal/benches/journal.rs
@@ -8,22 +8,22 @@
 
 use bytes::Bytes;
 use curlewpoint::types::Time;
-use curlewpoint_journal::{Journal, Limits, Reader};
-use curlewpoint_trigger::{End, Final, Name};
+use curlewpoint_journal::{Journal, JournalLimits, RecordVisitor};
+use curlewpoint_trigger::{AnswerKind, FinalAnswer, MessageKey};
 
 struct Nobody;
 
-impl Reader for Nobody {
-    fn intent(&mut self, _: Name, _: Time) {}
-    fn answer(&mut self, _: Name, _: Time, _: Final) {}
+impl RecordVisitor for Nobody {
+    fn intent(&mut self, _: MessageKey, _: Time) {}
+    fn answer(&mut self, _: MessageKey, _: Time, _: FinalAnswer) {}
 }
 
-fn name(no: u64) -> Name {
-    Name { id: format!("{no:032}"), reply_to: "answers.office-17".to_owned() }
+fn name(no: u64) -> MessageKey {
+    MessageKey { id: format!("{no:032}"), reply_to: "answers.office-17".to_owned() }
 }
 
-fn answer() -> Final {
-    Final { end: End::Ok, why: String::new(), body: Bytes::from(vec![7; 256]) }
+fn answer() -> FinalAnswer {
+    FinalAnswer { kind: AnswerKind::Ok, reason: String::new(), body: Bytes::from(vec![7; 256]) }
 }
 
 fn say(to: &Sender<u64>, no: u64) {
@@ -98,16 +98,16 @@
     println!("plain log      {rate:9.0} messages a second, p99 {p99:?}");
     for delay in [0, 1, 2, 5, 20] {
         let path = folder.join(format!("journal-{delay}"));
-        let limits = Limits { delay: Duration::from_millis(delay), ..Limits::default() };
+        let limits = JournalLimits { commit_delay: Duration::from_millis(delay), ..JournalLimits::default() };
         let journal = Journal::open(&path, limits, &mut Nobody).expect("it opens");
         let (rate, p99) = drive(
-            |no, tell| journal.intent(&name(no), Time(no), move |_| say(&tell, no)),
+            |no, tell| journal.write_intent(&name(no), Time(no), move |_| say(&tell, no)),
             |no| {
-                journal.answer(&name(no), Time(no), &answer());
-                journal.done(&name(no));
+                journal.write_answer(&name(no), Time(no), &answer());
+                journal.remove(&name(no));
             },
         );
-        let f = journal.figures();
+        let f = journal.stats();
         drop(journal);
         let size = std::fs::metadata(&path).map_or(0, |m| m.len());
         println!(
@@ -118,11 +118,11 @@
     }
     for records in [1_000u64, 10_000, 100_000] {
         let path = folder.join(format!("held-{records}"));
-        let journal = Journal::open(&path, Limits::default(), &mut Nobody).expect("it opens");
+        let journal = Journal::open(&path, JournalLimits::default(), &mut Nobody).expect("it opens");
         let (tell, told) = channel();
         for no in 0..records {
             let last = (no + 1 == records).then(|| tell.clone());
-            journal.intent(&name(no), Time(no), move |_| last.into_iter().for_each(|t| say(&t, 0)));
+            journal.write_intent(&name(no), Time(no), move |_| last.into_iter().for_each(|t| say(&t, 0)));
             if no % 10_000 == 9_999 {
                 std::thread::sleep(Duration::from_millis(300));
             }
@@ -130,8 +130,8 @@
         told.recv().expect("it is told");
         drop(journal);
         let began = Instant::now();
-        let journal = Journal::open(&path, Limits::default(), &mut Nobody).expect("it opens");
-        let (took, f) = (began.elapsed(), journal.figures());
+        let journal = Journal::open(&path, JournalLimits::default(), &mut Nobody).expect("it opens");
+        let (took, f) = (began.elapsed(), journal.stats());
         drop(journal);
         let size = std::fs::metadata(&path).map_or(0, |m| m.len());
         println!(
--- a/crates/curlewpoint-journal/src/journal.rs
+++ b/crates/curlewpoint-journal/src/journal.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, Instant};
 
 use curlewpoint::types::Time;
-use curlewpoint_trigger::{Final, Name};
+use curlewpoint_trigger::{FinalAnswer, MessageKey};
 use redb::{
     Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
 };
 use thiserror::Error;
 use tracing::{info, warn};
 
-use crate::record::{self, Reader};
+use crate::record::{self, RecordVisitor};
 
 const RECORDS: TableDefinition<(&str, &str), &[u8]> = TableDefinition::new("records");
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
@@ -21,19 +21,19 @@
 const FORM: u64 = 1;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct JournalLimits {
     /// How long a commit waits for more to go with it, beside what waits already. Nought is the best where it was measured: what
     /// comes during one commit goes together with the next.
-    pub delay: Duration,
+    pub commit_delay: Duration,
     /// Bytes of records: beyond them no intent is taken, and answers are kept without being noted.
-    pub most: u64,
+    pub max_bytes: u64,
     /// A longer answer is not noted: after a crash its message ends aborted.
-    pub most_answer: usize,
+    pub max_answer_bytes: usize,
 }
 
-impl Default for Limits {
+impl Default for JournalLimits {
     fn default() -> Self {
-        Limits { delay: Duration::ZERO, most: 256 << 20, most_answer: 1 << 20 }
+        JournalLimits { commit_delay: Duration::ZERO, max_bytes: 256 << 20, max_answer_bytes: 1 << 20 }
     }
 }
 
@@ -43,7 +43,7 @@
     #[error("the journal is damaged: {0}")]
     Damaged(String),
     #[error("the journal is of form {0}, this program writes form {FORM}")]
-    OtherForm(u64),
+    UnsupportedFormat(u64),
     #[error("the journal cannot be opened: {0}")]
     Disk(String),
 }
@@ -59,7 +59,7 @@
 
 /// What has been written, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct JournalStats {
     pub commits: u64,
     pub written: u64,
     /// Intents that could not be written: their messages were not sent.
@@ -72,9 +72,9 @@
 type Told = Box<dyn FnOnce(bool) + Send>;
 
 enum Write {
-    Intent(Name, Time, Told),
-    Answer(Name, Vec<u8>),
-    Done(Name),
+    Intent(MessageKey, Time, Told),
+    Answer(MessageKey, Vec<u8>),
+    Done(MessageKey),
 }
 
 /// Opens the store, the first time and after a failure.
@@ -87,7 +87,7 @@
 /// that need an intent wait for it, and those whose time is up meanwhile are not sent.
 pub struct Journal {
     writes: Option<SyncSender<Write>>,
-    figures: Arc<Mutex<Figures>>,
+    figures: Arc<Mutex<JournalStats>>,
     writing: Option<JoinHandle<()>>,
 }
 
@@ -100,9 +100,11 @@
 
 impl Journal {
     /// Opens or creates a journal, checks all of its file, and tells what it holds.
-    pub fn open(path: &Path, limits: Limits, reader: &mut impl Reader) -> Result<Journal, JournalError> {
+    pub fn open(
+        path: &Path, limits: JournalLimits, reader: &mut impl RecordVisitor,
+    ) -> Result<Journal, JournalError> {
         let path: PathBuf = path.to_owned();
-        Journal::open_by(
+        Journal::open_with(
             Box::new(move || Builder::new().set_check_integrity_on_open(true).create(&path)),
             limits,
             reader,
@@ -110,13 +112,15 @@
     }
 
     /// The same on whatever opens a store.
-    pub fn open_by(open: Open, limits: Limits, reader: &mut impl Reader) -> Result<Journal, JournalError> {
+    pub fn open_with(
+        open: Open, limits: JournalLimits, reader: &mut impl RecordVisitor,
+    ) -> Result<Journal, JournalError> {
         let mut db = open()?;
         let (records, bytes) = read(&db, reader)?;
         if let Err(e) = db.compact() {
             info!("the journal was not compacted: {e}");
         }
-        let figures = Arc::new(Mutex::new(Figures { records, bytes, ..Figures::default() }));
+        let figures = Arc::new(Mutex::new(JournalStats { records, bytes, ..JournalStats::default() }));
         let (writes, waiting) = sync_channel(WAITING);
         let mut writer = Writer {
             open,
@@ -136,7 +140,7 @@
     }
 
     /// Tells what a journal holds and changes nothing in it but for what a crash has left to mend.
-    pub fn inspect(path: &Path, reader: &mut impl Reader) -> Result<(u64, u64), JournalError> {
+    pub fn inspect(path: &Path, reader: &mut impl RecordVisitor) -> Result<(u64, u64), JournalError> {
         let db = Builder::new().set_check_integrity_on_open(true).open(path)?;
         read(&db, reader)
     }
@@ -155,20 +159,20 @@
     }
 
     /// From this moment on its attempts may be sent, once `told` hears true. False: they must not be.
-    pub fn intent(&self, name: &Name, at: Time, told: impl FnOnce(bool) + Send + 'static) {
+    pub fn write_intent(&self, name: &MessageKey, at: Time, told: impl FnOnce(bool) + Send + 'static) {
         self.send(Write::Intent(name.clone(), at, Box::new(told)));
     }
 
-    pub fn answer(&self, name: &Name, at: Time, answer: &Final) {
+    pub fn write_answer(&self, name: &MessageKey, at: Time, answer: &FinalAnswer) {
         self.send(Write::Answer(name.clone(), record::of_answer(at, answer)));
     }
 
     /// Its record need not be kept any more.
-    pub fn done(&self, name: &Name) {
+    pub fn remove(&self, name: &MessageKey) {
         self.send(Write::Done(name.clone()));
     }
 
-    pub fn figures(&self) -> Figures {
+    pub fn stats(&self) -> JournalStats {
         *self.figures.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -183,7 +187,7 @@
     }
 }
 
-fn read(db: &Database, reader: &mut impl Reader) -> Result<(u64, u64), JournalError> {
+fn read(db: &Database, reader: &mut impl RecordVisitor) -> Result<(u64, u64), JournalError> {
     let damaged = |e: String| JournalError::Damaged(e);
     let disk = |e: redb::Error| match e {
         redb::Error::Corrupted(what) => JournalError::Damaged(what),
@@ -196,7 +200,7 @@
         Ok(meta) => {
             let form = meta.get("form").map_err(|e| disk(e.into()))?.map_or(0, |form| form.value());
             if form != FORM {
-                return Err(JournalError::OtherForm(form));
+                return Err(JournalError::UnsupportedFormat(form));
             }
         }
     }
@@ -208,7 +212,7 @@
     for row in table.iter().map_err(|e| disk(e.into()))? {
         let (key, value) = row.map_err(|e| disk(e.into()))?;
         let (id, reply_to) = key.value();
-        let name = Name { id: id.to_owned(), reply_to: reply_to.to_owned() };
+        let name = MessageKey { id: id.to_owned(), reply_to: reply_to.to_owned() };
         bytes += size(&name, value.value());
         records += 1;
         record::read(name, value.value(), reader).map_err(|e| damaged(format!("record of '{id}': {e}")))?;
@@ -216,23 +220,23 @@
     Ok((records, bytes))
 }
 
-fn size(name: &Name, record: &[u8]) -> u64 {
+fn size(name: &MessageKey, record: &[u8]) -> u64 {
     (name.id.len() + name.reply_to.len() + record.len()) as u64
 }
 
 /// Counts alone are wanted.
 struct Nobody;
 
-impl Reader for Nobody {
-    fn intent(&mut self, _: Name, _: Time) {}
-    fn answer(&mut self, _: Name, _: Time, _: Final) {}
+impl RecordVisitor for Nobody {
+    fn intent(&mut self, _: MessageKey, _: Time) {}
+    fn answer(&mut self, _: MessageKey, _: Time, _: FinalAnswer) {}
 }
 
 struct Writer {
     open: Open,
     db: Option<Database>,
-    limits: Limits,
-    figures: Arc<Mutex<Figures>>,
+    limits: JournalLimits,
+    figures: Arc<Mutex<JournalStats>>,
     bytes: u64,
     records: u64,
     /// Answers and ends that a failed commit left: they go with the next one.
@@ -246,7 +250,7 @@
     fn run(&mut self, waiting: &Receiver<Write>) {
         while let Ok(first) = waiting.recv() {
             let mut batch = vec![first];
-            let until = Instant::now() + self.limits.delay;
+            let until = Instant::now() + self.limits.commit_delay;
             while batch.len() < MOST_AT_ONCE {
                 // What waits already goes with it whatever the delay.
                 let left = until.saturating_duration_since(Instant::now());
@@ -349,8 +353,8 @@
                         continue;
                     };
                     let answer = matches!(write, Write::Answer(..));
-                    let room = bytes + size(name, &record) <= self.limits.most;
-                    if !room || (answer && record.len() > self.limits.most_answer) {
+                    let room = bytes + size(name, &record) <= self.limits.max_bytes;
+                    if !room || (answer && record.len() > self.limits.max_answer_bytes) {
                         refused.insert(no);
                         continue;
                     }
--- a/crates/curlewpoint-journal/tests/disk.rs
+++ b/crates/curlewpoint-journal/tests/disk.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use curlewpoint::types::Time;
-use curlewpoint_journal::{Journal, JournalError, Limits, Reader};
-use curlewpoint_trigger::{End, Final, Name};
+use curlewpoint_journal::{Journal, JournalError, JournalLimits, RecordVisitor};
+use curlewpoint_trigger::{AnswerKind, FinalAnswer, MessageKey};
 use oorandom::Rand64;
 use proptest::prelude::*;
 use redb::{Builder, Database, DatabaseError, StorageBackend};
@@ -132,37 +132,37 @@
 #[derive(Debug, Default, PartialEq)]
 struct Held {
     intents: BTreeMap<String, Time>,
-    answers: BTreeMap<String, Final>,
+    answers: BTreeMap<String, FinalAnswer>,
 }
 
-impl Reader for Held {
-    fn intent(&mut self, name: Name, at: Time) {
+impl RecordVisitor for Held {
+    fn intent(&mut self, name: MessageKey, at: Time) {
         assert!(self.intents.insert(name.id, at).is_none());
     }
-    fn answer(&mut self, name: Name, _: Time, answer: Final) {
+    fn answer(&mut self, name: MessageKey, _: Time, answer: FinalAnswer) {
         assert!(self.answers.insert(name.id, answer).is_none());
     }
 }
 
-fn name(id: &str) -> Name {
-    Name { id: id.to_owned(), reply_to: "office".to_owned() }
+fn name(id: &str) -> MessageKey {
+    MessageKey { id: id.to_owned(), reply_to: "office".to_owned() }
 }
 
-fn ok() -> Final {
-    Final { end: End::Ok, why: "done".to_owned(), body: Bytes::from_static(b"%PDF") }
+fn ok() -> FinalAnswer {
+    FinalAnswer { kind: AnswerKind::Ok, reason: "done".to_owned(), body: Bytes::from_static(b"%PDF") }
 }
 
 fn open(disk: &Disk) -> (Journal, Held) {
     let mut held = Held::default();
-    let limits = Limits { delay: Duration::ZERO, ..Limits::default() };
-    let journal = Journal::open_by(disk.open(), limits, &mut held).unwrap();
+    let limits = JournalLimits { commit_delay: Duration::ZERO, ..JournalLimits::default() };
+    let journal = Journal::open_with(disk.open(), limits, &mut held).unwrap();
     (journal, held)
 }
 
 /// Notes an intent and waits for its word.
 fn intend(journal: &Journal, id: &str) -> bool {
     let (tell, told) = channel();
-    journal.intent(&name(id), Time(7), move |written| tell.send(written).unwrap());
+    journal.write_intent(&name(id), Time(7), move |written| tell.send(written).unwrap());
     told.recv().unwrap()
 }
 
@@ -172,13 +172,13 @@
     let (journal, held) = open(&disk);
     assert_eq!(held, Held::default());
     assert!(["a", "b", "c"].iter().all(|id| intend(&journal, id)));
-    journal.answer(&name("b"), Time(9), &ok());
-    journal.done(&name("c"));
+    journal.write_answer(&name("b"), Time(9), &ok());
+    journal.remove(&name("c"));
     drop(journal);
     let (journal, held) = open(&disk);
     assert_eq!(held.intents, BTreeMap::from([("a".to_owned(), Time(7))]));
     assert_eq!(held.answers, BTreeMap::from([("b".to_owned(), ok())]));
-    assert_eq!(journal.figures().records, 2);
+    assert_eq!(journal.stats().records, 2);
 }
 
 #[test]
@@ -188,7 +188,7 @@
     assert!(intend(&journal, "a"));
     disk.with(|p| p.budget = Some(1));
     assert!(!intend(&journal, "b"));
-    journal.done(&name("a"));
+    journal.remove(&name("a"));
     assert!(!intend(&journal, "c"), "it is still full");
     disk.with(|p| p.budget = None);
     // The store is opened anew after a while, not at once.
@@ -196,7 +196,7 @@
     while !intend(&journal, "d") {
         assert!(began.elapsed() < Duration::from_secs(20), "it is never written again");
     }
-    let f = journal.figures();
+    let f = journal.stats();
     assert!(f.failed_commits >= 2 && f.lost >= 2, "{f:?}");
     drop(journal);
     let held = open(&disk).1;
@@ -215,7 +215,7 @@
     let (tell, told) = channel();
     for no in 0..500 {
         let tell = tell.clone();
-        journal.intent(&name(&format!("m{no}")), Time(1), move |written| tell.send(written).unwrap());
+        journal.write_intent(&name(&format!("m{no}")), Time(1), move |written| tell.send(written).unwrap());
     }
     assert!((0..500).all(|_| told.recv().unwrap()));
     let syncs = disk.with(|p| p.syncs);
@@ -231,19 +231,19 @@
     drop(journal);
     let new = Disk::default();
     new.with(|p| p.read_only = true);
-    let told = Journal::open_by(new.open(), Limits::default(), &mut Held::default());
+    let told = Journal::open_with(new.open(), JournalLimits::default(), &mut Held::default());
     assert!(matches!(told, Err(JournalError::Disk(_))));
 }
 
 #[test]
 fn room_is_bounded_and_a_long_answer_leaves_its_intent() {
     let disk = Disk::default();
-    let limits = Limits { delay: Duration::ZERO, most: 200, most_answer: 64 };
-    let journal = Journal::open_by(disk.open(), limits, &mut Held::default()).unwrap();
+    let limits = JournalLimits { commit_delay: Duration::ZERO, max_bytes: 200, max_answer_bytes: 64 };
+    let journal = Journal::open_with(disk.open(), limits, &mut Held::default()).unwrap();
     let taken = (0..40).filter(|no| intend(&journal, &format!("m{no}"))).count();
     assert!((5..30).contains(&taken), "{taken}");
-    journal.answer(&name("m0"), Time(9), &Final { body: vec![7; 100].into(), ..ok() });
-    (1..taken).for_each(|no| journal.done(&name(&format!("m{no}"))));
+    journal.write_answer(&name("m0"), Time(9), &FinalAnswer { body: vec![7; 100].into(), ..ok() });
+    (1..taken).for_each(|no| journal.remove(&name(&format!("m{no}"))));
     assert!(intend(&journal, "n"), "what is done makes room");
     drop(journal);
     let held = open(&disk).1;
@@ -267,7 +267,7 @@
         let copy = Disk::default();
         copy.with(|p| (p.now, p.durable) = (flipped.clone(), flipped));
         let mut held = Held::default();
-        match Journal::open_by(copy.open(), Limits::default(), &mut held) {
+        match Journal::open_with(copy.open(), JournalLimits::default(), &mut held) {
             Ok(_) => assert_eq!(held, before, "byte {at}"),
             Err(_) => refused += 1,
         }
@@ -279,8 +279,8 @@
 #[test_case(20, 1..=20 ; "with one they go together")]
 fn many_at_once_share_their_commits(delay: u64, commits: std::ops::RangeInclusive<u64>) {
     let disk = Disk::default();
-    let limits = Limits { delay: Duration::from_millis(delay), ..Limits::default() };
-    let journal = Journal::open_by(disk.open(), limits, &mut Held::default()).unwrap();
+    let limits = JournalLimits { commit_delay: Duration::from_millis(delay), ..JournalLimits::default() };
+    let journal = Journal::open_with(disk.open(), limits, &mut Held::default()).unwrap();
     let (tell, told) = channel();
     if delay == 0 {
         // One after the other: each is a commit of its own.
@@ -288,11 +288,12 @@
     } else {
         for no in 0..1_000 {
             let tell = tell.clone();
-            journal.intent(&name(&format!("m{no}")), Time(1), move |written| tell.send(written).unwrap());
+            journal
+                .write_intent(&name(&format!("m{no}")), Time(1), move |written| tell.send(written).unwrap());
         }
         assert!((0..1_000).all(|_| told.recv().unwrap()));
     }
-    assert!(commits.contains(&journal.figures().commits), "{:?}", journal.figures());
+    assert!(commits.contains(&journal.stats().commits), "{:?}", journal.stats());
 }
 
 #[derive(Clone, Debug)]
@@ -331,10 +332,10 @@
                         owed.insert(no);
                     }
                 }
-                Step::Answer(no) if owed.contains(&no) => journal.answer(&name(&no.to_string()), Time(8), &ok()),
+                Step::Answer(no) if owed.contains(&no) => journal.write_answer(&name(&no.to_string()), Time(8), &ok()),
                 Step::Done(no) => {
                     owed.remove(&no);
-                    journal.done(&name(&no.to_string()));
+                    journal.remove(&name(&no.to_string()));
                 }
                 Step::Answer(_) => {}
                 Step::Budget(left) => disk.with(|p| p.budget = Some(u64::from(left))),
--- a/crates/curlewpoint-lab/src/stand/broker.rs
+++ b/crates/curlewpoint-lab/src/stand/broker.rs
@@ -220,7 +220,7 @@
                     let _ = framed.get_mut().write_all(&bytes[..bytes.len() / 2]).await;
                     return;
                 }
-                Some(Out::Agreed(frame_max, channel_max)) => framed.codec_mut().agreed(frame_max, channel_max),
+                Some(Out::Agreed(frame_max, channel_max)) => framed.codec_mut().set_limits(frame_max, channel_max),
                 None => return,
             },
         }
--- a/crates/curlewpoint-lab/src/trigger.rs
+++ b/crates/curlewpoint-lab/src/trigger.rs
@@ -6,7 +6,7 @@
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
 use curlewpoint::types::Time;
-use curlewpoint_amqp::{Codec, Host, Login, Session};
+use curlewpoint_amqp::{Codec, Login, Session, SessionDriver};
 use futures_util::SinkExt;
 use tokio::net::TcpStream;
 use tokio_stream::StreamExt;
@@ -42,11 +42,11 @@
     over: Option<String>,
 }
 
-impl Host for Ears {
+impl SessionDriver for Ears {
     fn send(&mut self, frame: AMQPFrame) {
         self.out.push_back(frame);
     }
-    fn agreed(&mut self, frame_max: u32, channel_max: u16) {
+    fn negotiated(&mut self, frame_max: u32, channel_max: u16) {
         self.agreed = Some((frame_max, channel_max));
     }
     fn ready(&mut self) {
@@ -65,7 +65,7 @@
         self.over = Some(format!("the broker ended the consumer of {queue}"));
     }
     fn blocked(&mut self, _: bool) {}
-    fn over(&mut self, why: &str) {
+    fn closed(&mut self, why: &str) {
         self.over = Some(why.to_owned());
     }
 }
@@ -89,7 +89,7 @@
         vhost: "/".to_owned(),
         heartbeat: Time(0),
         frame_max: 128 << 10,
-        most_body: 64 << 20,
+        max_body: 64 << 20,
     };
     let mut headers = FieldTable::default();
     headers.insert("model".into(), AMQPValue::LongString(ask.model.as_str().into()));
@@ -103,34 +103,41 @@
         .with_delivery_mode(2)
         .with_headers(headers);
     let queue = format!("curlewpoint.{}", ask.method);
-    let mut session = Session::begin(clock(), Ears::default(), login);
+    let mut session = Session::start(clock(), Ears::default(), login);
     let (mut sent, mut told) = (false, None);
     // The answer may take its way back after the last moment.
     let until =
         tokio::time::Instant::now() + Duration::from_micros(ask.left.0 * 100) + Duration::from_secs(1);
     loop {
-        if session.host().ready {
-            session.hold(clock(), &ask.reply_to, 64);
+        if session.driver().ready {
+            session.set_prefetch(clock(), &ask.reply_to, 64);
             if !sent {
-                sent =
-                    session.exchange(clock(), &ask.reply_to, None, "", &queue, properties.clone(), &ask.body);
+                sent = session.publish_and_ack(
+                    clock(),
+                    &ask.reply_to,
+                    None,
+                    "",
+                    &queue,
+                    properties.clone(),
+                    &ask.body,
+                );
             }
         }
-        for (tag, properties, body) in std::mem::take(&mut session.host().delivered) {
+        for (tag, properties, body) in std::mem::take(&mut session.driver().delivered) {
             // Others' answers stay unacknowledged, and go back at the end.
             if told.is_none() && properties.correlation_id().as_ref().is_some_and(|c| c.as_str() == ask.id) {
                 let (answer, why) = (text(&properties, "answer"), text(&properties, "why"));
                 told = Some((tag, Told { answer, why, body }));
-                session.acknowledge(clock(), &ask.reply_to, tag);
+                session.ack(clock(), &ask.reply_to, tag);
             }
         }
-        let done = told.as_ref().is_some_and(|(tag, _)| session.host().committed.contains(tag));
+        let done = told.as_ref().is_some_and(|(tag, _)| session.driver().committed.contains(tag));
         if done {
             session.close(clock());
         }
-        while let Some(frame) = session.host().out.pop_front() {
-            if let Some((frame_max, channel_max)) = session.host().agreed.take() {
-                framed.codec_mut().agreed(frame_max, channel_max);
+        while let Some(frame) = session.driver().out.pop_front() {
+            if let Some((frame_max, channel_max)) = session.driver().agreed.take() {
+                framed.codec_mut().set_limits(frame_max, channel_max);
             }
             framed.feed(frame).await.map_err(std::io::Error::other)?;
         }
@@ -138,12 +145,12 @@
         if done {
             return Ok(told.map(|(_, told)| told));
         }
-        if let Some(why) = session.host().over.take() {
+        if let Some(why) = session.driver().over.take() {
             return Err(std::io::Error::other(why));
         }
         tokio::select! {
             next = framed.next() => match next {
-                Some(Ok(frame)) => session.frame(clock(), frame),
+                Some(Ok(frame)) => session.handle_frame(clock(), frame),
                 Some(Err(e)) => return Err(std::io::Error::other(e)),
                 None => return Err(std::io::ErrorKind::UnexpectedEof.into()),
             },
--- a/crates/curlewpoint-trigger/src/inbox.rs
+++ b/crates/curlewpoint-trigger/src/inbox.rs
@@ -5,7 +5,7 @@
 
 /// What a message is known by, here and at its requester: its id and the address that its answer goes to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Name {
+pub struct MessageKey {
     pub id: String,
     pub reply_to: String,
 }
@@ -23,28 +23,28 @@
     Idempotent,
     Tokened {
         /// All workers know each other's tokens.
-        everywhere: bool,
-        span: Time,
+        all_workers: bool,
+        token_lifetime: Time,
     },
     SideEffecting,
 }
 
 /// What a delivery says of its message, and its method's description of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Terms {
+pub struct DeliveryInfo {
     pub effect: Effect,
     /// How long the requester still waits.
-    pub left: Time,
+    pub time_left: Time,
     /// The broker has delivered it before, and it was not given back by a scheduler that proves that nothing was sent.
     pub redelivered: bool,
     /// How long ago it was first put into its queue, where that is known.
     pub age: Option<Time>,
     /// How often schedulers gave it back unsent.
-    pub given_back: u32,
+    pub requeue_count: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum AnswerKind {
     Ok,
     Denied,
     Aborted,
@@ -52,35 +52,35 @@
 
 /// The one final answer of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Final {
-    pub end: End,
-    pub why: String,
+pub struct FinalAnswer {
+    pub kind: AnswerKind,
+    pub reason: String,
     pub body: Bytes,
 }
 
-impl Final {
-    fn of(end: End, why: &str) -> Final {
-        Final { end, why: why.to_owned(), body: Bytes::new() }
+impl FinalAnswer {
+    fn of(kind: AnswerKind, reason: &str) -> FinalAnswer {
+        FinalAnswer { kind, reason: reason.to_owned(), body: Bytes::new() }
     }
 }
 
 /// What an inbox acts through.
-pub trait Desk {
-    /// Notes on disk that attempts may be sent from here on; `intent_written` or `intent_lost` follows, with this number.
-    fn write_intent(&mut self, name: &Name, no: u64);
+pub trait InboxDriver {
+    /// Notes on disk that attempts may be sent from here on; `intent_written` or `intent_failed` follows, with this number.
+    fn write_intent(&mut self, name: &MessageKey, no: u64);
     /// Notes the answer, and that it need not be kept any more; nobody waits for either.
-    fn write_answer(&mut self, name: &Name, answer: &Final);
-    fn write_done(&mut self, name: &Name);
+    fn write_answer(&mut self, name: &MessageKey, answer: &FinalAnswer);
+    fn remove_record(&mut self, name: &MessageKey);
     /// Hands the RPC to the engine, which answers by `until` (`answered`) or does not take it (`refused`).
-    fn ask(&mut self, name: &Name, until: Time);
+    fn submit(&mut self, name: &MessageKey, until: Time);
     /// Publishes the answer and acknowledges the delivery in one transaction of the broker, so that either both are done or
     /// neither; `settled` follows, or the connection ends.
-    fn settle(&mut self, name: &Name, delivery: Delivery, answer: &Final);
+    fn settle(&mut self, name: &MessageKey, delivery: Delivery, answer: &FinalAnswer);
     /// Puts a copy that says that nothing was sent into its queue and acknowledges the delivery, in one transaction.
-    fn give_back(&mut self, name: &Name, delivery: Delivery, given_back: u32);
+    fn requeue(&mut self, name: &MessageKey, delivery: Delivery, requeue_count: u32);
     /// The same into the dead-letter exchange, with the reason.
     fn dead_letter(&mut self, delivery: Delivery, why: &str);
-    fn log(&mut self, name: &Name, line: &str);
+    fn log(&mut self, name: &MessageKey, line: &str);
 }
 
 /// How far a message has come.
@@ -94,7 +94,7 @@
     /// The engine has it.
     Asked,
     /// It has its answer, which waits for the broker's word, or for the next delivery.
-    Answered(Final),
+    Answered(FinalAnswer),
     /// A record of a run before this one says that attempts may have been sent since this moment.
     SentBefore(Time),
 }
@@ -104,7 +104,7 @@
     stage: Stage,
     /// On connections that are up; more than one where the requester sent it twice.
     deliveries: Vec<Delivery>,
-    terms: Option<Terms>,
+    terms: Option<DeliveryInfo>,
     /// When its requester gives up.
     until: Time,
     /// The broker has its answer, for one delivery at least.
@@ -117,11 +117,11 @@
 ///
 /// Guards against effects that happen twice after a redelivery, whoever had the message before: connection lost, scheduler
 /// killed, broker restarted, a consumer cancelled. It harms where a broker redelivers messages that nobody has looked at: a
-/// side-effecting one is then aborted although it never ran, which the prefetch keeps rare (see `Intake`).
+/// side-effecting one is then aborted although it never ran, which the prefetch keeps rare (see `PrefetchController`).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Inbox<D> {
-    desk: D,
-    messages: BTreeMap<Name, Message>,
+    driver: D,
+    messages: BTreeMap<MessageKey, Message>,
     /// Records are kept so long after nothing was heard of their message.
     keep: Time,
     intents: u64,
@@ -131,7 +131,7 @@
 impl Message {
     /// Whether half of its time is left yet: what is given back later than that has little chance elsewhere.
     fn may_wait(&self, now: Time) -> bool {
-        let left = self.terms.map_or(Time(0), |t| t.left);
+        let left = self.terms.map_or(Time(0), |t| t.time_left);
         now + Time(left.0 / 2) < self.until
     }
 }
@@ -139,13 +139,13 @@
 /// A message that was given back so often is denied: no instance can take it.
 const MOST_GIVEN_BACK: u32 = 5;
 
-impl<D: Desk> Inbox<D> {
-    pub fn new(desk: D, keep: Time) -> Inbox<D> {
-        Inbox { desk, messages: BTreeMap::new(), keep, intents: 0, stopping: false }
+impl<D: InboxDriver> Inbox<D> {
+    pub fn new(driver: D, keep: Time) -> Inbox<D> {
+        Inbox { driver, messages: BTreeMap::new(), keep, intents: 0, stopping: false }
     }
 
-    pub fn desk(&mut self) -> &mut D {
-        &mut self.desk
+    pub fn driver(&mut self) -> &mut D {
+        &mut self.driver
     }
 
     /// Messages that are held, those that wait for a delivery included.
@@ -159,37 +159,37 @@
     }
 
     /// The journal of the run before has an intent, so old, and no answer.
-    pub fn recovered_intent(&mut self, now: Time, name: Name, age: Time) {
+    pub fn recovered_intent(&mut self, now: Time, name: MessageKey, age: Time) {
         self.recovered(now, name, Stage::SentBefore(now - age));
     }
 
     /// It has an answer that the broker may not have got.
-    pub fn recovered_answer(&mut self, now: Time, name: Name, answer: Final) {
+    pub fn recovered_answer(&mut self, now: Time, name: MessageKey, answer: FinalAnswer) {
         self.recovered(now, name, Stage::Answered(answer));
     }
 
-    fn recovered(&mut self, now: Time, name: Name, stage: Stage) {
+    fn recovered(&mut self, now: Time, name: MessageKey, stage: Stage) {
         let (deliveries, settled, alone_since) = (Vec::new(), false, Some(now));
         let message = Message { stage, deliveries, terms: None, until: now, settled, alone_since };
         self.messages.insert(name, message);
     }
 
     /// A message comes.
-    pub fn delivered(&mut self, now: Time, name: Name, delivery: Delivery, terms: Terms) {
+    pub fn delivered(&mut self, now: Time, name: MessageKey, delivery: Delivery, terms: DeliveryInfo) {
         if let Some(message) = self.messages.get_mut(&name) {
             // The same message again: its old delivery has ended, or the requester has sent it twice.
             message.deliveries.push(delivery);
             message.alone_since = None;
             match message.stage.clone() {
                 Stage::Intending(_) | Stage::Again | Stage::Asked => {}
-                Stage::Answered(answer) => self.desk.settle(&name, delivery, &answer),
+                Stage::Answered(answer) => self.driver.settle(&name, delivery, &answer),
                 Stage::SentBefore(since) => self.repeat(now, &name, terms, Some(now - since)),
             }
             return;
         }
         // Until more is known of it, nothing was sent.
         let (stage, deliveries) = (Stage::Intending(0), vec![delivery]);
-        let until = now + terms.left;
+        let until = now + terms.time_left;
         let message =
             Message { stage, deliveries, terms: Some(terms), until, settled: false, alone_since: None };
         self.messages.insert(name.clone(), message);
@@ -197,91 +197,94 @@
             // Whoever had it may have sent it, from the moment on at which it came into its queue.
             return self.repeat(now, &name, terms, terms.age);
         }
-        if terms.left == Time(0) {
-            return self.end(&name, Final::of(End::Denied, "it came too late"));
+        if terms.time_left == Time(0) {
+            return self.end(&name, FinalAnswer::of(AnswerKind::Denied, "it came too late"));
         }
         if self.stopping {
-            return self.give_back(&name);
+            return self.requeue(&name);
         }
         match terms.effect {
-            Effect::Idempotent => self.ask(&name),
+            Effect::Idempotent => self.submit(&name),
             _ => self.intend(&name),
         }
     }
 
-    fn intend(&mut self, name: &Name) {
+    fn intend(&mut self, name: &MessageKey) {
         self.intents += 1;
         if let Some(message) = self.messages.get_mut(name) {
             message.stage = Stage::Intending(self.intents);
-            self.desk.write_intent(name, self.intents);
+            self.driver.write_intent(name, self.intents);
         }
     }
 
     /// A message that may have had its attempt before, so long ago if that is known.
-    fn repeat(&mut self, now: Time, name: &Name, terms: Terms, sent: Option<Time>) {
+    fn repeat(&mut self, now: Time, name: &MessageKey, terms: DeliveryInfo, sent: Option<Time>) {
         let left = match (terms.effect, sent) {
-            (Effect::Idempotent, _) => terms.left,
-            // Where it went is not known, so it may go anywhere only if the token is known everywhere, and only for as long as
+            (Effect::Idempotent, _) => terms.time_left,
+            // Where it went is not known, so it may go anywhere only if the token is known all_workers, and only for as long as
             // the token is remembered.
-            (Effect::Tokened { everywhere: true, span }, Some(sent)) => terms.left.min(span - sent),
+            (Effect::Tokened { all_workers: true, token_lifetime }, Some(sent)) => {
+                terms.time_left.min(token_lifetime - sent)
+            }
             _ => Time(0),
         };
         if let Some(message) = self.messages.get_mut(name) {
-            message.terms = Some(Terms { left, redelivered: true, ..terms });
+            message.terms = Some(DeliveryInfo { time_left: left, redelivered: true, ..terms });
             message.until = now + left;
         }
         match terms.effect {
-            Effect::Idempotent if left > Time(0) => self.ask(name),
-            Effect::Idempotent => self.end(name, Final::of(End::Denied, "it came too late")),
+            Effect::Idempotent if left > Time(0) => self.submit(name),
+            Effect::Idempotent => self.end(name, FinalAnswer::of(AnswerKind::Denied, "it came too late")),
             _ if left > Time(0) => self.intend(name),
-            _ => self.end(name, Final::of(End::Aborted, "it was delivered before and may have run")),
+            _ => self
+                .end(name, FinalAnswer::of(AnswerKind::Aborted, "it was delivered before and may have run")),
         }
     }
 
-    fn ask(&mut self, name: &Name) {
+    fn submit(&mut self, name: &MessageKey) {
         if let Some(message) = self.messages.get_mut(name) {
             message.stage = Stage::Asked;
-            self.desk.ask(name, message.until);
+            self.driver.submit(name, message.until);
         }
     }
 
     /// The intent is on disk: from here on a crash cannot hide that it may have been sent.
-    pub fn intent_written(&mut self, name: &Name, no: u64) {
+    pub fn intent_written(&mut self, name: &MessageKey, no: u64) {
         let Some(message) = self.messages.get(name).filter(|m| m.stage == Stage::Intending(no)) else {
             return;
         };
         match message.terms {
             _ if message.deliveries.is_empty() => self.forget(name),
-            Some(terms) if self.stopping && !terms.redelivered => self.give_back(name),
-            _ => self.ask(name),
+            Some(terms) if self.stopping && !terms.redelivered => self.requeue(name),
+            _ => self.submit(name),
         }
     }
 
     /// It could not be written: nothing is sent.
-    pub fn intent_lost(&mut self, name: &Name, no: u64) {
+    pub fn intent_failed(&mut self, name: &MessageKey, no: u64) {
         let Some(message) = self.messages.get(name).filter(|m| m.stage == Stage::Intending(no)) else {
             return;
         };
-        self.desk.log(name, "its intent could not be written: it is not sent");
+        self.driver.log(name, "its intent could not be written: it is not sent");
         match message.terms {
             _ if message.deliveries.is_empty() => self.forget(name),
             // A tokened one that may have been sent before must not go back as one that was not.
             Some(terms) if terms.redelivered => {
                 let why = "it was delivered before and cannot be noted now";
-                self.end(name, Final::of(End::Aborted, why));
+                self.end(name, FinalAnswer::of(AnswerKind::Aborted, why));
             }
-            _ => self.give_back(name),
+            _ => self.requeue(name),
         }
     }
 
     /// The engine has ended it.
-    pub fn answered(&mut self, name: &Name, answer: Final) {
+    pub fn answered(&mut self, name: &MessageKey, answer: FinalAnswer) {
         let Some(message) = self.messages.get(name).filter(|m| m.stage == Stage::Asked) else { return };
-        let denied_repeat = answer.end == End::Denied
+        let denied_repeat = answer.kind == AnswerKind::Denied
             && message.terms.is_some_and(|t| t.redelivered && t.effect != Effect::Idempotent);
         // This run's attempts never ran, but one before may have: no denial.
         let answer = if denied_repeat {
-            Final::of(End::Aborted, "it was delivered before and may have run")
+            FinalAnswer::of(AnswerKind::Aborted, "it was delivered before and may have run")
         } else {
             answer
         };
@@ -289,7 +292,7 @@
     }
 
     /// The engine has not taken it: nothing was sent.
-    pub fn refused(&mut self, now: Time, name: &Name, why: &str, for_good: bool) {
+    pub fn refused(&mut self, now: Time, name: &MessageKey, why: &str, for_good: bool) {
         let stopping = self.stopping;
         let Some(message) = self.messages.get_mut(name).filter(|m| m.stage == Stage::Asked) else { return };
         let terms = message.terms;
@@ -299,54 +302,54 @@
             return;
         }
         if for_good && terms.is_none_or(|t| !t.redelivered || t.effect == Effect::Idempotent) {
-            return self.end(name, Final::of(End::Denied, why));
+            return self.end(name, FinalAnswer::of(AnswerKind::Denied, why));
         }
         self.put_off(name, why);
     }
 
     /// It goes back unsent; one that may have been sent before cannot, and ends here.
-    fn put_off(&mut self, name: &Name, why: &str) {
+    fn put_off(&mut self, name: &MessageKey, why: &str) {
         let terms = self.messages.get(name).and_then(|m| m.terms);
         if terms.is_some_and(|t| t.redelivered && t.effect != Effect::Idempotent) {
-            return self.end(name, Final::of(End::Aborted, why));
+            return self.end(name, FinalAnswer::of(AnswerKind::Aborted, why));
         }
-        self.give_back(name);
+        self.requeue(name);
     }
 
-    fn end(&mut self, name: &Name, answer: Final) {
+    fn end(&mut self, name: &MessageKey, answer: FinalAnswer) {
         let Some(message) = self.messages.get_mut(name) else { return };
         if message.terms.is_none_or(|t| t.effect != Effect::Idempotent) {
-            self.desk.write_answer(name, &answer);
+            self.driver.write_answer(name, &answer);
         }
         message.stage = Stage::Answered(answer.clone());
-        message.deliveries.iter().for_each(|d| self.desk.settle(name, *d, &answer));
+        message.deliveries.iter().for_each(|d| self.driver.settle(name, *d, &answer));
     }
 
     /// Other instances may take it; one that nobody could take is denied, as nothing was sent.
-    fn give_back(&mut self, name: &Name) {
+    fn requeue(&mut self, name: &MessageKey) {
         let Some(message) = self.messages.get(name) else { return };
-        let given_back = message.terms.map_or(0, |t| t.given_back) + 1;
-        if given_back > MOST_GIVEN_BACK {
-            return self.end(name, Final::of(End::Denied, "no scheduler could take it"));
+        let requeue_count = message.terms.map_or(0, |t| t.requeue_count) + 1;
+        if requeue_count > MOST_GIVEN_BACK {
+            return self.end(name, FinalAnswer::of(AnswerKind::Denied, "no scheduler could take it"));
         }
         // Two copies could run twice: the last goes back. Those before it are dead already, or the requester's repeats.
         let deliveries = message.deliveries.clone();
         if let [before @ .., last] = deliveries.as_slice() {
-            self.desk.give_back(name, *last, given_back);
-            before.iter().for_each(|d| self.desk.dead_letter(*d, "sent twice, and given back once"));
+            self.driver.requeue(name, *last, requeue_count);
+            before.iter().for_each(|d| self.driver.dead_letter(*d, "sent twice, and given back once"));
         }
         self.forget(name);
     }
 
-    fn forget(&mut self, name: &Name) {
+    fn forget(&mut self, name: &MessageKey) {
         if self.messages.remove(name).is_some_and(|m| m.terms.is_none_or(|t| t.effect != Effect::Idempotent))
         {
-            self.desk.write_done(name);
+            self.driver.remove_record(name);
         }
     }
 
     /// The broker has the answer and the acknowledgement.
-    pub fn settled(&mut self, name: &Name, delivery: Delivery) {
+    pub fn settled(&mut self, name: &MessageKey, delivery: Delivery) {
         let Some(message) = self.messages.get_mut(name) else { return };
         message.deliveries.retain(|d| *d != delivery);
         message.settled = true;
@@ -356,7 +359,7 @@
     }
 
     /// A connection has ended: what it brought comes again, here or elsewhere, unless the broker has its acknowledgement.
-    pub fn conn_lost(&mut self, now: Time, conn: u64) {
+    pub fn connection_lost(&mut self, now: Time, conn: u64) {
         let mut over = Vec::new();
         for (name, message) in &mut self.messages {
             let before = message.deliveries.len();
@@ -381,7 +384,7 @@
     /// whose intent is not on disk in their time are not sent; records whose message has not come again are
     /// forgotten after theirs.
     pub fn sweep(&mut self, now: Time) {
-        let again: Vec<Name> = self
+        let again: Vec<MessageKey> = self
             .messages
             .iter()
             .filter(|(_, m)| m.stage == Stage::Again)
@@ -390,18 +393,18 @@
         for name in again {
             let may_wait = self.messages.get(&name).is_some_and(|m| m.may_wait(now));
             if may_wait && !self.stopping {
-                self.ask(&name);
+                self.submit(&name);
             } else {
                 self.put_off(&name, "no room");
             }
         }
         let unwritten = |m: &Message| matches!(m.stage, Stage::Intending(_)) && m.until <= now;
-        let late: Vec<Name> =
+        let late: Vec<MessageKey> =
             self.messages.iter().filter(|(_, m)| unwritten(m)).map(|(name, _)| name.clone()).collect();
         for name in late {
             let before = self.messages.get(&name).and_then(|m| m.terms).is_some_and(|t| t.redelivered);
-            let end = if before { End::Aborted } else { End::Denied };
-            self.end(&name, Final::of(end, "the journal was too slow: it was not sent"));
+            let end = if before { AnswerKind::Aborted } else { AnswerKind::Denied };
+            self.end(&name, FinalAnswer::of(end, "the journal was too slow: it was not sent"));
         }
         let over = |m: &Message| {
             let waits = matches!(m.stage, Stage::Answered(_) | Stage::SentBefore(_));
@@ -409,7 +412,7 @@
             let harmless = m.terms.is_some_and(|t| t.effect == Effect::Idempotent) && m.until <= now;
             waits && m.alone_since.is_some_and(|since| harmless || since + self.keep <= now)
         };
-        let long: Vec<Name> =
+        let long: Vec<MessageKey> =
             self.messages.iter().filter(|(_, m)| over(m)).map(|(name, _)| name.clone()).collect();
         long.iter().for_each(|name| self.forget(name));
     }
--- a/crates/curlewpoint-trigger/src/intake.rs
+++ b/crates/curlewpoint-trigger/src/prefetch.rs
@@ -9,7 +9,7 @@
 /// Guards against a prefetch that is a constant: too many when workers are slow, too few when they are fast. It harms where
 /// answers come in bursts with long pauses: after a pause it starts from the least.
 #[derive(Clone, Debug)]
-pub struct Intake {
+pub struct PrefetchController {
     most: u64,
     /// Answers a second, faded.
     rate: f64,
@@ -40,10 +40,10 @@
 /// More late or denied answers than this share halve the window.
 const LATE: f64 = 0.05;
 
-impl Intake {
+impl PrefetchController {
     /// Holds no more than this, whatever is answered.
-    pub fn new(now: Time, most: u64) -> Intake {
-        Intake {
+    pub fn new(now: Time, most: u64) -> PrefetchController {
+        PrefetchController {
             most: most.max(LEAST),
             rate: 0.0,
             left: 0.0,
@@ -129,7 +129,7 @@
     /// A queue that is never empty, workers that take `takes` ms for a message and answer `rate` a second at most, messages
     /// that wait `left` ms: the window after two minutes, and how many were late in its last half.
     fn run(rate: f64, takes: u64, left: u64, most: u64) -> (u64, u64) {
-        let mut intake = Intake::new(Time(0), most);
+        let mut intake = PrefetchController::new(Time(0), most);
         let (mut waiting, mut served, mut late_at_last) = (std::collections::VecDeque::new(), 0.0, 0);
         for now in (0..1_200_000u64).step_by(10) {
             while (waiting.len() as u64) < intake.prefetch() {
@@ -164,7 +164,7 @@
 
     #[test]
     fn late_answers_halve_it_and_silence_brings_it_down() {
-        let mut intake = Intake::new(Time(0), 1_000);
+        let mut intake = PrefetchController::new(Time(0), 1_000);
         for round in 1..=8u64 {
             intake.delivered(Time(40_000), intake.prefetch());
             (0..500).for_each(|_| intake.answered(false));
@@ -183,7 +183,7 @@
 
     #[test]
     fn a_blocked_broker_and_a_stop_take_nothing_more() {
-        let mut intake = Intake::new(Time(0), 9);
+        let mut intake = PrefetchController::new(Time(0), 9);
         intake.blocked(true);
         assert_eq!(intake.prefetch(), 0);
         intake.blocked(false);
--- a/crates/curlewpoint-trigger/tests/model.rs
+++ b/crates/curlewpoint-trigger/tests/model.rs
@@ -5,17 +5,19 @@
 
 use bytes::Bytes;
 use curlewpoint::types::Time;
-use curlewpoint_trigger::{Delivery, Desk, Effect, End, Final, Inbox, Name, Terms};
+use curlewpoint_trigger::{
+    AnswerKind, Delivery, DeliveryInfo, Effect, FinalAnswer, Inbox, InboxDriver, MessageKey,
+};
 use test_case::test_case;
 
 /// What an inbox has asked for and what has not been done yet.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Act {
     WriteIntent(u64),
-    WriteAnswer(Final),
+    WriteAnswer(FinalAnswer),
     WriteDone,
     Ask,
-    Settle(Delivery, Final),
+    Settle(Delivery, FinalAnswer),
     GiveBack(Delivery, u32),
     DeadLetter(Delivery),
 }
@@ -23,29 +25,29 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Acts(Vec<Act>);
 
-impl Desk for Acts {
-    fn write_intent(&mut self, _: &Name, no: u64) {
+impl InboxDriver for Acts {
+    fn write_intent(&mut self, _: &MessageKey, no: u64) {
         self.0.push(Act::WriteIntent(no));
     }
-    fn write_answer(&mut self, _: &Name, answer: &Final) {
+    fn write_answer(&mut self, _: &MessageKey, answer: &FinalAnswer) {
         self.0.push(Act::WriteAnswer(answer.clone()));
     }
-    fn write_done(&mut self, _: &Name) {
+    fn remove_record(&mut self, _: &MessageKey) {
         self.0.push(Act::WriteDone);
     }
-    fn ask(&mut self, _: &Name, _: Time) {
+    fn submit(&mut self, _: &MessageKey, _: Time) {
         self.0.push(Act::Ask);
     }
-    fn settle(&mut self, _: &Name, delivery: Delivery, answer: &Final) {
+    fn settle(&mut self, _: &MessageKey, delivery: Delivery, answer: &FinalAnswer) {
         self.0.push(Act::Settle(delivery, answer.clone()));
     }
-    fn give_back(&mut self, _: &Name, delivery: Delivery, given_back: u32) {
-        self.0.push(Act::GiveBack(delivery, given_back));
+    fn requeue(&mut self, _: &MessageKey, delivery: Delivery, requeue_count: u32) {
+        self.0.push(Act::GiveBack(delivery, requeue_count));
     }
     fn dead_letter(&mut self, delivery: Delivery, _: &str) {
         self.0.push(Act::DeadLetter(delivery));
     }
-    fn log(&mut self, _: &Name, _: &str) {}
+    fn log(&mut self, _: &MessageKey, _: &str) {}
 }
 
 /// What the disk of an instance holds.
@@ -53,7 +55,7 @@
 enum Note {
     Nothing,
     Intent,
-    Answer(Final),
+    Answer(FinalAnswer),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -76,15 +78,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Broker {
-    Ready { redelivered: bool, given_back: u32 },
-    Out { to: usize, delivery: Delivery, given_back: u32 },
+    Ready { redelivered: bool, requeue_count: u32 },
+    Out { to: usize, delivery: Delivery, requeue_count: u32 },
     Gone,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct World {
     broker: Broker,
-    answers: Vec<End>,
+    answers: Vec<AnswerKind>,
     dead_letters: u8,
     effects: u8,
     instances: [Instance; 2],
@@ -116,8 +118,8 @@
     OneOfAForgetfulBroker,
 }
 
-fn name() -> Name {
-    Name { id: "m1".to_owned(), reply_to: "office".to_owned() }
+fn name() -> MessageKey {
+    MessageKey { id: "m1".to_owned(), reply_to: "office".to_owned() }
 }
 
 fn inbox() -> Inbox<Acts> {
@@ -136,7 +138,7 @@
             dead: BTreeSet::new(),
         };
         World {
-            broker: Broker::Ready { redelivered: false, given_back: 0 },
+            broker: Broker::Ready { redelivered: false, requeue_count: 0 },
             answers: Vec::new(),
             dead_letters: 0,
             effects: 0,
@@ -148,9 +150,9 @@
 
     /// The broker learns that a connection has ended: what was out on it is ready again.
     fn requeue(&mut self, conn: u64) {
-        if let Broker::Out { delivery, given_back, .. } = self.broker {
+        if let Broker::Out { delivery, requeue_count, .. } = self.broker {
             if delivery.conn == conn {
-                self.broker = Broker::Ready { redelivered: true, given_back };
+                self.broker = Broker::Ready { redelivered: true, requeue_count };
             }
         }
     }
@@ -170,19 +172,20 @@
         };
         for no in if who == Who::Two { 0..2 } else { 0..1 } {
             let at = &self.instances[no];
-            if let Broker::Ready { redelivered, given_back } = self.broker {
+            if let Broker::Ready { redelivered, requeue_count } = self.broker {
                 step(&|w| {
                     // On one connection it comes again only if it was given back.
-                    let delivery = Delivery { conn: w.instances[no].conn, tag: u64::from(given_back) };
-                    w.broker = Broker::Out { to: no, delivery, given_back };
+                    let delivery = Delivery { conn: w.instances[no].conn, tag: u64::from(requeue_count) };
+                    w.broker = Broker::Out { to: no, delivery, requeue_count };
                     let redelivered = redelivered && weak != Weak::FlagIgnored && who == Who::Two;
                     let age = Some(Time(10));
-                    let terms = Terms { effect, left: Time(20_000), redelivered, age, given_back };
+                    let terms =
+                        DeliveryInfo { effect, time_left: Time(20_000), redelivered, age, requeue_count };
                     w.instances[no].inbox.delivered(NOW, name(), delivery, terms);
                 });
             }
             // Acts are done in their order, but the disk, the engine and the broker each at their own pace: the first of each.
-            let acts = &self.instances[no].inbox.clone().desk().0.clone();
+            let acts = &self.instances[no].inbox.clone().driver().0.clone();
             let kind = |a: &Act| match a {
                 Act::WriteIntent(_) | Act::WriteAnswer(_) | Act::WriteDone => 0,
                 Act::Ask => 1,
@@ -191,14 +194,14 @@
             for of in 0..3 {
                 let Some(which) = acts.iter().position(|a| kind(a) == of) else { continue };
                 step(&|w| {
-                    let act = w.instances[no].inbox.desk().0.remove(which);
+                    let act = w.instances[no].inbox.driver().0.remove(which);
                     w.act(no, act, weak);
                 });
                 if let (Act::WriteIntent(intent), true) = (&acts[which], self.mishaps > 0) {
                     step(&|w| {
                         w.mishaps -= 1;
-                        w.instances[no].inbox.desk().0.remove(which);
-                        w.instances[no].inbox.intent_lost(&name(), *intent);
+                        w.instances[no].inbox.driver().0.remove(which);
+                        w.instances[no].inbox.intent_failed(&name(), *intent);
                     });
                 }
             }
@@ -212,12 +215,12 @@
                     if self.mishaps > 0 {
                         step(&|w| w.refused(no, weak));
                     }
-                    for end in [End::Denied, End::Aborted] {
+                    for end in [AnswerKind::Denied, AnswerKind::Aborted] {
                         step(&|w| w.answered(no, end));
                     }
                 }
                 Engine::Ran => {
-                    for end in [End::Ok, End::Aborted] {
+                    for end in [AnswerKind::Ok, AnswerKind::Aborted] {
                         step(&|w| w.answered(no, end));
                     }
                 }
@@ -245,8 +248,8 @@
                     let i = &mut w.instances[no];
                     i.dead.remove(&conn);
                     let gone = |a: &Act| matches!(a, Act::Settle(d, _) | Act::GiveBack(d, _) | Act::DeadLetter(d) if d.conn == conn);
-                    i.inbox.desk().0.retain(|a| !gone(a));
-                    i.inbox.conn_lost(NOW, conn);
+                    i.inbox.driver().0.retain(|a| !gone(a));
+                    i.inbox.connection_lost(NOW, conn);
                 });
             }
             // The process is killed and starts anew: what it had not written is lost, what it had sent may still run.
@@ -281,10 +284,10 @@
         all
     }
 
-    fn answered(&mut self, no: usize, end: End) {
+    fn answered(&mut self, no: usize, end: AnswerKind) {
         let i = &mut self.instances[no];
         i.engine = Engine::Idle;
-        i.inbox.answered(&name(), Final { end, why: String::new(), body: Bytes::new() });
+        i.inbox.answered(&name(), FinalAnswer { kind: end, reason: String::new(), body: Bytes::new() });
     }
 
     fn refused(&mut self, no: usize, weak: Weak) {
@@ -310,19 +313,19 @@
             Act::Settle(delivery, answer) => {
                 if weak == Weak::NoTransaction {
                     // The answer is out whatever becomes of the acknowledgement.
-                    self.answers.push(answer.end);
+                    self.answers.push(answer.kind);
                 }
                 if self.is_out(delivery) {
                     if weak != Weak::NoTransaction {
-                        self.answers.push(answer.end);
+                        self.answers.push(answer.kind);
                     }
                     self.broker = Broker::Gone;
                     self.instances[no].inbox.settled(&name(), delivery);
                 }
             }
-            Act::GiveBack(delivery, given_back) => {
+            Act::GiveBack(delivery, requeue_count) => {
                 if self.is_out(delivery) {
-                    self.broker = Broker::Ready { redelivered: false, given_back };
+                    self.broker = Broker::Ready { redelivered: false, requeue_count };
                 }
             }
             Act::DeadLetter(delivery) => {
@@ -343,10 +346,10 @@
         if once && self.effects > 1 {
             return Some("an effect twice");
         }
-        if self.answers == [End::Denied] && self.effects > 0 && once {
+        if self.answers == [AnswerKind::Denied] && self.effects > 0 && once {
             return Some("denied, and it ran");
         }
-        if self.answers == [End::Ok] && self.effects == 0 {
+        if self.answers == [AnswerKind::Ok] && self.effects == 0 {
             return Some("ok, and it never ran");
         }
         if self.broker == Broker::Gone && self.answers.is_empty() {
@@ -379,8 +382,8 @@
     Ok(seen.len())
 }
 
-const EVERYWHERE: Effect = Effect::Tokened { everywhere: true, span: Time(50_000) };
-const IN_CELLS: Effect = Effect::Tokened { everywhere: false, span: Time(50_000) };
+const EVERYWHERE: Effect = Effect::Tokened { all_workers: true, token_lifetime: Time(50_000) };
+const IN_CELLS: Effect = Effect::Tokened { all_workers: false, token_lifetime: Time(50_000) };
 
 #[test_case(Effect::SideEffecting, Who::Two, 1 ; "side effecting")]
 #[test_case(EVERYWHERE, Who::Two, 1 ; "a token that all workers know")]
