--- a/crates/curlewpoint-node/src/admission.rs
+++ b/crates/curlewpoint-node/src/admission.rs
@@ -1,5 +1,5 @@
-//! Client admission and eviction, without I/O: tracks which clients are connected, and selects the clients that are asked
-//! to disconnect when slots or file descriptors run out.
+//! Client admission and eviction, without I/O: tracks which clients are connected, and selects the clients that are
+//! asked to disconnect when slots or file descriptors run out.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -9,13 +9,13 @@
 use curlewpoint_engine::ClientId;
 use tokio::sync::Notify;
 
-/// During a burst of connections, as many slots are freed in advance as clients came within this time, so that none waits
-/// for an eviction. An eviction takes a few iterations of several tasks, far less than this.
+/// During a burst of connections, as many slots are freed in advance as clients came within this time, so that none
+/// waits for an eviction. An eviction takes a few iterations of several tasks, far less than this.
 const BURST_WINDOW: Time = Time(1_000);
 /// At most one slot in this many is freed in advance.
 const HEADROOM_DIVISOR: usize = 8;
-/// A client whose request is incomplete is not evicted within this time of the request's first part; clients that send a
-/// request in parts complete it within it.
+/// A client whose request is incomplete is not evicted within this time of the request's first part; clients that
+/// send a request in parts complete it within it.
 const PARTIAL_REQUEST_GRACE: Time = Time(2_500);
 
 /// What a client is doing, shared between its task, the engine's task and the eviction policy.
@@ -201,8 +201,8 @@
         ranked.into_iter().map(request_eviction).collect()
     }
 
-    /// Whether a change to this state is to be logged: each lack of room once, and its end once an eighth of the slots is
-    /// free.
+    /// Whether a change to this state is to be logged: each lack of room once, and its end once an eighth of the
+    /// slots is free.
     pub fn is_transition(&mut self, full: bool) -> bool {
         let nearly_full = self.clients.len() + self.max_clients / 8 >= self.max_clients;
         let is_transition = self.reported_full != full && (full || !nearly_full);
--- a/crates/curlewpoint-node/src/admission/tests.rs
+++ b/crates/curlewpoint-node/src/admission/tests.rs
@@ -41,7 +41,8 @@
 #[test_case(400, 63 ; "more arrivals than slots kept free")]
 fn slots_are_freed_in_advance_at_the_rate_of_arrivals(arrivals: usize, evictions: usize) {
     let (mut admission, clients, _) = full_admission(512);
-    // The oldest clients disconnect by themselves, so that others can be admitted at one moment; the first of those waited.
+    // The oldest clients disconnect by themselves, so that others can be admitted at one moment; the first of those
+    // waited.
     for (id, _) in &clients[..arrivals] {
         admission.remove(*id);
     }
--- a/crates/curlewpoint-node/src/clients.rs
+++ b/crates/curlewpoint-node/src/clients.rs
@@ -28,8 +28,8 @@
 /// Interval at which a silent client is checked. A client that sends no first command for twice this time, or leaves a
 /// command incomplete over two checks, is disconnected.
 const SILENCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Maximum number of commands, and of their bytes, that are read from a client ahead of the engine. The count exceeds the
-/// RPCs that a client may have open, so that a disconnect behind all of them is noticed.
+/// Maximum number of commands, and of their bytes, that are read from a client ahead of the engine. The count exceeds
+/// the RPCs that a client may have open, so that a disconnect behind all of them is noticed.
 const READ_AHEAD_LIMIT: (usize, usize) = (64, 32 * 1024);
 /// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -64,8 +64,8 @@
     pub tasks: TaskTracker,
 }
 
-/// Accepts client connections, up to `max_clients` at a time, until the scheduler shuts down. Connections that the kernel
-/// has accepted by then are still served, because their clients see them as established.
+/// Accepts client connections, up to `max_clients` at a time, until the scheduler shuts down. Connections that the
+/// kernel has accepted by then are still served, because their clients see them as established.
 pub(crate) async fn accept(listener: TcpListener, max_clients: usize, context: ClientContext) {
     let (slot_tx, mut slot_rx) = mpsc::unbounded_channel();
     let (shutdown, clock) = (context.shutdown.clone(), context.clock);
@@ -152,8 +152,8 @@
     words.iter().map(Bytes::len).sum()
 }
 
-/// Records that the client sent a command or a part of one. If its eviction was requested it is declined, so that another
-/// client can be selected.
+/// Records that the client sent a command or a part of one. If its eviction was requested it is declined, so that
+/// another client can be selected.
 fn record_activity(activity: &ClientActivity, context: &ClientContext, slot: &Slot, is_partial: bool) {
     if activity.record(context.clock.now(), is_partial) {
         let _ = slot.1.send(SlotEvent::EvictionDeclined);
--- a/crates/curlewpoint-node/src/clients/tests.rs
+++ b/crates/curlewpoint-node/src/clients/tests.rs
@@ -3,7 +3,8 @@
 use test_case::test_case;
 use tokio::io::AsyncWriteExt;
 
-/// A listener whose command channel is full and not received from. Returns the receivers of priority events and commands.
+/// A listener whose command channel is full and not received from. Returns the receivers of priority events and
+/// commands.
 async fn blocked_listener(
     max_clients: usize,
 ) -> (std::net::SocketAddr, mpsc::Receiver<Event>, mpsc::Receiver<Event>) {
@@ -30,8 +31,8 @@
     encode_array(&words.iter().map(|w| w.as_bytes()).collect::<Vec<_>>()).to_vec()
 }
 
-/// Guards against calls that start after their client has disconnected, when the engine is busy and the reader blocked: the
-/// disconnect is reported at once, and commands that were read but not passed on are dropped.
+/// Guards against calls that start after their client has disconnected, when the engine is busy and the reader
+/// blocked: the disconnect is reported at once, and commands that were read but not passed on are dropped.
 #[tokio::test]
 async fn a_disconnect_is_reported_while_calls_are_blocked() {
     let (address, mut priority_rx, mut command_rx) = blocked_listener(8).await;
--- a/crates/curlewpoint-node/src/discovery.rs
+++ b/crates/curlewpoint-node/src/discovery.rs
@@ -105,7 +105,8 @@
     }
 }
 
-/// A discovery address with a socket connected to it, and the IDs and send times of the latest queries, the newest last.
+/// A discovery address with a socket connected to it, and the IDs and send times of the latest queries, the newest
+/// last.
 struct Endpoint {
     address: SocketAddr,
     socket: UdpSocket,
@@ -137,7 +138,8 @@
     }
 }
 
-/// The current discovery endpoint and the previous ones: responses in flight while the address changes are still accepted.
+/// The current discovery endpoint and the previous ones: responses in flight while the address changes are still
+/// accepted.
 #[derive(Default)]
 struct Endpoints {
     current: Option<Endpoint>,
@@ -172,8 +174,8 @@
         Ok(())
     }
 
-    /// Receives the next datagram from any endpoint, the previous ones first. An error of a previous endpoint removes it;
-    /// an error of the current one is returned.
+    /// Receives the next datagram from any endpoint, the previous ones first. An error of a previous endpoint removes
+    /// it; an error of the current one is returned.
     fn poll_recv(&mut self, cx: &mut Context<'_>, to: &mut [u8]) -> Poll<std::io::Result<Datagram>> {
         let mut index = 0;
         while let Some(endpoint) = self.previous.get(index) {
@@ -220,9 +222,9 @@
     }
 }
 
-/// When the next query is due. After a response the next query follows in `POLL_INTERVAL`. The first few queries without a
-/// response are repeated after a multiple of the usual response time: a lost response may announce a drain, whose grace
-/// period runs from when the response was sent.
+/// When the next query is due. After a response the next query follows in `POLL_INTERVAL`. The first few queries
+/// without a response are repeated after a multiple of the usual response time: a lost response may announce a drain,
+/// whose grace period runs from when the response was sent.
 struct Schedule {
     due: Instant,
     /// A query was sent and no response to it received.
@@ -255,8 +257,8 @@
 }
 
 /// Polls discovery at the address last configured. While it does not respond, the current endpoint list stays in use.
-/// A response to any of the latest queries is accepted, also from a previous address: lists are versioned, and the content
-/// of a response is valid from the moment it was sent, however late it arrives.
+/// A response to any of the latest queries is accepted, also from a previous address: lists are versioned, and the
+/// content of a response is valid from the moment it was sent, however late it arrives.
 pub(crate) async fn follow(
     mut address_rx: watch::Receiver<SocketAddr>, event_tx: mpsc::Sender<Event>, mut rng: Rand64,
 ) {
--- a/crates/curlewpoint-node/src/driver.rs
+++ b/crates/curlewpoint-node/src/driver.rs
@@ -57,8 +57,9 @@
     tickets: BTreeMap<RequestId, (Ticket, ConnId, Arc<str>)>,
     /// Open requests on each connection, by the `req` that the reply repeats.
     by_req: BTreeMap<(ConnId, Arc<str>), RequestId>,
-    /// Connections on which a `req` of an open RPC was used before. A `req` is used once per connection, so that a duplicate
-    /// reply to one attempt is not matched to the next: a duplicate 'full' would prove that the next attempt never ran.
+    /// Connections on which a `req` of an open RPC was used before. A `req` is used once per connection, so that a
+    /// duplicate reply to one attempt is not matched to the next: a duplicate 'full' would prove that the next
+    /// attempt never ran.
     used_reqs: BTreeMap<Arc<str>, Vec<ConnId>>,
     ended: VecDeque<(RequestId, Outcome)>,
 }
@@ -113,7 +114,8 @@
         let (Some(outbox), Some((_, _, req))) = (self.outboxes.get(&conn), self.tickets.get(&request)) else {
             return;
         };
-        // Probes and load orders cannot be aborted: their replies are ignored. With a full outbox the abort is not sent.
+        // Probes and load orders cannot be aborted: their replies are ignored. With a full outbox the abort is not
+        // sent.
         if !req.starts_with(OWN_REQ_PREFIX) {
             let _ = outbox.send(WorkerLine::Encoded(json_lines::abort_line(req)), None);
         }
@@ -176,8 +178,9 @@
         }
     }
 
-    /// Whether an RPC with this ID is open or ended recently. Workers identify RPCs by this ID, so a late or duplicate reply
-    /// to the earlier RPC would be matched to a new one. Clients that keep to the protocol use a new ID for each request.
+    /// Whether an RPC with this ID is open or ended recently. Workers identify RPCs by this ID, so a late or
+    /// duplicate reply to the earlier RPC would be matched to a new one. Clients that keep to the protocol use a new
+    /// ID for each request.
     pub fn is_known_id(&self, id: &str) -> bool {
         self.known_ids.contains(id)
     }
--- a/crates/curlewpoint-node/src/events.rs
+++ b/crates/curlewpoint-node/src/events.rs
@@ -10,9 +10,9 @@
 use crate::driver::Client;
 use crate::worker_line::WorkerLine;
 
-/// An event for the task that owns the engine. Events that end something go by a channel of their own, ahead of those that
-/// start something, so that a disconnect or a cancel never waits behind other clients' calls. Therefore a cancel may
-/// arrive before its call, and calls after their client has disconnected.
+/// An event for the task that owns the engine. Events that end something go by a channel of their own, ahead of those
+/// that start something, so that a disconnect or a cancel never waits behind other clients' calls. Therefore a cancel
+/// may arrive before its call, and calls after their client has disconnected.
 pub(crate) enum Event {
     /// Precedes every other event of this client.
     ClientConnected(ClientId, Client),
--- a/crates/curlewpoint-node/src/run.rs
+++ b/crates/curlewpoint-node/src/run.rs
@@ -221,9 +221,9 @@
 }
 
 impl ServiceHealth {
-    /// Logs one line if the scheduler runs but no RPC succeeds, for example with an empty endpoint list while discovery
-    /// is unavailable, and one when RPCs succeed again. It only logs: polling, dialling and rejecting go on. The line also
-    /// appears if the clients alone are at fault.
+    /// Logs one line if the scheduler runs but no RPC succeeds, for example with an empty endpoint list while
+    /// discovery is unavailable, and one when RPCs succeed again. It only logs: polling, dialling and rejecting go
+    /// on. The line also appears if the clients alone are at fault.
     fn check(&mut self, f: EngineCounters, list_version: u64, conns: usize) {
         let not_ok = f.denied + f.aborted + f.refused;
         if f.ok > self.ok {
@@ -338,9 +338,9 @@
         }
     }
 
-    /// After a stop the scheduler serves until no RPC is open and no client is connected. Shortly before the platform's kill
-    /// it aborts what is open and rejects new calls, so that nothing is open when it is killed. If the kill does not come,
-    /// it exits by itself.
+    /// After a stop the scheduler serves until no RPC is open and no client is connected. Shortly before the
+    /// platform's kill it aborts what is open and rejects new calls, so that nothing is open when it is killed. If
+    /// the kill does not come, it exits by itself.
     fn is_finished(&mut self) -> bool {
         let Some(since) = self.stop_requested.map(|at| at.elapsed()) else { return false };
         if since + FINAL_FLUSH >= self.kill_delay && !self.rejecting_all {
--- a/crates/curlewpoint-node/src/stall.rs
+++ b/crates/curlewpoint-node/src/stall.rs
@@ -1,5 +1,5 @@
-//! Detects that this process was not scheduled for a while, for example because it was stopped or starved. What it reads
-//! right after may have waited in kernel buffers for as long, which shortens the time left for it.
+//! Detects that this process was not scheduled for a while, for example because it was stopped or starved. What it
+//! reads right after may have waited in kernel buffers for as long, which shortens the time left for it.
 
 use curlewpoint::types::Time;
 
--- a/crates/curlewpoint-node/tests/connection_bursts.rs
+++ b/crates/curlewpoint-node/tests/connection_bursts.rs
@@ -1,5 +1,5 @@
-//! Bursts of client connections on real sockets while the timer clock is paused: an eviction must not wait for a timer, or
-//! connections that arrive faster than the timer fires would time out unserved.
+//! Bursts of client connections on real sockets while the timer clock is paused: an eviction must not wait for a
+//! timer, or connections that arrive faster than the timer fires would time out unserved.
 
 mod test_servers;
 
@@ -11,8 +11,9 @@
 use test_servers::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Keeps the clock paused until it is dropped: a blocking task prevents the paused clock from advancing by itself. A test
-/// that waits for a timer hangs until the clock resumes after 30 s of real time, and then fails by its step timeout.
+/// Keeps the clock paused until it is dropped: a blocking task prevents the paused clock from advancing by itself. A
+/// test that waits for a timer hangs until the clock resumes after 30 s of real time, and then fails by its step
+/// timeout.
 struct PausedClock(mpsc::Sender<()>);
 
 fn pause_clock() -> PausedClock {
@@ -26,8 +27,9 @@
     format!("{:016x}", 0x1000 + n)
 }
 
-/// Guards active clients against a burst of hundreds of clients, many times the number of slots, that send one command and
-/// stay, or never complete a request. Every complete request is answered once; clients with an open RPC stay connected.
+/// Guards active clients against a burst of hundreds of clients, many times the number of slots, that send one
+/// command and stay, or never complete a request. Every complete request is answered once; clients with an open RPC
+/// stay connected.
 #[tokio::test]
 async fn a_burst_is_admitted_without_a_timer_and_evicts_no_active_client() {
     const BURST: usize = 400;
--- a/crates/curlewpoint-node/tests/deadlines.rs
+++ b/crates/curlewpoint-node/tests/deadlines.rs
@@ -13,8 +13,8 @@
 /// Tolerance of the budget that is passed on.
 const TOLERANCE_MS: u128 = 150;
 
-/// Guards against a budget computed when the worker is selected: here the connection is established a second later, when
-/// the kernel retransmits its SYN.
+/// Guards against a budget computed when the worker is selected: here the connection is established a second later,
+/// when the kernel retransmits its SYN.
 #[tokio::test]
 async fn the_budget_excludes_time_spent_dialling() {
     let (address, listener, queued) = unreachable_worker().await;
--- a/crates/curlewpoint-node/tests/descriptors.rs
+++ b/crates/curlewpoint-node/tests/descriptors.rs
@@ -1,6 +1,6 @@
-//! Exhausted file descriptors at each place that opens one. The limit applies to the whole test process, so one test runs at
-//! a time. The sockets of scripted peers are opened before the descriptors are exhausted; the scheduler, on the same
-//! thread, does not run in between.
+//! Exhausted file descriptors at each place that opens one. The limit applies to the whole test process, so one test
+//! runs at a time. The sockets of scripted peers are opened before the descriptors are exhausted; the scheduler, on
+//! the same thread, does not run in between.
 
 mod test_servers;
 
@@ -106,8 +106,9 @@
     });
 }
 
-/// Descriptors run out between two parts of requests, split at many places, and another client connects: clients with an
-/// incomplete request stay and are served once it is complete; the new client is admitted when one of them is idle again.
+/// Descriptors run out between two parts of requests, split at many places, and another client connects: clients with
+/// an incomplete request stay and are served once it is complete; the new client is admitted when one of them is idle
+/// again.
 #[test]
 fn descriptors_exhausted_between_two_parts_lose_no_request() {
     run_exclusively(async {
@@ -206,7 +207,8 @@
     });
 }
 
-/// A dial that fails for lack of a descriptor is not counted against the worker; the request is served once one is free.
+/// A dial that fails for lack of a descriptor is not counted against the worker; the request is served once one is
+/// free.
 #[test]
 fn a_dial_without_a_descriptor_does_not_count_against_the_worker() {
     run_exclusively(async {
--- a/crates/curlewpoint-node/tests/discovery.rs
+++ b/crates/curlewpoint-node/tests/discovery.rs
@@ -64,8 +64,8 @@
     scheduler.finish().await;
 }
 
-/// Guards against learning of a drain after its grace because responses are lost: the grace runs from the moment that the
-/// first of them was sent.
+/// Guards against learning of a drain after its grace because responses are lost: the grace runs from the moment that
+/// the first of them was sent.
 #[tokio::test]
 async fn three_lost_responses_take_less_than_a_drain_grace() {
     let (address, _worker_rx) = scripted_worker().await;
--- a/crates/curlewpoint-node/tests/endpoint_lists.rs
+++ b/crates/curlewpoint-node/tests/endpoint_lists.rs
@@ -30,9 +30,9 @@
 
 // A change of the discovery address, then a drain.
 
-/// The discovery address changes while a response of the old server is in flight; the first list of the new server drains
-/// worker `s-0` and adds `s-1`. The old list, of a lower version, arrives during the change and again after the new list,
-/// from the old server and from the new one.
+/// The discovery address changes while a response of the old server is in flight; the first list of the new server
+/// drains worker `s-0` and adds `s-1`. The old list, of a lower version, arrives during the change and again after
+/// the new list, from the old server and from the new one.
 struct AddressChange {
     old: ScriptedDiscovery,
     new: ScriptedDiscovery,
@@ -55,7 +55,8 @@
     /// Sends the lists before the scheduler runs again.
     fn send_drain(&self) {
         self.new.respond(3, &[endpoint("s-0", &self.drained, 1), endpoint("s-1", &self.next, 0)], 0);
-        // A second response to the same query, with the previous list: it is parsed, and ignored because of its version.
+        // A second response to the same query, with the previous list: it is parsed, and ignored because of its
+        // version.
         self.new.respond(2, &[endpoint("s-0", &self.drained, 0)], 0);
         self.old.respond(2, &[endpoint("s-0", &self.drained, 0)], 0);
     }
@@ -92,8 +93,8 @@
     scheduler.finish().await;
 }
 
-/// A worker that answers every attempt, and reads nothing while it is paused. Returns the pause switch, and the IDs of the
-/// attempts that it has read.
+/// A worker that answers every attempt, and reads nothing while it is paused. Returns the pause switch, and the IDs
+/// of the attempts that it has read.
 fn pausable_worker(listener: TcpListener) -> (watch::Sender<bool>, mpsc::UnboundedReceiver<String>) {
     let ((pause, paused), (id_tx, id_rx)) = (watch::channel(false), mpsc::unbounded_channel());
     tokio::spawn(async move {
@@ -137,8 +138,9 @@
     (listener.local_addr().unwrap().to_string(), listener)
 }
 
-/// Guards against sending queued requests to a worker that was drained meanwhile: here the worker does not read. A request of
-/// which the kernel has accepted a byte is answered there; all others go to the other worker, and none to both.
+/// Guards against sending queued requests to a worker that was drained meanwhile: here the worker does not read. A
+/// request of which the kernel has accepted a byte is answered there; all others go to the other worker, and none to
+/// both.
 #[tokio::test]
 async fn requests_queued_for_a_drained_worker_go_elsewhere() {
     const REQUESTS: usize = 256;
@@ -194,8 +196,8 @@
     let elsewhere = elsewhere.lock().unwrap();
     println!("{} started at the drained worker, {} elsewhere", started.len(), elsewhere.len());
     assert!(started.is_disjoint(&elsewhere));
-    // The module keeps at most 16 requests open at a worker that has not answered any; how many it refuses meanwhile is its
-    // own decision.
+    // The module keeps at most 16 requests open at a worker that has not answered any; how many it refuses meanwhile
+    // is its own decision.
     assert!(
         (1..=16).contains(&started.len()) && elsewhere.len() > 16,
         "queued requests are still sent to the drained worker"
@@ -221,9 +223,9 @@
     table.lines().skip(1).map(bytes).sum()
 }
 
-/// Guards against sending attempts that are queued in an outbox to a worker that was drained meanwhile: here the worker does
-/// not read and the kernel's buffers are full. Attempts of which no byte was sent are withdrawn and go elsewhere; the drained
-/// worker receives what the kernel had accepted by then, and nothing more.
+/// Guards against sending attempts that are queued in an outbox to a worker that was drained meanwhile: here the
+/// worker does not read and the kernel's buffers are full. Attempts of which no byte was sent are withdrawn and go
+/// elsewhere; the drained worker receives what the kernel had accepted by then, and nothing more.
 #[tokio::test]
 async fn attempts_in_the_outbox_of_a_drained_worker_go_elsewhere() {
     const CLIENTS: usize = 16;
@@ -314,8 +316,8 @@
     assert!(elsewhere.len() >= 2 * CLIENTS);
 }
 
-/// Guards against a retry at a worker that was drained meanwhile: its 'full', which proves that the attempt never ran, arrives
-/// together with the list that drains it; the next attempt goes to the other worker.
+/// Guards against a retry at a worker that was drained meanwhile: its 'full', which proves that the attempt never
+/// ran, arrives together with the list that drains it; the next attempt goes to the other worker.
 #[tokio::test]
 async fn a_due_retry_avoids_a_drained_worker() {
     let old = ScriptedDiscovery::new().await;
@@ -344,8 +346,8 @@
 // Discovery becomes unavailable, or returns with a different list.
 
 /// Guards against losing the endpoint list when discovery stops responding, while a drain and a start would have been
-/// announced: the current list stays in use, requests for the stopped worker go to the remaining one, and none to a worker
-/// that was not announced. When discovery responds again its list takes effect at once.
+/// announced: the current list stays in use, requests for the stopped worker go to the remaining one, and none to a
+/// worker that was not announced. When discovery responds again its list takes effect at once.
 #[tokio::test]
 async fn the_endpoint_list_stays_in_use_while_discovery_is_unavailable() {
     let mut discovery = ScriptedDiscovery::new().await;
@@ -421,10 +423,10 @@
     address
 }
 
-/// Guards against a completely different list that arrives at once: of 90 workers 30 stay, 30 are gone, 30 addresses now
-/// belong to another worker, and 30 workers are new; 300 more that were never reached are gone. The new workers are not
-/// overloaded; no request goes to a worker that is gone, or over a connection to the previous worker at an address; and a
-/// reply that is due at that moment is delayed by at most a quarter of a second.
+/// Guards against a completely different list that arrives at once: of 90 workers 30 stay, 30 are gone, 30 addresses
+/// now belong to another worker, and 30 workers are new; 300 more that were never reached are gone. The new workers
+/// are not overloaded; no request goes to a worker that is gone, or over a connection to the previous worker at an
+/// address; and a reply that is due at that moment is delayed by at most a quarter of a second.
 #[tokio::test]
 async fn a_completely_different_list_takes_effect_without_overload() {
     const GROUP: usize = 30;
--- a/crates/curlewpoint-node/tests/partial_requests.rs
+++ b/crates/curlewpoint-node/tests/partial_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that arrive in parts, split at every byte, and events between two parts. The scheduler has read a part by the
-//! time that a check sent after it on another connection is answered.
+//! Requests that arrive in parts, split at every byte, and events between two parts. The scheduler has read a part by
+//! the time that a check sent after it on another connection is answered.
 
 mod test_servers;
 
@@ -23,8 +23,8 @@
     numbers.into_iter().map(id).collect()
 }
 
-/// Guards against a reader that takes a part of a request for a complete one, or drops bytes after a split: in a length,
-/// between CR and LF, in a word, between two requests.
+/// Guards against a reader that takes a part of a request for a complete one, or drops bytes after a split: in a
+/// length, between CR and LF, in a word, between two requests.
 #[tokio::test]
 async fn two_requests_are_read_once_wherever_they_are_split() {
     let (address, received_ids) = echo_worker().await;
@@ -81,8 +81,8 @@
     scheduler.finish().await;
 }
 
-/// One client for each position at which a call can be split: each has sent its call up to there, and the scheduler has read
-/// it. Returns each client with the rest of its call.
+/// One client for each position at which a call can be split: each has sent its call up to there, and the scheduler
+/// has read it. Returns each client with the rest of its call.
 async fn clients_with_split_calls(
     scheduler: &Scheduler, other: &mut Client, tag: &mut u64,
 ) -> Vec<(Client, Vec<u8>)> {
@@ -100,8 +100,8 @@
     config["limits"]["sockets"] = serde_json::json!(1024);
 }
 
-/// A stop between two parts: requests completed before the shutdown are answered; requests still incomplete are dropped and
-/// their connections closed.
+/// A stop between two parts: requests completed before the shutdown are answered; requests still incomplete are
+/// dropped and their connections closed.
 #[tokio::test]
 async fn a_stop_answers_completed_and_drops_incomplete_requests() {
     let (address, received_ids) = echo_worker().await;
@@ -128,8 +128,8 @@
     scheduler.finish().await;
 }
 
-/// The close of a connection with an incomplete command falls between two parts: if the rest has arrived by then the request
-/// is answered; otherwise nothing of it is passed on, and the rest meets a closed connection.
+/// The close of a connection with an incomplete command falls between two parts: if the rest has arrived by then the
+/// request is answered; otherwise nothing of it is passed on, and the rest meets a closed connection.
 #[tokio::test]
 async fn a_close_between_two_parts_loses_no_completed_request() {
     let (address, received_ids) = echo_worker().await;
@@ -157,8 +157,8 @@
     scheduler.finish().await;
 }
 
-/// The close of an idle connection falls between two parts of its next request: if the rest has arrived by then the request
-/// is answered; otherwise the connection is closed and nothing is passed on.
+/// The close of an idle connection falls between two parts of its next request: if the rest has arrived by then the
+/// request is answered; otherwise the connection is closed and nothing is passed on.
 #[tokio::test]
 async fn an_idle_close_between_two_parts_loses_no_completed_request() {
     let (address, received_ids) = echo_worker().await;
@@ -205,8 +205,8 @@
     }
 }
 
-/// A cancel split at every byte: if the worker answers between the parts that is the only reply; if it answers after the
-/// complete cancel there is none.
+/// A cancel split at every byte: if the worker answers between the parts that is the only reply; if it answers after
+/// the complete cancel there is none.
 #[tokio::test]
 async fn a_cancel_in_parts_never_causes_a_second_reply() {
     let (address, mut worker_rx) = scripted_worker().await;
--- a/crates/curlewpoint-node/tests/races.rs
+++ b/crates/curlewpoint-node/tests/races.rs
@@ -33,7 +33,8 @@
 
 // Disconnected clients.
 
-/// Guards against attempts for a client that has disconnected: a call that arrives together with its end is never passed on.
+/// Guards against attempts for a client that has disconnected: a call that arrives together with its end is never
+/// passed on.
 #[test_case(true ; "closed")]
 #[test_case(false ; "cancelled")]
 #[tokio::test]
@@ -99,8 +100,8 @@
 
 // Closing.
 
-/// Guards against closing a connection with unread bytes: that resets it and discards replies that the kernel has not sent
-/// yet. Here the client's receive window is full, and it reads only after sending malformed bytes.
+/// Guards against closing a connection with unread bytes: that resets it and discards replies that the kernel has not
+/// sent yet. Here the client's receive window is full, and it reads only after sending malformed bytes.
 #[tokio::test]
 async fn a_client_disconnected_while_it_writes_still_gets_its_replies() {
     let (address, mut worker_rx) = scripted_worker().await;
@@ -170,8 +171,9 @@
     let (mut stream, _) = with_timeout(listener.accept()).await.unwrap();
     assert_eq!(next_attempt(&mut stream).await["req"], json!(IDS[0]));
     let stream = stream.into_std().unwrap();
-    // The I/O driver polls once and finds the second call. Then this task runs first, on the scheduler's thread: the answer
-    // and the reset arrive before the second call is written to the connection, and the I/O driver has not seen them.
+    // The I/O driver polls once and finds the second call. Then this task runs first, on the scheduler's thread: the
+    // answer and the reset arrive before the second call is written to the connection, and the I/O driver has not
+    // seen them.
     client.0.try_write(&encode_call(2, IDS[1])).unwrap();
     tokio::task::yield_now().await;
     (&stream).write_all(reply_line(&json!({"req": IDS[0]}), "OK", "ZG9uZQ==").as_bytes()).unwrap();
@@ -230,8 +232,8 @@
     assert_eq!((counters.left, counters.ok + counters.left), (1, counters.taken));
 }
 
-/// Guards against running out of descriptors because of clients that send one command and stay: the client idle for longest
-/// is evicted, and none with an open RPC or an unread command.
+/// Guards against running out of descriptors because of clients that send one command and stay: the client idle for
+/// longest is evicted, and none with an open RPC or an unread command.
 #[tokio::test]
 async fn only_the_longest_idle_client_is_evicted() {
     let (address, mut worker_rx) = scripted_worker().await;
@@ -298,8 +300,8 @@
     None
 }
 
-/// Guards against slots that are not released: in whatever way a client's task ends, all slots can be taken again afterwards
-/// and no client is evicted for them.
+/// Guards against slots that are not released: in whatever way a client's task ends, all slots can be taken again
+/// afterwards and no client is evicted for them.
 #[test_case(|_| None ; "closes before its first command")]
 #[test_case(reset_client ; "resets before its first command")]
 #[test_case(|c| { write_client(&c, &encode(&["CHECK", "1", ""])[..9]); reset_client(c) } ; "resets within its first command")]
@@ -339,9 +341,9 @@
     scheduler.finish().await;
 }
 
-/// Guards against the end of a worker connection going unnoticed: its requests would wait forever, and it would occupy one
-/// of the few connections to that worker. However it ends, an attempt that may have run is aborted at once, and the next
-/// connection serves.
+/// Guards against the end of a worker connection going unnoticed: its requests would wait forever, and it would
+/// occupy one of the few connections to that worker. However it ends, an attempt that may have run is aborted at
+/// once, and the next connection serves.
 #[test_case(drop ; "closes")]
 #[test_case(reset_stream ; "resets")]
 #[test_case(|s| { write_stream(&s, b"no object\n"); keep_open(s) } ; "malformed line")]
@@ -382,7 +384,8 @@
     scheduler.finish().await;
 }
 
-/// The same for a dial: an attempt that waits for it goes to another worker when it fails, long before the call's timeout.
+/// The same for a dial: an attempt that waits for it goes to another worker when it fails, long before the call's
+/// timeout.
 #[test_case(false ; "refused")]
 #[test_case(true ; "timed out")]
 #[tokio::test]
@@ -413,8 +416,8 @@
 
 // Shutdown.
 
-/// Guards against losing requests that are in kernel queues at the shutdown, on a connection not yet accepted and on one not
-/// yet read. Each gets its reply, and the connections are closed and not reset.
+/// Guards against losing requests that are in kernel queues at the shutdown, on a connection not yet accepted and on
+/// one not yet read. Each gets its reply, and the connections are closed and not reset.
 #[tokio::test]
 async fn requests_received_before_the_shutdown_are_answered() {
     let (address, _worker_rx) = scripted_worker().await;
@@ -443,8 +446,8 @@
     scheduler.finish().await;
 }
 
-/// A call that still waits for a dial shortly before the platform's kill is aborted and its reply flushed; nothing is sent if
-/// the dial succeeds later.
+/// A call that still waits for a dial shortly before the platform's kill is aborted and its reply flushed; nothing is
+/// sent if the dial succeeds later.
 #[tokio::test]
 async fn a_call_waiting_for_a_dial_at_the_shutdown_is_answered() {
     let (address, listener, queued) = unreachable_worker().await;
@@ -493,8 +496,8 @@
 
 // Channels.
 
-/// Guards against losing priority events when their channel, of 1024, is full: the senders wait, and the engine handles all.
-/// Here 40 clients cancel all of their 32 open RPCs at once.
+/// Guards against losing priority events when their channel, of 1024, is full: the senders wait, and the engine
+/// handles all. Here 40 clients cancel all of their 32 open RPCs at once.
 #[tokio::test]
 async fn no_priority_event_is_lost_when_their_channel_is_full() {
     const CLIENTS: u64 = 40;
@@ -539,8 +542,8 @@
 
 // Retries.
 
-/// Guards against matching a duplicate answer of one attempt to the next attempt: here it would prove that the second never
-/// ran, and a third would be sent.
+/// Guards against matching a duplicate answer of one attempt to the next attempt: here it would prove that the second
+/// never ran, and a third would be sent.
 #[tokio::test]
 async fn a_duplicate_answer_is_not_matched_to_the_next_attempt() {
     let (address, mut worker_rx) = scripted_worker().await;
@@ -623,8 +626,8 @@
     scheduler.finish().await;
 }
 
-/// Guards against keeping an empty list that discovery returned by mistake: the next response of the same version restores
-/// the workers.
+/// Guards against keeping an empty list that discovery returned by mistake: the next response of the same version
+/// restores the workers.
 #[tokio::test]
 async fn an_empty_list_is_corrected_by_the_next_of_the_same_version() {
     let (address, mut worker_rx) = scripted_worker().await;
--- a/crates/curlewpoint-node/tests/sockets.rs
+++ b/crates/curlewpoint-node/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! Basic behaviour of a scheduler on real sockets, with scripted clients, workers and discovery servers. Each test triggers
-//! an event and waits for its effects.
+//! Basic behaviour of a scheduler on real sockets, with scripted clients, workers and discovery servers. Each test
+//! triggers an event and waits for its effects.
 
 mod test_servers;
 
@@ -120,8 +120,8 @@
     scheduler.finish().await;
 }
 
-/// Guards against closing a connection because its client does not start its tags at 1, such as a client that numbers them
-/// across its connections. Only tags that are not consecutive are bounded.
+/// Guards against closing a connection because its client does not start its tags at 1, such as a client that numbers
+/// them across its connections. Only tags that are not consecutive are bounded.
 #[tokio::test]
 async fn tags_may_start_at_any_number() {
     let (address, _) = echo_worker().await;
--- a/crates/curlewpoint-node/tests/stop.rs
+++ b/crates/curlewpoint-node/tests/stop.rs
@@ -18,8 +18,8 @@
 /// A call sent within this time before the kill may remain unanswered.
 const LAST_CALL_MARGIN: Duration = Duration::from_millis(50);
 
-/// Guards against closing connections of active clients after a stop: a client that sends one call after another gets every
-/// reply until the kill.
+/// Guards against closing connections of active clients after a stop: a client that sends one call after another gets
+/// every reply until the kill.
 #[tokio::test]
 async fn after_a_stop_all_calls_are_answered_until_the_kill() {
     let (address, _) = echo_worker().await;
--- a/crates/curlewpoint-node/tests/test_servers/mod.rs
+++ b/crates/curlewpoint-node/tests/test_servers/mod.rs
@@ -1,5 +1,6 @@
-//! Scripted clients, workers and discovery servers for a scheduler under test. All that clients send and receive, and all
-//! that workers receive and answer, goes into the transcript of the test, which is checked when the test finishes.
+//! Scripted clients, workers and discovery servers for a scheduler under test. All that clients send and receive, and
+//! all that workers receive and answer, goes into the transcript of the test, which is checked when the test
+//! finishes.
 #![allow(dead_code)]
 
 pub mod transcript;
@@ -200,8 +201,8 @@
 const FINAL_CHECK_TAG: u64 = 1 << 40;
 
 impl Scheduler {
-    /// Concludes a test: workers answer every attempt, all expected replies are read, and a final check on each connection
-    /// brings up any reply sent after the expected ones. The transcript must then have no violations.
+    /// Concludes a test: workers answer every attempt, all expected replies are read, and a final check on each
+    /// connection brings up any reply sent after the expected ones. The transcript must then have no violations.
     pub async fn finish(mut self) {
         self.verify().await;
     }
@@ -265,8 +266,8 @@
 /// A message that a scripted worker received, and the channel for lines to send on the same connection.
 pub type ReceivedMessage = (Value, mpsc::UnboundedSender<String>);
 
-/// A worker controlled by its test: it reports the attempts that it receives and sends the lines that it is given; an empty
-/// line closes the connection. It answers load probes by itself. Returns its address and the received messages.
+/// A worker controlled by its test: it reports the attempts that it receives and sends the lines that it is given; an
+/// empty line closes the connection. It answers load probes by itself. Returns its address and the received messages.
 pub async fn scripted_worker() -> (String, mpsc::UnboundedReceiver<ReceivedMessage>) {
     scripted_worker_with(&[]).await
 }
@@ -390,8 +391,8 @@
         assert_eq!(String::from_utf8_lossy(&reply), String::from_utf8_lossy(&want));
     }
 
-    /// Sends a check with the next tag and requires this status. Once it is answered the scheduler has read everything that
-    /// was sent before on any connection.
+    /// Sends a check with the next tag and requires this status. Once it is answered the scheduler has read
+    /// everything that was sent before on any connection.
     pub async fn expect_check(&mut self, tag: &mut u64, status: &str) {
         *tag += 1;
         self.send(&["CHECK", &tag.to_string(), ""]).await;
--- a/crates/curlewpoint-platform/src/commands.rs
+++ b/crates/curlewpoint-platform/src/commands.rs
@@ -70,8 +70,8 @@
     }
 }
 
-/// The tags that were used on a connection, where each tag may be used once. Consecutive tags are stored as one run, so that
-/// the tags of a long connection take constant memory, whichever number its client starts from.
+/// The tags that were used on a connection, where each tag may be used once. Consecutive tags are stored as one run,
+/// so that the tags of a long connection take constant memory, whichever number its client starts from.
 #[derive(Debug, Default)]
 pub struct TagSet {
     /// The last tag of each run, keyed by its first tag.
@@ -84,7 +84,8 @@
         self.runs.range(..=tag).next_back().is_some_and(|(_, last)| tag <= *last)
     }
 
-    /// Marks a tag as used. Returns false if it was used before, or if it would need more than `max_runs` separate runs.
+    /// Marks a tag as used. Returns false if it was used before, or if it would need more than `max_runs` separate
+    /// runs.
     pub fn insert(&mut self, tag: u64, max_runs: usize) -> bool {
         if self.contains(tag) {
             return false;
--- a/crates/curlewpoint-platform/src/lib.rs
+++ b/crates/curlewpoint-platform/src/lib.rs
@@ -10,8 +10,8 @@
 
 use curlewpoint::types::Lifecycle;
 
-/// Receives an endpoint list while it is parsed: `begin_list`, one `endpoint` per worker, `end_list`. A list that is not
-/// concluded by `end_list` must be discarded.
+/// Receives an endpoint list while it is parsed: `begin_list`, one `endpoint` per worker, `end_list`. A list that is
+/// not concluded by `end_list` must be discarded.
 pub trait EndpointListVisitor {
     /// Starts a list of this version: a complete list, or with `since` only the changes since that version.
     fn begin_list(&mut self, version: u64, since: Option<u64>);
--- a/crates/curlewpoint-platform/src/resp.rs
+++ b/crates/curlewpoint-platform/src/resp.rs
@@ -1,5 +1,5 @@
-//! The RESP subset that clients use: arrays of bulk strings, with bounded lengths. A general RESP reader waits for whatever
-//! length is announced; here a length over the bound is an error before any of its bytes are read.
+//! The RESP subset that clients use: arrays of bulk strings, with bounded lengths. A general RESP reader waits for
+//! whatever length is announced; here a length over the bound is an error before any of its bytes are read.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use thiserror::Error;
@@ -48,7 +48,8 @@
 /// Bytes of a length header: its type byte, its digits and CR LF.
 const MAX_HEADER_LEN: usize = 12;
 
-/// Parses `<type><number>\r\n` at `at`. Returns the number and the offset after the header, or `None` if it is incomplete.
+/// Parses `<type><number>\r\n` at `at`. Returns the number and the offset after the header, or `None` if it is
+/// incomplete.
 fn header(
     src: &[u8], at: usize, type_byte: u8, expected: &'static str,
 ) -> Result<Option<(usize, usize)>, RespError> {
