--- a/crates/curlewpoint-engine/tests/guarantees.rs
+++ b/crates/curlewpoint-engine/tests/guarantees.rs
@@ -203,7 +203,7 @@
     harness.advance(10_000);
     assert_eq!(harness.answers().len(), 5);
     harness.advance(10_000);
-    assert_eq!((harness.answers().len(), harness.engine.counters().guarded), (5, 0));
+    assert_eq!((harness.answers().len(), harness.engine.counters().aborted_by_guard), (5, 0));
 }
 
 #[test]
@@ -362,7 +362,11 @@
                 }
                 Step::End(index, outcome) => {
                     let driver = harness.engine.driver();
-                    let found = driver.open.iter().nth(index % driver.open.len().max(1)).map(|(id, request)| (*id, request.0));
+                    let found = driver
+                        .open
+                        .iter()
+                        .nth(index % driver.open.len().max(1))
+                        .map(|(id, request)| (*id, request.0));
                     if let Some((id, rpc)) = found {
                         let outcome = OUTCOMES[outcome];
                         if let Some(rpc) = rpc.filter(|rpc| side_effecting.contains(rpc)) {
@@ -409,6 +413,6 @@
         prop_assert_eq!(harness.engine.driver().sent_after_answer, 0);
         prop_assert_eq!(harness.engine.held_rpcs(), 0, "no ended RPC is held");
         prop_assert!(harness.engine.driver().held_rpcs.is_empty());
-        prop_assert_eq!(harness.engine.counters().guarded, 0, "the module answers without the engine's guard");
+        prop_assert_eq!(harness.engine.counters().aborted_by_guard, 0, "the module answers without the engine's guard");
     }
 }
