--- a/crates/curlewpoint-catalogue/benches/checks.rs
+++ b/crates/curlewpoint-catalogue/benches/checks.rs
@@ -40,7 +40,7 @@
 fn documents(c: &mut Criterion) {
     let method = |no: usize| Method {
         name: format!("read-fields-{no}"),
-        about: "Reads the fields of a certificate.".to_owned(),
+        summary: "Reads the fields of a certificate.".to_owned(),
         effect: if no.is_multiple_of(3) { Effect::Tokened } else { Effect::Idempotent },
         soft_deadline: 600.0,
         deadline: 5000.0,
--- a/crates/curlewpoint-catalogue/src/catalogue.rs
+++ b/crates/curlewpoint-catalogue/src/catalogue.rs
@@ -16,7 +16,7 @@
 }
 
 impl Effect {
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Effect::Idempotent => "idempotent",
             Effect::Tokened => "tokened",
@@ -31,7 +31,7 @@
     Binary,
     Json {
         schema: Value,
-        check: Box<Validator>,
+        validator: Box<Validator>,
     },
 }
 
@@ -51,43 +51,43 @@
     }
 
     /// Checks a body; the fault says where in it and why.
-    pub fn check(&self, body: &[u8]) -> Result<(), Misfit> {
-        let Payload::Json { check, .. } = self else { return Ok(()) };
+    pub fn check(&self, body: &[u8]) -> Result<(), BodyError> {
+        let Payload::Json { validator, .. } = self else { return Ok(()) };
         let value = strict::read(body)?;
-        let Some(fault) = check.iter_errors(&value).next() else { return Ok(()) };
-        let at = fault.instance_path().to_string();
-        Err(Misfit::Unfit(format!("at '{}': {fault}", if at.is_empty() { "/" } else { &at })))
+        let Some(violation) = validator.iter_errors(&value).next() else { return Ok(()) };
+        let at = violation.instance_path().to_string();
+        Err(BodyError::SchemaMismatch(format!("at '{}': {violation}", if at.is_empty() { "/" } else { &at })))
     }
 }
 
 /// Why a body is not taken.
 #[derive(Clone, Debug, PartialEq, Error)]
-pub enum Misfit {
+pub enum BodyError {
     /// It is no JSON.
     #[error("{0}")]
-    Unreadable(String),
+    Malformed(String),
     /// It is not what its schema says, or two readers might not agree on what it says.
     #[error("{0}")]
-    Unfit(String),
+    SchemaMismatch(String),
 }
 
 /// What is wrong with a catalogue, and in which of its files.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fault {
-    pub place: String,
-    pub what: String,
+pub struct CatalogueError {
+    pub location: String,
+    pub message: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for CatalogueError {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        write!(f, "{}: {}", self.place, self.what)
+        write!(f, "{}: {}", self.location, self.message)
     }
 }
 
 /// A method as clients know it.
 pub struct Method {
     pub name: String,
-    pub about: String,
+    pub summary: String,
     pub effect: Effect,
     /// Milliseconds.
     pub soft_deadline: f64,
@@ -112,70 +112,76 @@
 
 /// The longest regular expression of a schema, in bytes. The library's engine runs in time linear in the text, so
 /// that no text makes one costly; its size is bounded so that compiling is not.
-const LONGEST_PATTERN: usize = 1000;
+const MAX_PATTERN_BYTES: usize = 1000;
 
-fn patterns(schema: &Value, found: &mut Vec<String>) {
+fn collect_patterns(schema: &Value, patterns: &mut Vec<String>) {
     match schema {
         Value::Object(map) => {
-            found.extend(map.get("pattern").and_then(Value::as_str).map(str::to_owned));
+            patterns.extend(map.get("pattern").and_then(Value::as_str).map(str::to_owned));
             if let Some(Value::Object(inner)) = map.get("patternProperties") {
-                found.extend(inner.keys().cloned());
+                patterns.extend(inner.keys().cloned());
             }
-            map.values().for_each(|v| patterns(v, found));
+            map.values().for_each(|v| collect_patterns(v, patterns));
         }
-        Value::Array(all) => all.iter().for_each(|v| patterns(v, found)),
+        Value::Array(all) => all.iter().for_each(|v| collect_patterns(v, patterns)),
         _ => {}
     }
 }
 
 impl Payload {
     /// A JSON payload from the text of its schema.
-    pub fn json(place: &str, text: &str) -> Result<Payload, Fault> {
-        let fault = |what: String| Fault { place: place.to_owned(), what };
-        let schema: Value = serde_json::from_str(text).map_err(|e| fault(e.to_string()))?;
-        let mut found = Vec::new();
-        patterns(&schema, &mut found);
-        if let Some(long) = found.iter().find(|p| p.len() > LONGEST_PATTERN) {
-            return Err(fault(format!("a pattern of {} bytes is over {LONGEST_PATTERN}", long.len())));
+    pub fn json(location: &str, text: &str) -> Result<Payload, CatalogueError> {
+        let error = |message: String| CatalogueError { location: location.to_owned(), message };
+        let schema: Value = serde_json::from_str(text).map_err(|e| error(e.to_string()))?;
+        let mut patterns = Vec::new();
+        collect_patterns(&schema, &mut patterns);
+        if let Some(long) = patterns.iter().find(|p| p.len() > MAX_PATTERN_BYTES) {
+            return Err(error(format!("a pattern of {} bytes is over {MAX_PATTERN_BYTES}", long.len())));
         }
         let options = jsonschema::options().with_draft(jsonschema::Draft::Draft202012);
         let options = options.with_pattern_options(jsonschema::PatternOptions::regex().size_limit(1 << 20));
-        let check = options.should_validate_formats(true).build(&schema).map_err(|e| {
+        let validator = options.should_validate_formats(true).build(&schema).map_err(|e| {
             let at = e.instance_path().to_string();
-            fault(format!("at '{}': {e}", if at.is_empty() { "/" } else { &at }))
+            error(format!("at '{}': {e}", if at.is_empty() { "/" } else { &at }))
         })?;
-        Ok(Payload::Json { schema, check: Box::new(check) })
+        Ok(Payload::Json { schema, validator: Box::new(validator) })
     }
 }
 
 impl Catalogue {
     /// Puts methods together; each example must fit its method's request.
-    pub fn new(title: &str, release: &str, methods: Vec<Method>) -> Result<Catalogue, Vec<Fault>> {
-        let mut faults = Vec::new();
+    pub fn new(title: &str, release: &str, methods: Vec<Method>) -> Result<Catalogue, Vec<CatalogueError>> {
+        let mut errors = Vec::new();
         let mut all = BTreeMap::new();
         for method in methods {
-            let place = |what: &str| format!("method {}, {what}", method.name);
-            for (no, example) in method.examples.iter().enumerate() {
-                if let Err(why) = method.request.check(example.to_string().as_bytes()) {
-                    let what = why.to_string();
-                    faults.push(Fault { place: place(&format!("example {}", no + 1)), what });
+            let location = |part: &str| format!("method {}, {part}", method.name);
+            for (number, example) in method.examples.iter().enumerate() {
+                if let Err(reason) = method.request.check(example.to_string().as_bytes()) {
+                    let message = reason.to_string();
+                    errors.push(CatalogueError {
+                        location: location(&format!("example {}", number + 1)),
+                        message,
+                    });
                 }
             }
             if all.contains_key(&method.name) {
-                faults.push(Fault { place: place("name"), what: "it stands twice".to_owned() });
+                errors.push(CatalogueError {
+                    location: location("name"),
+                    message: "it stands twice".to_owned(),
+                });
             }
             all.insert(method.name.clone(), method);
         }
-        if faults.is_empty() {
+        if errors.is_empty() {
             Ok(Catalogue { title: title.to_owned(), release: release.to_owned(), methods: all })
         } else {
-            Err(faults)
+            Err(errors)
         }
     }
 
-    /// The catalogue of a configuration; all faults of its schemas and examples are told at once.
-    pub fn of(config: &Config) -> Result<Catalogue, Vec<Fault>> {
-        let mut faults = Vec::new();
+    /// The catalogue of a configuration; all errors of its schemas and examples are told at once.
+    pub fn from_config(config: &Config) -> Result<Catalogue, Vec<CatalogueError>> {
+        let mut errors = Vec::new();
         let mut methods = Vec::new();
         for name in config.methods() {
             let word = |directive| Some(config.method_value(name, directive)).filter(|w| !w.is_empty());
@@ -184,18 +190,18 @@
             };
             let mut payload = |directive| {
                 let Some(file) = word(directive) else { return Payload::Binary };
-                let place = |what| Fault { place: file.to_owned(), what };
-                let read = config.read_file(file).map_err(place).and_then(|text| Payload::json(file, &text));
-                read.unwrap_or_else(|fault| {
-                    faults.push(fault);
+                let error = |message| CatalogueError { location: file.to_owned(), message };
+                let read = config.read_file(file).map_err(error).and_then(|text| Payload::json(file, &text));
+                read.unwrap_or_else(|error| {
+                    errors.push(error);
                     Payload::Binary
                 })
             };
             let (request, answer) = (payload("request-schema"), payload("answer-schema"));
             let examples = word("example").map_or(Ok(Vec::new()), |file| {
-                let place = |what| Fault { place: file.to_owned(), what };
-                let text = config.read_file(file).map_err(place)?;
-                serde_json::from_str(&text).map_err(|e| place(format!("not an array of requests: {e}")))
+                let error = |message| CatalogueError { location: file.to_owned(), message };
+                let text = config.read_file(file).map_err(error)?;
+                serde_json::from_str(&text).map_err(|e| error(format!("not an array of requests: {e}")))
             });
             let effect = match word("effect") {
                 Some("idempotent") => Effect::Idempotent,
@@ -204,14 +210,14 @@
             };
             methods.push(Method {
                 name: name.clone(),
-                about: word("about").unwrap_or(name).to_owned(),
+                summary: word("about").unwrap_or(name).to_owned(),
                 effect,
                 soft_deadline: ms("soft-deadline"),
                 deadline: ms("deadline"),
                 request,
                 answer,
-                examples: examples.unwrap_or_else(|fault| {
-                    faults.push(fault);
+                examples: examples.unwrap_or_else(|error| {
+                    errors.push(error);
                     Vec::new()
                 }),
                 since: word("since").unwrap_or("").to_owned(),
@@ -222,11 +228,11 @@
         }
         let title = config.value("", "title").unwrap_or(config.text("name"));
         match Catalogue::new(title, config.text("release"), methods) {
-            Ok(catalogue) if faults.is_empty() => Ok(catalogue),
-            Ok(_) => Err(faults),
-            Err(more) => {
-                faults.extend(more);
-                Err(faults)
+            Ok(catalogue) if errors.is_empty() => Ok(catalogue),
+            Ok(_) => Err(errors),
+            Err(example_errors) => {
+                errors.extend(example_errors);
+                Err(errors)
             }
         }
     }
--- a/crates/curlewpoint-catalogue/src/compare.rs
+++ b/crates/curlewpoint-catalogue/src/compare.rs
@@ -8,7 +8,7 @@
     pub method: String,
     /// Whether a client of the old release may fail at the new one.
     pub breaking: bool,
-    pub what: String,
+    pub description: String,
 }
 
 /// Which way a body goes: a client writes requests and reads answers.
@@ -33,8 +33,8 @@
     all
 }
 
-fn add(all: &mut Vec<Change>, method: &str, breaking: bool, what: impl Into<String>) {
-    all.push(Change { method: method.to_owned(), breaking, what: what.into() });
+fn add(all: &mut Vec<Change>, method: &str, breaking: bool, description: impl Into<String>) {
+    all.push(Change { method: method.to_owned(), breaking, description: description.into() });
 }
 
 fn method(old: &Method, new: &Method, all: &mut Vec<Change>) {
@@ -43,7 +43,7 @@
             all,
             &old.name,
             true,
-            format!("its effect was {}, it is {}", old.effect.word(), new.effect.word()),
+            format!("its effect was {}, it is {}", old.effect.name(), new.effect.name()),
         );
     }
     if old.deadline != new.deadline {
--- a/crates/curlewpoint-catalogue/src/documents.rs
+++ b/crates/curlewpoint-catalogue/src/documents.rs
@@ -6,12 +6,12 @@
 use crate::catalogue::{Catalogue, Effect, Method, Payload};
 
 /// The path of a method, for a named model.
-pub fn path_of(method: &str) -> String {
+pub fn method_path(method: &str) -> String {
     format!("/v1/{method}/{{model}}")
 }
 
 /// The method that a path names, whether or not it is served.
-pub fn method_in(path: &str) -> Option<&str> {
+pub fn method_from_path(path: &str) -> Option<&str> {
     path.strip_prefix("/v1/")?.split('/').next().filter(|name| !name.is_empty())
 }
 
@@ -156,11 +156,11 @@
     }
     let mut operation = json!({
         "operationId": m.name,
-        "summary": m.about,
+        "summary": m.summary,
         "parameters": parameters(m),
         "requestBody": {"required": true, "content": content(&m.request, &m.examples)},
         "responses": responses,
-        "x-effect": m.effect.word(),
+        "x-effect": m.effect.name(),
         "x-soft-deadline-ms": m.soft_deadline,
         "x-deadline-ms": m.deadline,
         "x-since": m.since,
@@ -176,7 +176,7 @@
 
 pub fn openapi(catalogue: &Catalogue) -> Value {
     let paths: Map<String, Value> =
-        catalogue.methods().map(|m| (path_of(&m.name), json!({"post": operation(m)}))).collect();
+        catalogue.methods().map(|m| (method_path(&m.name), json!({"post": operation(m)}))).collect();
     json!({
         "openapi": "3.1.0",
         "info": {"title": catalogue.title, "version": catalogue.release},
@@ -200,7 +200,7 @@
         let asked = json!({"type": "object", "required": ["model"], "properties": {"model": {"type": "string", "minLength": 1, "maxLength": 1024}, "tenant": {"type": "string", "maxLength": 1024}}});
         let answered = json!({"type": "object", "required": ["answer"], "properties": {"answer": {"enum": ["ok", "denied", "aborted"]}, "why": {"type": "string"}}});
         let queue = format!("curlewpoint.{}", m.name);
-        let address = json!({"address": queue, "messages": {"request": message(&m.request, &m.about, asked, asks)}, "bindings": {"amqp": {"is": "queue", "queue": {"name": queue, "durable": true, "exclusive": false, "autoDelete": false}}}});
+        let address = json!({"address": queue, "messages": {"request": message(&m.request, &m.summary, asked, asks)}, "bindings": {"amqp": {"is": "queue", "queue": {"name": queue, "durable": true, "exclusive": false, "autoDelete": false}}}});
         channels.insert(m.name.clone(), address);
         let answers = json!({"address": null, "messages": {"answer": message(&m.answer, "The one final answer; a body only where it is ok.", answered, says)}});
         channels.insert(format!("{}.answer", m.name), answers);
--- a/crates/curlewpoint-catalogue/src/lib.rs
+++ b/crates/curlewpoint-catalogue/src/lib.rs
@@ -11,8 +11,8 @@
 mod routes;
 mod strict;
 
-pub use catalogue::{Catalogue, Effect, Fault, Method, Misfit, Payload};
+pub use catalogue::{BodyError, Catalogue, CatalogueError, Effect, Method, Payload};
 pub use compare::{compare, Change};
-pub use documents::{asyncapi, etag, method_in, openapi, path_of, render};
-pub use releases::{Release, Releases, Standing, TooMany, Withdrawn};
+pub use documents::{asyncapi, etag, method_from_path, method_path, openapi, render};
+pub use releases::{MethodStatus, Release, Releases, TooManyReleases, WithdrawnMethods};
 pub use routes::Routes;
--- a/crates/curlewpoint-catalogue/src/releases.rs
+++ b/crates/curlewpoint-catalogue/src/releases.rs
@@ -11,7 +11,7 @@
 
 /// How a method stands now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum MethodStatus {
     Served,
     /// It was withdrawn so long ago; RPCs of it that are open go on.
     Withdrawn {
@@ -22,41 +22,41 @@
 
 /// So many catalogues still have RPCs open that no other can come into force.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TooMany(pub usize);
+pub struct TooManyReleases(pub usize);
 
-struct Held {
+struct HeldCatalogue {
     catalogue: Arc<Catalogue>,
-    open: u64,
+    open_rpcs: u64,
 }
 
 /// Methods that were withdrawn of late. Doors have a copy of it.
 #[derive(Clone, Debug)]
-pub struct Withdrawn {
-    notice: Time,
+pub struct WithdrawnMethods {
+    notice_period: Time,
     since: BTreeMap<String, Time>,
 }
 
 /// Names of withdrawn methods that are kept, the latest.
-const MOST_WITHDRAWN: usize = 10_000;
+const MAX_WITHDRAWN: usize = 10_000;
 
-impl Withdrawn {
-    fn new(notice: Time) -> Withdrawn {
-        Withdrawn { notice, since: BTreeMap::new() }
+impl WithdrawnMethods {
+    fn new(notice_period: Time) -> WithdrawnMethods {
+        WithdrawnMethods { notice_period, since: BTreeMap::new() }
     }
 
     /// How long ago it was withdrawn; none: never, or longer ago than is told.
-    pub fn ago(&self, now: Time, method: &str) -> Option<Time> {
+    pub fn time_since(&self, now: Time, method: &str) -> Option<Time> {
         let since = *self.since.get(method)?;
-        (since + self.notice > now).then_some(now - since)
+        (since + self.notice_period > now).then_some(now - since)
     }
 
-    fn change(&mut self, now: Time, before: &Catalogue, after: &Catalogue) {
-        let gone = before.methods().filter(|m| after.method(&m.name).is_none());
-        self.since.extend(gone.map(|m| (m.name.clone(), now)));
+    fn update(&mut self, now: Time, before: &Catalogue, after: &Catalogue) {
+        let removed = before.methods().filter(|m| after.method(&m.name).is_none());
+        self.since.extend(removed.map(|m| (m.name.clone(), now)));
         // What comes back is withdrawn no more.
-        let notice = self.notice;
-        self.since.retain(|name, since| after.method(name).is_none() && *since + notice > now);
-        while self.since.len() > MOST_WITHDRAWN {
+        let notice_period = self.notice_period;
+        self.since.retain(|name, since| after.method(name).is_none() && *since + notice_period > now);
+        while self.since.len() > MAX_WITHDRAWN {
             let oldest = self.since.iter().min_by_key(|(_, since)| **since).map(|(name, _)| name.clone());
             oldest.and_then(|name| self.since.remove(&name));
         }
@@ -67,17 +67,22 @@
 /// are held while RPCs of theirs are open, up to a number; then a further one is refused, rather than an RPC's schema
 /// let go. A method withdrawn is known as such for a stated time.
 pub struct Releases {
-    held: BTreeMap<Release, Held>,
+    held: BTreeMap<Release, HeldCatalogue>,
     in_force: Release,
-    most: usize,
-    withdrawn: Withdrawn,
+    max_held: usize,
+    withdrawn: WithdrawnMethods,
 }
 
 impl Releases {
-    pub fn new(catalogue: Arc<Catalogue>, most: usize, notice: Time) -> Releases {
+    pub fn new(catalogue: Arc<Catalogue>, max_held: usize, notice_period: Time) -> Releases {
         let first = Release(1);
-        let held = BTreeMap::from([(first, Held { catalogue, open: 0 })]);
-        Releases { held, in_force: first, most: most.max(1), withdrawn: Withdrawn::new(notice) }
+        let held = BTreeMap::from([(first, HeldCatalogue { catalogue, open_rpcs: 0 })]);
+        Releases {
+            held,
+            in_force: first,
+            max_held: max_held.max(1),
+            withdrawn: WithdrawnMethods::new(notice_period),
+        }
     }
 
     pub fn in_force(&self) -> Release {
@@ -89,57 +94,59 @@
         Some(&self.held.get(&release)?.catalogue)
     }
 
-    pub fn withdrawn(&self) -> &Withdrawn {
+    pub fn withdrawn(&self) -> &WithdrawnMethods {
         &self.withdrawn
     }
 
     /// An RPC is taken: it ends under the catalogue in force now.
-    pub fn taken(&mut self) -> Release {
-        self.held.entry(self.in_force).and_modify(|held| held.open += 1);
+    pub fn accept_rpc(&mut self) -> Release {
+        self.held.entry(self.in_force).and_modify(|held| held.open_rpcs += 1);
         self.in_force
     }
 
     /// An RPC has ended; a catalogue not in force goes with its last one.
-    pub fn ended(&mut self, release: Release) {
+    pub fn end_rpc(&mut self, release: Release) {
         let Some(held) = self.held.get_mut(&release) else { return };
-        held.open = held.open.saturating_sub(1);
-        if held.open == 0 && release != self.in_force {
+        held.open_rpcs = held.open_rpcs.saturating_sub(1);
+        if held.open_rpcs == 0 && release != self.in_force {
             self.held.remove(&release);
         }
     }
 
     /// Whether another catalogue may come into force now.
-    pub fn has_room(&self) -> Result<(), TooMany> {
-        let idle = self.held[&self.in_force].open == 0;
-        let stay = self.held.len() - usize::from(idle);
-        if stay >= self.most {
-            return Err(TooMany(stay));
+    pub fn check_capacity(&self) -> Result<(), TooManyReleases> {
+        let is_idle = self.held[&self.in_force].open_rpcs == 0;
+        let remaining = self.held.len() - usize::from(is_idle);
+        if remaining >= self.max_held {
+            return Err(TooManyReleases(remaining));
         }
         Ok(())
     }
 
     /// Another catalogue comes into force.
-    pub fn reload(&mut self, now: Time, catalogue: Arc<Catalogue>) -> Result<Release, TooMany> {
-        self.has_room()?;
+    pub fn reload(&mut self, now: Time, catalogue: Arc<Catalogue>) -> Result<Release, TooManyReleases> {
+        self.check_capacity()?;
         let before = &self.held[&self.in_force];
-        self.withdrawn.change(now, &before.catalogue, &catalogue);
-        if before.open == 0 {
+        self.withdrawn.update(now, &before.catalogue, &catalogue);
+        if before.open_rpcs == 0 {
             self.held.remove(&self.in_force);
         }
         self.in_force = Release(self.in_force.0 + 1);
-        self.held.insert(self.in_force, Held { catalogue, open: 0 });
+        self.held.insert(self.in_force, HeldCatalogue { catalogue, open_rpcs: 0 });
         Ok(self.in_force)
     }
 
-    pub fn standing(&self, now: Time, method: &str) -> Standing {
+    pub fn method_status(&self, now: Time, method: &str) -> MethodStatus {
         if self.held[&self.in_force].catalogue.method(method).is_some() {
-            return Standing::Served;
+            return MethodStatus::Served;
         }
-        self.withdrawn.ago(now, method).map_or(Standing::Unknown, |ago| Standing::Withdrawn { ago })
+        self.withdrawn
+            .time_since(now, method)
+            .map_or(MethodStatus::Unknown, |ago| MethodStatus::Withdrawn { ago })
     }
 
     /// How many catalogues are held, the one in force included.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.held.len()
     }
 }
--- a/crates/curlewpoint-catalogue/src/strict.rs
+++ b/crates/curlewpoint-catalogue/src/strict.rs
@@ -4,20 +4,20 @@
 use serde_json::error::Category;
 use serde_json::{Map, Value};
 
-use crate::catalogue::Misfit;
+use crate::catalogue::BodyError;
 
 /// Nesting beyond this is refused before it is built: JSON has no bound of its own.
-const DEEPEST: usize = 64;
+const MAX_DEPTH: usize = 64;
 
 /// Reads JSON as the documents allow it, in one pass: valid UTF-8, no key twice in an object, no nesting beyond a bound.
-pub(crate) fn read(body: &[u8]) -> Result<Value, Misfit> {
+pub(crate) fn read(body: &[u8]) -> Result<Value, BodyError> {
     let text = std::str::from_utf8(body)
-        .map_err(|e| Misfit::Unreadable(format!("byte {}: not UTF-8", e.valid_up_to())))?;
+        .map_err(|e| BodyError::Malformed(format!("byte {}: not UTF-8", e.valid_up_to())))?;
     let mut reader = serde_json::Deserializer::from_str(text);
     let read = Strict { depth: 0 }.deserialize(&mut reader).and_then(|value| reader.end().map(|()| value));
     read.map_err(|e| match e.classify() {
-        Category::Data => Misfit::Unfit(e.to_string()),
-        _ => Misfit::Unreadable(e.to_string()),
+        Category::Data => BodyError::SchemaMismatch(e.to_string()),
+        _ => BodyError::Malformed(e.to_string()),
     })
 }
 
@@ -29,8 +29,8 @@
 
 impl Strict {
     fn inner<E: Error>(self) -> Result<Strict, E> {
-        if self.depth >= DEEPEST {
-            return Err(E::custom(format_args!("nested deeper than {DEEPEST}")));
+        if self.depth >= MAX_DEPTH {
+            return Err(E::custom(format_args!("nested deeper than {MAX_DEPTH}")));
         }
         Ok(Strict { depth: self.depth + 1 })
     }
--- a/crates/curlewpoint-catalogue/tests/catalogue.rs
+++ b/crates/curlewpoint-catalogue/tests/catalogue.rs
@@ -4,8 +4,8 @@
 
 use curlewpoint::types::Time;
 use curlewpoint_catalogue::{
-    asyncapi, compare, etag, openapi, render, Catalogue, Effect, Method, Payload, Release, Releases,
-    Standing, TooMany,
+    asyncapi, compare, etag, openapi, render, Catalogue, Effect, Method, MethodStatus, Payload, Release,
+    Releases, TooManyReleases,
 };
 use proptest::prelude::*;
 use serde_json::{json, Value};
@@ -27,7 +27,7 @@
 fn method(name: &str, effect: Effect, request: Value, answer: Value) -> Method {
     Method {
         name: name.to_owned(),
-        about: format!("Does {name}."),
+        summary: format!("Does {name}."),
         effect,
         soft_deadline: 600.0,
         deadline: 5000.0,
@@ -77,7 +77,7 @@
     assert!(evil.check(body.as_bytes()).is_err());
     assert!(began.elapsed().as_secs() < 5);
     let long = json!({"pattern": "a".repeat(1_001)});
-    assert!(Payload::json("x.json", &long.to_string()).is_err_and(|f| f.what.contains("over 1000")));
+    assert!(Payload::json("x.json", &long.to_string()).is_err_and(|f| f.message.contains("over 1000")));
 }
 
 #[test_case(r#"{"type": "objekt"}"#, "at '/type'" ; "no such type")]
@@ -85,7 +85,7 @@
 #[test_case(r#"{"type": "#, "EOF" ; "no JSON")]
 fn a_schema_that_cannot_be_compiled_is_refused_with_its_place(text: &str, want: &str) {
     let fault = Payload::json("read.json", text).err().expect("it is refused");
-    assert!(fault.to_string().starts_with("read.json: ") && fault.what.contains(want), "{fault}");
+    assert!(fault.to_string().starts_with("read.json: ") && fault.message.contains(want), "{fault}");
 }
 
 #[test]
@@ -202,33 +202,33 @@
 #[test]
 fn an_rpc_ends_under_the_catalogue_that_it_was_taken_under() {
     let mut r = Releases::new(released("1", &["a"]), 2, Time(600_000));
-    let first = r.taken();
+    let first = r.accept_rpc();
     r.reload(Time(10), released("2", &["b"])).unwrap();
-    assert_eq!((r.catalogue(first).unwrap().release.as_str(), in_force(&r), r.held()), ("1", "2", 2));
-    let second = r.taken();
+    assert_eq!((r.catalogue(first).unwrap().release.as_str(), in_force(&r), r.held_count()), ("1", "2", 2));
+    let second = r.accept_rpc();
     // Two with RPCs open are the most: the third waits, and the one in force stays.
-    assert_eq!(r.reload(Time(20), released("3", &["c"])), Err(TooMany(2)));
+    assert_eq!(r.reload(Time(20), released("3", &["c"])), Err(TooManyReleases(2)));
     assert_eq!(in_force(&r), "2");
-    r.ended(first);
-    assert_eq!((r.held(), r.catalogue(first).is_none()), (1, true));
+    r.end_rpc(first);
+    assert_eq!((r.held_count(), r.catalogue(first).is_none()), (1, true));
     r.reload(Time(30), released("3", &["c"])).unwrap();
-    r.ended(second);
-    r.ended(second);
-    assert_eq!((r.held(), in_force(&r)), (1, "3"));
+    r.end_rpc(second);
+    r.end_rpc(second);
+    assert_eq!((r.held_count(), in_force(&r)), (1, "3"));
 }
 
 #[test]
 fn a_withdrawn_method_is_known_as_such_for_a_time_and_may_come_back() {
     let mut r = Releases::new(released("1", &["a", "b"]), 3, Time(1_000));
     r.reload(Time(100), released("2", &["b"])).unwrap();
-    assert_eq!(r.standing(Time(400), "a"), Standing::Withdrawn { ago: Time(300) });
+    assert_eq!(r.method_status(Time(400), "a"), MethodStatus::Withdrawn { ago: Time(300) });
     assert_eq!(
-        (r.standing(Time(400), "b"), r.standing(Time(400), "z")),
-        (Standing::Served, Standing::Unknown)
+        (r.method_status(Time(400), "b"), r.method_status(Time(400), "z")),
+        (MethodStatus::Served, MethodStatus::Unknown)
     );
-    assert_eq!(r.standing(Time(1_100), "a"), Standing::Unknown);
+    assert_eq!(r.method_status(Time(1_100), "a"), MethodStatus::Unknown);
     r.reload(Time(500), released("3", &["a", "b"])).unwrap();
-    assert_eq!(r.standing(Time(600), "a"), Standing::Served);
+    assert_eq!(r.method_status(Time(600), "a"), MethodStatus::Served);
 }
 
 fn bare(release: usize) -> Arc<Catalogue> {
@@ -245,10 +245,10 @@
         for (no, step) in steps.into_iter().enumerate() {
             match step {
                 0 | 1 => {
-                    let release = r.taken();
+                    let release = r.accept_rpc();
                     open.push((release, in_force(&r).to_owned()));
                 }
-                2 if !open.is_empty() => r.ended(open.remove(no % open.len()).0),
+                2 if !open.is_empty() => r.end_rpc(open.remove(no % open.len()).0),
                 _ => drop(r.reload(Time(no as u64), bare(no + 1))),
             }
             for (release, name) in &open {
@@ -257,8 +257,8 @@
             let mut wanted: Vec<_> = open.iter().map(|o| o.0).chain([r.in_force()]).collect();
             wanted.sort();
             wanted.dedup();
-            prop_assert_eq!(r.held(), wanted.len());
-            prop_assert!(r.held() <= most);
+            prop_assert_eq!(r.held_count(), wanted.len());
+            prop_assert!(r.held_count() <= most);
         }
     }
 }
--- a/crates/curlewpoint-catalogue/tests/published.rs
+++ b/crates/curlewpoint-catalogue/tests/published.rs
@@ -21,7 +21,7 @@
     let json = || Payload::json("x.json", &schema.to_string()).unwrap();
     let method = |name: &str, effect, request, answer, goes: bool| Method {
         name: name.to_owned(),
-        about: "Does it.".to_owned(),
+        summary: "Does it.".to_owned(),
         effect,
         soft_deadline: 600.0,
         deadline: 5000.5,
--- a/crates/curlewpoint-cli/src/commands/check.rs
+++ b/crates/curlewpoint-cli/src/commands/check.rs
@@ -24,7 +24,7 @@
 pub fn load(path: &Path) -> Result<(Config, Catalogue), String> {
     let config =
         curlewpoint_config::load(path).map_err(|faults| format!("{} faults\n{faults}", faults.count))?;
-    match Catalogue::of(&config) {
+    match Catalogue::from_config(&config) {
         Ok(catalogue) => Ok((config, catalogue)),
         Err(faults) => {
             let lines: Vec<String> = faults.iter().map(|f| format!("error: {f}")).collect();
--- a/crates/curlewpoint-cli/src/commands/describe.rs
+++ b/crates/curlewpoint-cli/src/commands/describe.rs
@@ -49,7 +49,7 @@
                         "{:10} {}: {}",
                         if c.breaking { "breaking" } else { "compatible" },
                         c.method,
-                        c.what
+                        c.description
                     );
                 }
                 let breaking = changes.iter().filter(|c| c.breaking).count();
--- a/crates/curlewpoint-gateway/src/driver.rs
+++ b/crates/curlewpoint-gateway/src/driver.rs
@@ -324,13 +324,13 @@
     }
 
     fn rpc_accepted(&mut self, rpc: RpcId) {
-        let release = self.releases.taken();
+        let release = self.releases.accept_rpc();
         self.rpc_releases.insert(rpc, release);
     }
 
     fn rpc_forgotten(&mut self, rpc: RpcId) {
         if let Some(release) = self.rpc_releases.remove(&rpc) {
-            self.releases.ended(release);
+            self.releases.end_rpc(release);
         }
     }
 
--- a/crates/curlewpoint-gateway/src/http.rs
+++ b/crates/curlewpoint-gateway/src/http.rs
@@ -10,7 +10,7 @@
 use axum::http::{header, request, HeaderMap, HeaderValue, Method, StatusCode};
 use axum::response::Response;
 use curlewpoint::types::Time;
-use curlewpoint_catalogue::{method_in, Effect, Method as Described, Misfit, Release};
+use curlewpoint_catalogue::{method_from_path, BodyError, Effect, Method as Described, Release};
 use curlewpoint_engine::{Answer, ClientId, Refusal};
 use curlewpoint_link::{linger, Clock, LINGER_LIMITS};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -353,8 +353,8 @@
         let route = active_methods.prepared.routes.find(path);
         let method = route.as_ref().and_then(|(name, _)| active_methods.prepared.catalogue.method(name));
         let (Some((_, wildcards)), Some(method)) = (route, method) else {
-            let withdrawn =
-                method_in(path).and_then(|name| active_methods.withdrawn.ago(self.clock.now(), name));
+            let withdrawn = method_from_path(path)
+                .and_then(|name| active_methods.withdrawn.time_since(self.clock.now(), name));
             return Err(match withdrawn {
                 Some(_) => refused(410, "withdrawn", "the method was withdrawn"),
                 None => refused(404, "unknown", "no such method"),
@@ -417,13 +417,13 @@
 
     /// Adds `Deprecation` and `Sunset` headers to responses of methods that will be or have recently been withdrawn.
     fn add_lifecycle_headers(&self, parts: &request::Parts, headers: &mut HeaderMap) {
-        let (active_methods, Some(name)) = (self.active_methods(), method_in(parts.uri.path())) else {
+        let (active_methods, Some(name)) = (self.active_methods(), method_from_path(parts.uri.path())) else {
             return;
         };
         let (deprecated, sunset) = match active_methods.prepared.catalogue.method(name) {
             Some(m) => (m.deprecated, m.sunset.map(|s| UNIX_EPOCH + Duration::from_secs(s))),
             None => {
-                let ago = active_methods.withdrawn.ago(self.clock.now(), name);
+                let ago = active_methods.withdrawn.time_since(self.clock.now(), name);
                 (None, ago.map(|ago| SystemTime::now() - Duration::from_micros(ago.0 * 100)))
             }
         };
@@ -441,8 +441,8 @@
 ) -> Result<RpcRequest, Refused> {
     let RequestHead { method, model, time_left, token, tenant } = head;
     method.request.check(&body).map_err(|misfit| match misfit {
-        Misfit::Unreadable(detail) => refused(400, "malformed", detail),
-        Misfit::Unfit(detail) => refused(422, "unfit", detail),
+        BodyError::Malformed(detail) => refused(400, "malformed", detail),
+        BodyError::SchemaMismatch(detail) => refused(422, "unfit", detail),
     })?;
     let (release, method) = (active_methods.release, method.name.clone());
     Ok(RpcRequest { release, method, model, tenant, time_left, token, body, reply_tx })
--- a/crates/curlewpoint-gateway/src/reload.rs
+++ b/crates/curlewpoint-gateway/src/reload.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use curlewpoint::types::Time;
-use curlewpoint_catalogue::{asyncapi, etag, openapi, render, Catalogue, Release, Routes, Withdrawn};
+use curlewpoint_catalogue::{asyncapi, etag, openapi, render, Catalogue, Release, Routes, WithdrawnMethods};
 use curlewpoint_config::{milliseconds, Config};
 use curlewpoint_trigger::Effect;
 use serde_json::Value;
@@ -26,7 +26,7 @@
 impl PreparedMethods {
     pub fn from_config(config: &Config) -> Result<PreparedMethods, ReloadError> {
         let invalid = |messages: Vec<String>| ReloadError::InvalidCatalogue(messages.join("; "));
-        let catalogue = Catalogue::of(config)
+        let catalogue = Catalogue::from_config(config)
             .map_err(|errors| invalid(errors.iter().map(ToString::to_string).collect()))?;
         let mut routes = Routes::new('/');
         for method in catalogue.methods() {
@@ -56,7 +56,7 @@
 pub(crate) struct ActiveMethods {
     pub release: Release,
     pub prepared: Arc<PreparedMethods>,
-    pub withdrawn: Withdrawn,
+    pub withdrawn: WithdrawnMethods,
 }
 
 /// Why a reload was rejected. The active methods stay as they are.
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -5,7 +5,7 @@
 
 use curlewpoint::types::{CopyReport, Outcome, Time};
 use curlewpoint_amqp::Login;
-use curlewpoint_catalogue::{Release, Releases, Standing};
+use curlewpoint_catalogue::{MethodStatus, Release, Releases};
 use curlewpoint_config::Config;
 use curlewpoint_engine::{ClientId, ConnId, Engine, EngineCounters, Pool, PoolLimits, Refusal, RequestId};
 use curlewpoint_journal::{Journal, JournalError, JournalLimits};
@@ -624,8 +624,8 @@
 
     /// Distinguishes a method that was withdrawn recently from one that is unknown.
     fn refine_refusal(&mut self, now: Time, method: &str, refusal: Refusal) -> Refusal {
-        match (refusal, self.engine.driver().releases.standing(now, method)) {
-            (Refusal::NoSuchMethod, Standing::Withdrawn { .. }) => Refusal::Withdrawn,
+        match (refusal, self.engine.driver().releases.method_status(now, method)) {
+            (Refusal::NoSuchMethod, MethodStatus::Withdrawn { .. }) => Refusal::Withdrawn,
             _ => refusal,
         }
     }
@@ -634,13 +634,13 @@
     fn reload(
         &mut self, now: Time, prepared: Arc<PreparedMethods>, method_settings: Vec<serde_json::Value>,
     ) -> Result<Release, ReloadError> {
-        self.engine.driver().releases.has_room().map_err(|e| ReloadError::TooManyReleases(e.0))?;
+        self.engine.driver().releases.check_capacity().map_err(|e| ReloadError::TooManyReleases(e.0))?;
         self.engine.set_methods(method_settings).map_err(|_| ReloadError::TooManyMethodSettings)?;
         let releases = &mut self.engine.driver().releases;
         let release = releases
             .reload(now, Arc::clone(&prepared.catalogue))
             .map_err(|e| ReloadError::TooManyReleases(e.0))?;
-        let (held, withdrawn) = (releases.held(), releases.withdrawn().clone());
+        let (held, withdrawn) = (releases.held_count(), releases.withdrawn().clone());
         let (methods, name) = (prepared.catalogue.methods().count(), &prepared.catalogue.release);
         info!(release = release.0, of = name, methods, held, "other methods are in force");
         self.active_methods_tx.send_replace(Arc::new(ActiveMethods { release, prepared, withdrawn }));
--- a/crates/curlewpoint-lab/tests/sockets/amqp.rs
+++ b/crates/curlewpoint-lab/tests/sockets/amqp.rs
@@ -93,7 +93,8 @@
 
 /// An answer is what the AsyncAPI document says that is published.
 fn described(m: &Message, method: &str) {
-    let catalogue = curlewpoint_catalogue::Catalogue::of(&config()).unwrap_or_else(|f| panic!("{f:?}"));
+    let catalogue =
+        curlewpoint_catalogue::Catalogue::from_config(&config()).unwrap_or_else(|f| panic!("{f:?}"));
     let document = curlewpoint_catalogue::asyncapi(&catalogue);
     let message = &document["channels"][format!("{method}.answer")]["messages"]["answer"];
     let mut headers = serde_json::Map::new();
