--- a/crates/curlewpoint-config/src/check.rs
+++ b/crates/curlewpoint-config/src/check.rs
@@ -33,7 +33,8 @@
         self.value("", name).unwrap_or("")
     }
 
-    /// A numeric directive of an unnamed block: a plain number, milliseconds, bytes or a fraction. 0 if it is not given.
+    /// A numeric directive of an unnamed block: a plain number, milliseconds, bytes or a fraction. 0 if it is not
+    /// given.
     pub fn number(&self, block: &'static str, name: &'static str) -> f64 {
         let text = self.value(block, name).unwrap_or("0");
         let parsers = [units::number, units::milliseconds, units::bytes, units::share];
--- a/crates/curlewpoint-config/src/grammar.rs
+++ b/crates/curlewpoint-config/src/grammar.rs
@@ -81,7 +81,8 @@
 
 /// Parses a file into lines and blocks. Collects all errors, not only the first.
 pub fn parse_file(file: usize, text: &str, errors: &mut Vec<ConfigError>) -> Vec<Line> {
-    // The stack of open blocks: the lines of each block so far, and the line that opened it. The first is the file itself.
+    // The stack of open blocks: the lines of each block so far, and the line that opened it. The first is the file
+    // itself.
     let mut open_blocks: Vec<(Vec<Line>, Option<Line>)> = vec![(Vec::new(), None)];
     let mut start = 0;
     for raw_line in text.split('\n') {
--- a/crates/curlewpoint-config/src/lib.rs
+++ b/crates/curlewpoint-config/src/lib.rs
@@ -1,7 +1,8 @@
 //! The configuration: a line-based format, its checks, and the plain settings map that the decision module reads.
 //!
 //! A line is a directive and its values. `{` at the end of a line opens a block, a line with only `}` closes it, `#`
-//! begins a comment, and a value with spaces is written in double quotes. `include FILE` is replaced by the lines of FILE.
+//! begins a comment, and a value with spaces is written in double quotes. `include FILE` is replaced by the lines of
+//! FILE.
 //!
 //! ```
 //! let text = "name front-1\nlisten 127.0.0.1:7000\nlist 127.0.0.1:7001\nmethod read-fields {\n  effect idempotent\n  soft-deadline 600ms\n  deadline 5s\n}\n";
--- a/crates/curlewpoint-gateway/src/clients.rs
+++ b/crates/curlewpoint-gateway/src/clients.rs
@@ -20,8 +20,8 @@
 use crate::events::Event;
 use crate::reload::ActiveMethods;
 
-/// Frames and bytes that are read from one client before the engine's task accepts them. Reading ahead lets a cancel or a
-/// disconnect be noticed while earlier RPCs are still queued.
+/// Frames and bytes that are read from one client before the engine's task accepts them. Reading ahead lets a cancel or
+/// a disconnect be noticed while earlier RPCs are still queued.
 const READ_AHEAD: (usize, usize) = (64, 256 * 1024);
 
 /// What all client tasks share.
@@ -69,8 +69,8 @@
     }
 }
 
-/// Accepts client connections until a stop. Connections that the kernel has accepted by then count as accepted: they are
-/// still admitted, and told to go away.
+/// Accepts client connections until a stop. Connections that the kernel has accepted by then count as accepted: they
+/// are still admitted, and told to go away.
 pub(crate) async fn accept(
     listener: TcpListener, max_clients: usize, context: ClientContext, mut stopped: watch::Receiver<bool>,
 ) {
@@ -208,8 +208,8 @@
         }
     }
     let dropped = queue.iter().filter(|queued| queued.tag.is_some()).count();
-    // When this scheduler ends, the disconnect goes through the request channel, behind the last RPCs, so that these are
-    // answered first.
+    // When this scheduler ends, the disconnect goes through the request channel, behind the last RPCs, so that these
+    // are answered first.
     let last_tx = if context.closing.is_cancelled() { &context.request_tx } else { &context.priority_tx };
     let _ = last_tx.send(Event::ClientDisconnected(id, error, dropped)).await;
     if writing {
--- a/crates/curlewpoint-gateway/src/clients/tests.rs
+++ b/crates/curlewpoint-gateway/src/clients/tests.rs
@@ -45,8 +45,8 @@
     outbox.send(Frame::new(kind).int(Field::TAG, tag), None).unwrap();
 }
 
-/// Guards against starting RPCs of a client that has disconnected while the engine is busy and the request channel is full:
-/// the disconnect is reported at once, and RPCs that were read but not passed on are dropped.
+/// Guards against starting RPCs of a client that has disconnected while the engine is busy and the request channel is
+/// full: the disconnect is reported at once, and RPCs that were read but not passed on are dropped.
 #[tokio::test]
 async fn a_disconnect_is_reported_although_the_request_channel_is_full() {
     let (address, mut priority_rx, mut request_rx) = listener_with_full_request_channel().await;
@@ -98,8 +98,8 @@
     };
     assert!(client.record_cancel(5, 0), "nothing is queued");
     assert!(!client.process(Some(5)));
-    // Cancels tag 6 among the first four events, of which one has been processed. Events after these four came after the
-    // cancel.
+    // Cancels tag 6 among the first four events, of which one has been processed. Events after these four came after
+    // the cancel.
     assert!(client.record_cancel(6, 4));
     let cancelled = [Some(5), Some(6), None, Some(6), Some(6)].map(|tag| client.process(tag));
     assert_eq!(cancelled, [false, true, false, false, false]);
--- a/crates/curlewpoint-gateway/src/driver.rs
+++ b/crates/curlewpoint-gateway/src/driver.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Records the cancel of the RPC with this tag among the client's first `passed_on` events. A cancel overtakes RPCs,
-    /// so the RPC may still be queued. Returns false if the client has more recorded cancels than allowed.
+    /// Records the cancel of the RPC with this tag among the client's first `passed_on` events. A cancel overtakes
+    /// RPCs, so the RPC may still be queued. Returns false if the client has more recorded cancels than allowed.
     pub fn record_cancel(&mut self, tag: u64, passed_on: u64) -> bool {
         if passed_on > self.processed {
             self.cancelled_until = self.cancelled_until.max(passed_on);
--- a/crates/curlewpoint-gateway/src/events.rs
+++ b/crates/curlewpoint-gateway/src/events.rs
@@ -18,8 +18,8 @@
     /// A client cancels the RPC with this tag. None: the RPC was still in the client task and has been dropped there.
     /// Some(n): it may be among the first n events that the client task has passed on.
     CancelRpc(ClientId, u64, Option<u64>),
-    /// A client has disconnected, or sent something that could not be read; and the number of RPCs that were read from it
-    /// and not passed on.
+    /// A client has disconnected, or sent something that could not be read; and the number of RPCs that were read from
+    /// it and not passed on.
     ClientDisconnected(ClientId, Option<WireError>, usize),
     /// An RPC that arrived over HTTP or AMQP.
     Request(ClientId, RpcRequest),
--- a/crates/curlewpoint-gateway/src/http.rs
+++ b/crates/curlewpoint-gateway/src/http.rs
@@ -102,8 +102,8 @@
     }
 }
 
-/// The reading half of a connection, shared with the HTTP server. After the server has finished, the connection is read to
-/// its end.
+/// The reading half of a connection, shared with the HTTP server. After the server has finished, the connection is read
+/// to its end.
 #[derive(Clone)]
 struct SharedReadHalf(Arc<Mutex<OwnedReadHalf>>);
 
@@ -190,8 +190,8 @@
     linger(&mut shared_read, LINGER_LIMITS.0, LINGER_LIMITS.1).await;
 }
 
-/// Serves HTTP/1.1 and HTTP/2 without TLS until `stop` is set. Connections that have arrived by then are still admitted and
-/// answered, and every connection ends after its pending answers.
+/// Serves HTTP/1.1 and HTTP/2 without TLS until `stop` is set. Connections that have arrived by then are still admitted
+/// and answered, and every connection ends after its pending answers.
 pub(crate) async fn serve(listener: TcpListener, endpoint: HttpEndpoint, stop: watch::Receiver<bool>) {
     let (limit, mut stopped) = (endpoint.limits.connections, stop.clone());
     let (connection_slots, rejection_slots) =
@@ -306,7 +306,7 @@
             let (reply_tx, reply_rx) = oneshot::channel();
             let request = rpc_request(&active_methods, head, body.clone(), reply_tx)?;
             let id = ClientId(self.next_client_id.fetch_add(1, Ordering::Relaxed));
-            // From here on the engine is notified if the client disconnects.
+            // From here on the engine is notified if the client disconnects, and does not accept the RPC any more.
             let mut pending = PendingReply { id, endpoint: self, reply_rx: Some(reply_rx) };
             if self.request_tx.send(Event::Request(id, request)).await.is_err() {
                 return Err(refused(429, "full", "this scheduler ends"));
@@ -487,8 +487,8 @@
 
 impl Drop for PendingReply<'_> {
     fn drop(&mut self) {
-        // The receiver is closed before the engine is notified: if the notification overtakes the RPC, the engine sees the
-        // closed channel and does not accept it.
+        // The receiver is closed before the engine is notified: if the notification overtakes the RPC, the engine sees
+        // the closed channel and does not accept it.
         let Some(reply_rx) = self.reply_rx.take() else { return };
         drop(reply_rx);
         if let Err(TrySendError::Full(event)) =
--- a/crates/curlewpoint-gateway/src/http/tests.rs
+++ b/crates/curlewpoint-gateway/src/http/tests.rs
@@ -5,8 +5,8 @@
 use curlewpoint_catalogue::Releases;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// An HTTP endpoint without an engine. Returns its address and the receivers of the priority and the request channel, which
-/// have the given capacity.
+/// An HTTP endpoint without an engine. Returns its address and the receivers of the priority and the request channel,
+/// which have the given capacity.
 async fn endpoint(capacity: usize) -> (SocketAddr, mpsc::Receiver<Event>, mpsc::Receiver<Event>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -54,8 +54,8 @@
     client
 }
 
-/// Guards against accepting requests whose client has disconnected: the disconnect overtakes the request, and the engine's
-/// task sees that its reply channel is closed.
+/// Guards against accepting requests whose client has disconnected: the disconnect overtakes the request, and the
+/// engine's task sees that its reply channel is closed.
 #[tokio::test]
 async fn a_disconnect_overtakes_a_queued_request() {
     let (address, mut priority_rx, mut request_rx) = endpoint(2).await;
--- a/crates/curlewpoint-gateway/src/lib.rs
+++ b/crates/curlewpoint-gateway/src/lib.rs
@@ -1,6 +1,7 @@
 //! The gateway daemon: endpoints for clients over the native protocol, HTTP and AMQP, and connections to workers, the
-//! list service and peers. It performs the I/O only. One task owns the [`Engine`](curlewpoint_engine::Engine), which makes
-//! the decisions; every other task reads or writes a connection and exchanges events with that task over channels.
+//! list service and peers. It performs the I/O only. One task owns the [`Engine`](curlewpoint_engine::Engine), which
+//! makes the decisions; every other task reads or writes a connection and exchanges events with that task over
+//! channels.
 
 mod amqp;
 mod clients;
--- a/crates/curlewpoint-gateway/src/list.rs
+++ b/crates/curlewpoint-gateway/src/list.rs
@@ -14,9 +14,9 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Keeps a connection to the list service open while `wanted` holds a number, and opens a new one when the number changes.
-/// While there is no connection, the scheduler continues with the list that it has. Failed dials back off with jitter,
-/// so that a service that comes back is not dialled by the whole fleet at the same moment.
+/// Keeps a connection to the list service open while `wanted` holds a number, and opens a new one when the number
+/// changes. While there is no connection, the scheduler continues with the list that it has. Failed dials back off with
+/// jitter, so that a service that comes back is not dialled by the whole fleet at the same moment.
 pub(crate) async fn follow(
     address: String, name: String, link_limits: LinkLimits, dial_timeout: Duration,
     event_tx: mpsc::Sender<Event>, seed: u128, mut wanted: watch::Receiver<Option<u64>>,
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -168,8 +168,8 @@
     }
 }
 
-/// Draws an id for this run of the process from the clock and the process id, independent of the configured seed. Runs under
-/// the same name must differ.
+/// Draws an id for this run of the process from the clock and the process id, independent of the configured seed. Runs
+/// under the same name must differ.
 fn new_run_id() -> Run {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     let mixed = since_epoch ^ u128::from(std::process::id()) << 64;
--- a/crates/curlewpoint-gateway/src/reload.rs
+++ b/crates/curlewpoint-gateway/src/reload.rs
@@ -12,8 +12,8 @@
 
 use crate::events::Event;
 
-/// Everything that the endpoints need of a catalogue. Prepared before it becomes active, so that the engine's task does not
-/// wait for it.
+/// Everything that the endpoints need of a catalogue. Prepared before it becomes active, so that the engine's task does
+/// not wait for it.
 pub(crate) struct PreparedMethods {
     pub catalogue: Arc<Catalogue>,
     pub routes: Routes<String>,
@@ -91,8 +91,8 @@
 }
 
 impl ReloadHandle {
-    /// Serves the methods of this configuration from now on. Nothing else in it may differ from the configuration at the
-    /// start. On any error the active methods stay, and one log line states the reason.
+    /// Serves the methods of this configuration from now on. Nothing else in it may differ from the configuration at
+    /// the start. On any error the active methods stay, and one log line states the reason.
     pub async fn reload(&self, config: Config) -> Result<Release, ReloadError> {
         let result = self.apply(config).await;
         match &result {
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -239,8 +239,8 @@
     // In a fleet only a few instances watch the list. Without peers every instance does.
     let is_standalone = config.value("fleet", "listen").is_none();
     let (wanted_list_connection_tx, wanted_list_connection) = watch::channel(is_standalone.then_some(0));
-    // Events of peers use the request channel. The priority channel is emptied first, so a flood of member records on it
-    // would delay RPCs.
+    // Events of peers use the request channel. The priority channel is emptied first, so a flood of member records on
+    // it would delay RPCs.
     let membership = FleetMembership::start(
         config,
         clock.now(),
@@ -379,8 +379,8 @@
         if let Some(membership) = self.membership.take() {
             membership.leave(self.clock.now(), &mut self.engine);
         }
-        // Everything that has arrived is read, refused and answered. Then each connection is shut down, read to its end and
-        // closed.
+        // Everything that has arrived is read, refused and answered. Then each connection is shut down, read to its end
+        // and closed.
         self.closing.cancel();
         tasks.close();
         let (all_tasks, timeout) = (tasks.wait(), tokio::time::sleep(FINAL_WRITE_TIMEOUT));
@@ -399,8 +399,9 @@
         f
     }
 
-    /// Whether a stop is complete: no RPC is open, and no client can have sent a frame that has not been read. Each client
-    /// has announced that it sends nothing more, has disconnected, or has let the time for the announcement pass.
+    /// Whether a stop is complete: no RPC is open, and no client can have sent a frame that has not been read. Each
+    /// client has announced that it sends nothing more, has disconnected, or has let the time for the announcement
+    /// pass.
     fn is_over(&mut self) -> bool {
         let Some(shutdown) = &self.shutdown else { return false };
         let (now, go_away_deadline, deadline) =
@@ -551,8 +552,8 @@
         }
     }
 
-    /// Whether a client's frame is still to be processed. Frames of a client that has disconnected are ignored, and an RPC
-    /// that has been cancelled in the meantime is refused.
+    /// Whether a client's frame is still to be processed. Frames of a client that has disconnected are ignored, and an
+    /// RPC that has been cancelled in the meantime is refused.
     fn should_process(&mut self, id: ClientId, frame: &Frame) -> bool {
         let tag = frame.get_int(Field::TAG).ok().filter(|_| frame.kind == Kind::RPC);
         match (self.engine.driver().clients.get_mut(&id).map(|client| client.process(tag)), tag) {
@@ -698,8 +699,8 @@
                 let held = f.maybe_int(Field::RPCS_HELD)?.unwrap_or(0);
                 let copies = f.maybe_int(Field::COPIES)?.unwrap_or(0);
                 let report = f.get_floats(Field::REPORT)?;
-                // An answer that does not match its schema counts as an error: the attempt has run, so it is neither ok nor
-                // denied.
+                // An answer that does not match its schema counts as an error: the attempt has run, so it is neither ok
+                // nor denied.
                 let mismatched = f.kind == Kind::ANSWER
                     && outcome == Outcome::Ok
                     && !self.answer_matches_schema(request, &f.body);
--- a/crates/curlewpoint-gateway/src/snapshot.rs
+++ b/crates/curlewpoint-gateway/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! The snapshot that an instance keeps on disk for its next start: the endpoint list and the addresses of its peers. The
-//! file consists of a first line, frames of the wire protocol and a checksum.
+//! The snapshot that an instance keeps on disk for its next start: the endpoint list and the addresses of its peers.
+//! The file consists of a first line, frames of the wire protocol and a checksum.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -67,8 +67,8 @@
     std::fs::rename(&temporary, path)
 }
 
-/// Loads a snapshot into the fleet and returns its age. A snapshot that is damaged, too old or of another fleet is rejected
-/// before any part of it is used.
+/// Loads a snapshot into the fleet and returns its age. A snapshot that is damaged, too old or of another fleet is
+/// rejected before any part of it is used.
 pub fn read(
     path: &Path, fleet_name: &str, max_age: Duration, now: Time, fleet: &mut Fleet,
 ) -> Result<Duration, SnapshotError> {
--- a/crates/curlewpoint-wire/src/codec.rs
+++ b/crates/curlewpoint-wire/src/codec.rs
@@ -8,8 +8,8 @@
 /// Longest header accepted or sent. No message of the protocol has a longer one.
 const MAX_HEADER_BYTES: usize = 16 * 1024;
 
-/// Encodes frames on a byte stream as `length: u32, kind: u16, header length: u16, header, body`, big-endian. The length
-/// counts everything after the length field itself.
+/// Encodes frames on a byte stream as `length: u32, kind: u16, header length: u16, header, body`, big-endian. The
+/// length counts everything after the length field itself.
 #[derive(Clone, Copy, Debug)]
 pub struct Codec {
     /// Longest frame accepted or sent, as counted by the length field.
@@ -45,7 +45,7 @@
             return Err(WireError::InvalidHeaderLength(header_len, length));
         }
         if src.len() < 4 + length {
-            // Bounded, so that a peer cannot make us reserve a whole frame by sending its length alone.
+            // Bounded, so that a peer cannot cause the allocation of a whole frame by sending its length alone.
             src.reserve((4 + length - src.len()).min(1 << 20));
             return Ok(None);
         }
--- a/crates/curlewpoint-wire/src/frame.rs
+++ b/crates/curlewpoint-wire/src/frame.rs
@@ -319,7 +319,7 @@
         let wrong_type = || WireError::WrongType(self.kind.0, field.0, "a row of finite numbers");
         let Some(mut decoder) = self.find(field) else { return Ok(Vec::new()) };
         let Ok(Some(count)) = decoder.array() else { return Err(wrong_type()) };
-        // Each number takes nine bytes, so a false count cannot make us reserve more than the header holds.
+        // Each number takes nine bytes, so a false count cannot cause a larger allocation than the header can fill.
         let mut values = Vec::with_capacity((count as usize).min(self.header.len() / 9));
         for _ in 0..count {
             values.push(decoder.f64().ok().filter(|v| v.is_finite()).ok_or_else(wrong_type)?);
@@ -332,7 +332,8 @@
         let wrong_type = || WireError::WrongType(self.kind.0, field.0, "a row of whole numbers");
         let Some(mut decoder) = self.find(field) else { return Ok(Vec::new()) };
         let Ok(Some(count)) = decoder.array() else { return Err(wrong_type()) };
-        // Each number takes at least one byte, so a false count cannot make us reserve more than the header holds.
+        // Each number takes at least one byte, so a false count cannot cause a larger allocation than the header can
+        // fill.
         let mut values = Vec::with_capacity((count as usize).min(self.header.len()));
         for _ in 0..count {
             values.push(decoder.u64().map_err(|_| wrong_type())?);
