--- a/crates/curlewpoint-rig/src/scale/worker_part.rs
+++ b/crates/curlewpoint-rig/src/scale/worker_part.rs
@@ -9,13 +9,13 @@
     id_of, Answer, ClientId, ConnId, Engine, EngineDriver, Pool, PoolDriver, PoolLimits, RequestId,
     UpstreamRequest,
 };
-use curlewpoint_fleet::{HintTable, Run};
+use curlewpoint_fleet::{HintTable, RunId};
 use curlewpoint_wire::{Codec, Field, Frame, Kind};
 use oorandom::Rand64;
 use serde_json::json;
 
 use crate::scale::plan;
-use crate::scale::world::BOUNDS;
+use crate::scale::simulation::BOUNDS;
 
 /// One way between a scheduler and a worker, in one zone and across.
 const WAY: [Time; 2] = [Time(3), Time(100)];
@@ -188,7 +188,7 @@
 struct Scheduler {
     engine: Engine<Desk>,
     hints: HintTable,
-    run: Run,
+    run: RunId,
     tag: u64,
     conns: BTreeMap<ConnId, WorkerId>,
     /// A wake-up is planned for then.
@@ -309,14 +309,14 @@
             let pool = Pool::new(LIMITS, seed);
             let desk = Desk { pool, sockets: Sockets::default(), seen: Vec::new(), denied: 0 };
             let mut engine = Engine::start(play.now, desk, seed, settings(scene.sharing));
-            engine.list_begins(1, 1, None);
+            engine.list_begin_received(1, 1, None);
             for worker in 0..scene.workers {
                 let (name, address) =
                     (worker_name(worker), format!("10.0.{}.{}:9000", worker >> 8, worker & 255));
-                engine.list_row(play.now, &name, &address, Lifecycle::Ready, 1, None, "", "", 1.0);
+                engine.list_entry_received(play.now, &name, &address, Lifecycle::Ready, 1, None, "", "", 1.0);
             }
-            engine.list_ends(play.now);
-            let (hints, run) = (HintTable::new(play.now, BOUNDS.hint_lifetime, usize::MAX), Run(no as u64));
+            engine.list_end_received(play.now);
+            let (hints, run) = (HintTable::new(play.now, BOUNDS.hint_lifetime, usize::MAX), RunId(no as u64));
             let (conns, wake) = (BTreeMap::new(), None);
             play.schedulers.push(Scheduler { engine, hints, run, tag: 0, conns, wake });
             let (first, sweep) = (play.rng.rand_range(0..TICK.0), play.rng.rand_range(0..TICK.0));
