--- a/crates/curlewpoint-gateway/src/amqp.rs
+++ b/crates/curlewpoint-gateway/src/amqp.rs
@@ -265,7 +265,7 @@
 
 /// A message that has been delivered and not settled.
 struct HeldMessage {
-    name: Option<MessageKey>,
+    key: Option<MessageKey>,
     method: String,
     properties: AMQPProperties,
     body: Bytes,
@@ -299,7 +299,7 @@
 const FIRST_CLIENT_ID: u64 = 1 << 62;
 /// The bits of a delivery tag from this one on hold the index of the queue, as AMQP tags are only unique per channel.
 const QUEUE_SHIFT: u32 = 40;
-const GIVEN_BACK_HEADER: &str = "curlewpoint-given-back";
+const REQUEUE_COUNT_HEADER: &str = "curlewpoint-given-back";
 const QUEUE_PREFIX: &str = "curlewpoint.";
 
 /// The wall clock since 1970, in the unit of the journal (tenths of a millisecond).
@@ -337,61 +337,61 @@
     /// Forgets a delivery that is settled or lost.
     fn release(&mut self, delivery: Delivery) -> Option<HeldMessage> {
         let held = self.held.remove(&delivery)?;
-        if let Some(name) = held.name.as_ref().filter(|n| self.latest.get(n) == Some(&delivery)) {
-            self.latest.remove(name);
+        if let Some(key) = held.key.as_ref().filter(|n| self.latest.get(n) == Some(&delivery)) {
+            self.latest.remove(key);
         }
         Some(held)
     }
 }
 
 impl InboxDriver for TriggerDriver {
-    fn write_intent(&mut self, name: &MessageKey, number: u64) {
-        let (event_tx, intent_name) = (self.broker_event_tx.clone(), name.clone());
-        self.journal.write_intent(name, wall_clock(), move |written| {
-            drop(event_tx.send(BrokerEvent::IntentWritten(intent_name, number, written)))
+    fn write_intent(&mut self, key: &MessageKey, number: u64) {
+        let (event_tx, intent_key) = (self.broker_event_tx.clone(), key.clone());
+        self.journal.write_intent(key, wall_clock(), move |written| {
+            drop(event_tx.send(BrokerEvent::IntentWritten(intent_key, number, written)))
         });
     }
 
-    fn write_answer(&mut self, name: &MessageKey, answer: &FinalAnswer) {
-        self.journal.write_answer(name, wall_clock(), answer);
+    fn write_answer(&mut self, key: &MessageKey, answer: &FinalAnswer) {
+        self.journal.write_answer(key, wall_clock(), answer);
     }
 
-    fn remove_record(&mut self, name: &MessageKey) {
-        self.journal.remove(name);
+    fn remove_record(&mut self, key: &MessageKey) {
+        self.journal.remove(key);
     }
 
-    fn submit(&mut self, name: &MessageKey, until: Time) {
-        let Some(held) = self.latest.get(name).and_then(|d| self.held.get(d)) else { return };
+    fn submit(&mut self, key: &MessageKey, until: Time) {
+        let Some(held) = self.latest.get(key).and_then(|d| self.held.get(d)) else { return };
         let (method, body, properties) = (held.method.clone(), held.body.clone(), &held.properties);
         let (model, tenant) = (text_header(properties, "model"), text_header(properties, "tenant"));
         let (model, tenant) = (model.unwrap_or_default(), tenant.unwrap_or_default());
         let (request_tx, event_tx, active_methods) =
             (self.request_tx.clone(), self.broker_event_tx.clone(), self.active_methods.clone());
-        let (clock, name, id) = (self.clock, name.clone(), ClientId(FIRST_CLIENT_ID + self.rpcs));
+        let (clock, key, id) = (self.clock, key.clone(), ClientId(FIRST_CLIENT_ID + self.rpcs));
         self.rpcs += 1;
         tokio::spawn(async move {
             loop {
                 let active = Arc::clone(&active_methods.borrow());
                 let described = active.prepared.catalogue.method(&method);
                 if let Some(Err(error)) = described.map(|m| m.request.check(&body)) {
-                    let _ = event_tx.send(BrokerEvent::InvalidRpc(name, error.to_string()));
+                    let _ = event_tx.send(BrokerEvent::InvalidRpc(key, error.to_string()));
                     return;
                 }
                 let (reply_tx, reply_rx) = oneshot::channel();
                 let (method, model, tenant) = (method.clone(), model.clone(), tenant.clone());
-                let (release, token, body) = (active.release, Some(name.id.clone()), body.clone());
+                let (release, token, body) = (active.release, Some(key.id.clone()), body.clone());
                 let time_left = until - clock.now();
                 let request = RpcRequest { release, method, model, tenant, time_left, token, body, reply_tx };
                 if request_tx.send(Event::Request(id, request)).await.is_err() {
                     // The RPC did not reach the engine, so nothing was sent.
                     let _ =
-                        event_tx.send(BrokerEvent::RpcEnded(name, Some(Reply::Refused(Refusal::Stopping))));
+                        event_tx.send(BrokerEvent::RpcEnded(key, Some(Reply::Refused(Refusal::Stopping))));
                     return;
                 }
                 match reply_rx.await {
                     Ok(Reply::MethodsChanged) => continue,
                     reply => {
-                        let _ = event_tx.send(BrokerEvent::RpcEnded(name, reply.ok()));
+                        let _ = event_tx.send(BrokerEvent::RpcEnded(key, reply.ok()));
                         return;
                     }
                 }
@@ -399,7 +399,7 @@
         });
     }
 
-    fn settle(&mut self, name: &MessageKey, delivery: Delivery, answer: &FinalAnswer) {
+    fn settle(&mut self, key: &MessageKey, delivery: Delivery, answer: &FinalAnswer) {
         let Some(held) = self.held.get(&delivery) else { return };
         let answer_name = match answer.kind {
             AnswerKind::Ok => "ok",
@@ -410,7 +410,7 @@
         let media_type =
             catalogue.method(&held.method).map_or("application/octet-stream", |m| m.answer.media_type());
         let mut properties = AMQPProperties::default()
-            .with_correlation_id(name.id.as_str().into())
+            .with_correlation_id(key.id.as_str().into())
             .with_delivery_mode(2)
             .with_content_type(media_type.into());
         properties = with_header(&properties, "answer", AMQPValue::LongString(answer_name.into()));
@@ -418,14 +418,14 @@
             properties =
                 with_header(&properties, "why", AMQPValue::LongString(answer.reason.as_str().into()));
         }
-        self.publish_and_ack(delivery, &name.reply_to, properties, &answer.body);
+        self.publish_and_ack(delivery, &key.reply_to, properties, &answer.body);
     }
 
     fn requeue(&mut self, _: &MessageKey, delivery: Delivery, requeue_count: u32) {
         let Some(held) = self.held.get(&delivery) else { return };
         let (queue, body) = (format!("{QUEUE_PREFIX}{}", held.method), held.body.clone());
         let properties =
-            with_header(&held.properties, GIVEN_BACK_HEADER, AMQPValue::LongInt(requeue_count as i32));
+            with_header(&held.properties, REQUEUE_COUNT_HEADER, AMQPValue::LongInt(requeue_count as i32));
         self.publish_and_ack(delivery, &queue, properties, &body);
     }
 
@@ -438,8 +438,8 @@
         self.publish_and_ack(delivery, &to, properties, &body);
     }
 
-    fn log(&mut self, name: &MessageKey, line: &str) {
-        info!(id = name.id, "{line}");
+    fn log(&mut self, key: &MessageKey, line: &str) {
+        info!(id = key.id, "{line}");
     }
 }
 
@@ -448,11 +448,11 @@
 pub(crate) struct RecoveredRecords(Vec<(MessageKey, Time, Option<FinalAnswer>)>);
 
 impl RecordVisitor for RecoveredRecords {
-    fn intent(&mut self, name: MessageKey, at: Time) {
-        self.0.push((name, at, None));
+    fn intent(&mut self, key: MessageKey, at: Time) {
+        self.0.push((key, at, None));
     }
-    fn answer(&mut self, name: MessageKey, at: Time, answer: FinalAnswer) {
-        self.0.push((name, at, Some(answer)));
+    fn answer(&mut self, key: MessageKey, at: Time, answer: FinalAnswer) {
+        self.0.push((key, at, Some(answer)));
     }
 }
 
@@ -495,13 +495,13 @@
     };
     let mut inbox = Inbox::new(driver, settings.record_retention);
     let (now, wall_time, found) = (clock.now(), wall_clock(), recovered.0.len());
-    for (name, at, answer) in recovered.0 {
+    for (key, at, answer) in recovered.0 {
         match answer {
-            Some(answer) => inbox.recovered_answer(now, name, answer),
+            Some(answer) => inbox.recovered_answer(now, key, answer),
             // A record from the future means that the clock was set back, and the age is unknown.
             None => {
                 let age = wall_time.0.checked_sub(at.0).map_or(Time(u64::MAX), Time);
-                inbox.recovered_intent(now, name, age);
+                inbox.recovered_intent(now, key, age);
             }
         }
     }
@@ -626,16 +626,16 @@
                 self.with_session(conn, |session| session.connection_lost(&reason));
                 self.connection_lost(conn);
             }
-            BrokerEvent::IntentWritten(name, number, true) => self.inbox.intent_written(&name, number),
-            BrokerEvent::IntentWritten(name, number, false) => self.inbox.intent_failed(&name, number),
-            BrokerEvent::InvalidRpc(name, reason) => {
-                self.inbox.refused(now, &name, &format!("unfit: {reason}"), true)
+            BrokerEvent::IntentWritten(key, number, true) => self.inbox.intent_written(&key, number),
+            BrokerEvent::IntentWritten(key, number, false) => self.inbox.intent_failed(&key, number),
+            BrokerEvent::InvalidRpc(key, reason) => {
+                self.inbox.refused(now, &key, &format!("unfit: {reason}"), true)
             }
-            BrokerEvent::RpcEnded(name, None) => {
+            BrokerEvent::RpcEnded(key, None) => {
                 let (reason, body) = ("the scheduler ended".to_owned(), Bytes::new());
-                self.inbox.answered(&name, FinalAnswer { kind: AnswerKind::Aborted, reason, body });
+                self.inbox.answered(&key, FinalAnswer { kind: AnswerKind::Aborted, reason, body });
             }
-            BrokerEvent::RpcEnded(name, Some(Reply::Final { answer, reason, body, .. })) => {
+            BrokerEvent::RpcEnded(key, Some(Reply::Final { answer, reason, body, .. })) => {
                 let kind = match answer {
                     Answer::Ok => AnswerKind::Ok,
                     Answer::Denied => AnswerKind::Denied,
@@ -643,17 +643,17 @@
                 };
                 let failed = kind != AnswerKind::Ok;
                 let driver = self.inbox.driver();
-                let delivery = driver.latest.get(&name);
+                let delivery = driver.latest.get(&key);
                 let queue = delivery.and_then(|d| driver.queues.get((d.tag >> QUEUE_SHIFT) as usize));
                 queue
                     .and_then(|q| self.prefetch_controllers.get_mut(q))
                     .into_iter()
                     .for_each(|i| i.answered(failed));
-                self.inbox.answered(&name, FinalAnswer { kind, reason, body });
+                self.inbox.answered(&key, FinalAnswer { kind, reason, body });
             }
-            BrokerEvent::RpcEnded(name, Some(Reply::Refused(refusal))) => {
+            BrokerEvent::RpcEnded(key, Some(Reply::Refused(refusal))) => {
                 let is_permanent = !matches!(refusal, Refusal::Full | Refusal::Stopping);
-                self.inbox.refused(now, &name, crate::refusal_name(refusal), is_permanent);
+                self.inbox.refused(now, &key, crate::refusal_name(refusal), is_permanent);
             }
             BrokerEvent::RpcEnded(_, Some(Reply::MethodsChanged)) => {}
         }
@@ -686,9 +686,8 @@
                 let Some(index) = self.inbox.driver().queues.iter().position(|q| *q == queue) else { return };
                 for tag in tags {
                     let delivery = Delivery { conn, tag: (index as u64) << QUEUE_SHIFT | tag };
-                    if let Some(HeldMessage { name: Some(name), .. }) = self.inbox.driver().release(delivery)
-                    {
-                        self.inbox.settled(&name, delivery);
+                    if let Some(HeldMessage { key: Some(key), .. }) = self.inbox.driver().release(delivery) {
+                        self.inbox.settled(&key, delivery);
                     }
                 }
             }
@@ -746,7 +745,7 @@
         let described = active_methods.prepared.catalogue.method(&method);
         let effect = active_methods.prepared.effects.get(&method).copied();
         let (id, reply_to) = (properties.message_id().clone(), properties.reply_to().clone());
-        let name =
+        let key =
             id.zip(reply_to).map(|(id, to)| MessageKey { id: id.to_string(), reply_to: to.to_string() });
         let age = properties.timestamp().and_then(|at| {
             let sent = Time(at.saturating_mul(10_000));
@@ -754,20 +753,20 @@
             wall_clock().0.checked_sub(sent.0).map(Time)
         });
         let expiration = properties.expiration().as_ref().and_then(|e| e.as_str().parse::<u64>().ok());
-        let requeue_count = match header(&properties, GIVEN_BACK_HEADER) {
+        let requeue_count = match header(&properties, REQUEUE_COUNT_HEADER) {
             Some(AMQPValue::LongInt(n)) => u32::try_from(*n).unwrap_or(0),
             _ => 0,
         };
         let model = text_header(&properties, "model").filter(|m| !m.is_empty());
-        let held = HeldMessage { name: name.clone(), method: method.clone(), properties, body };
+        let held = HeldMessage { key: key.clone(), method: method.clone(), properties, body };
         driver.held.insert(delivery, held);
-        let (Some(name), Some(described), Some(effect), Some(_)) = (name, described, effect, model) else {
+        let (Some(key), Some(described), Some(effect), Some(_)) = (key, described, effect, model) else {
             return driver.dead_letter(
                 delivery,
                 "it has no id, no address for its answer or no model, or no such method",
             );
         };
-        driver.latest.insert(name.clone(), delivery);
+        driver.latest.insert(key.clone(), delivery);
         let deadline = Time::from_ms(described.deadline);
         let waiting_time =
             expiration.map(|ms| Time(ms.saturating_mul(10))).or(default_time_left).unwrap_or(deadline);
@@ -775,6 +774,6 @@
         let info = DeliveryInfo { effect, time_left, redelivered, age, requeue_count };
         let open = self.inbox.open() as u64 + 1;
         self.prefetch_controllers.get_mut(queue).into_iter().for_each(|i| i.delivered(time_left, open));
-        self.inbox.delivered(now, name, delivery, info);
+        self.inbox.delivered(now, key, delivery, info);
     }
 }
--- a/crates/curlewpoint-gateway/src/driver.rs
+++ b/crates/curlewpoint-gateway/src/driver.rs
@@ -315,8 +315,8 @@
         self.pool.worker_gone(now, &mut self.sockets, worker);
     }
 
-    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64) {
-        self.observations.push((worker, function, hint, held_rpcs));
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64) {
+        self.observations.push((worker, function, hint, rpcs_held));
     }
 
     fn function_requested(&mut self, function: FunctionId) {
--- a/crates/curlewpoint-gateway/src/peers.rs
+++ b/crates/curlewpoint-gateway/src/peers.rs
@@ -277,9 +277,9 @@
     }
 
     fn deliver_hint(
-        &mut self, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64, age: Time,
+        &mut self, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64, age: Time,
     ) {
-        self.engine.hint_received(self.now, worker, function, hint, held_rpcs, age);
+        self.engine.hint_received(self.now, worker, function, hint, rpcs_held, age);
     }
 
     fn set_instance_count(&mut self, count: u64) {
@@ -457,9 +457,9 @@
         &mut self, now: Time, engine: &mut Engine<GatewayDriver>,
         observations: Vec<(WorkerId, FunctionId, Hint, u64)>,
     ) {
-        for (worker, function, hint, held_rpcs) in observations {
+        for (worker, function, hint, rpcs_held) in observations {
             self.call(now, engine, |fleet, driver| {
-                fleet.observe(now, driver, worker, function, hint, held_rpcs)
+                fleet.observe(now, driver, worker, function, hint, rpcs_held)
             });
         }
         if self.fleet.directory().is_none() {
--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -696,7 +696,7 @@
                 let request = RequestId(f.get_int(Field::TAG)?);
                 let outcome = if f.kind == Kind::REPORT { Outcome::Ok } else { codes::outcome(f)? };
                 let copy = if f.kind == Kind::ANSWER { codes::copy(f)? } else { CopyReport::Unreported };
-                let held = f.maybe_int(Field::RPCS_HELD)?.unwrap_or(0);
+                let rpcs_held = f.maybe_int(Field::RPCS_HELD)?.unwrap_or(0);
                 let copies = f.maybe_int(Field::COPIES)?.unwrap_or(0);
                 let report = f.get_floats(Field::REPORT)?;
                 // An answer that does not match its schema counts as an error: the attempt has run, so it is neither ok
@@ -707,7 +707,7 @@
                 let outcome = if mismatched { Outcome::Error } else { outcome };
                 if self.engine.driver().answered(now, conn, request) {
                     let body = f.body.clone();
-                    self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
+                    self.engine.request_ended(now, request, outcome, copy, rpcs_held, copies, report, body);
                 }
             }
             Kind::GO_AWAY => self.engine.driver().drain_conn(conn),
