--- a/crates/curlewpoint-cli/src/commands/soak.rs
+++ b/crates/curlewpoint-cli/src/commands/soak.rs
@@ -42,25 +42,25 @@
         plan.seed,
         plan.processes,
         plan.workers,
-        plan.crowd,
+        plan.idle_clients,
         if plan.system_calls.is_empty() { "no failing calls" } else { &plan.system_calls },
-        if verdict.breaks.is_empty() { "rules kept" } else { "BROKEN" },
+        if verdict.violations.is_empty() { "rules kept" } else { "BROKEN" },
     );
-    let chances: Vec<String> = verdict.chances.iter().map(|(rule, n)| format!("{rule:?} {n}")).collect();
+    let chances: Vec<String> = verdict.checks.iter().map(|(rule, n)| format!("{rule:?} {n}")).collect();
     println!("  judged: {}", chances.join(", "));
-    for fault in &report.faults_of_the_rig {
+    for fault in &report.harness_errors {
         println!("  not counted: {fault}");
     }
-    if verdict.breaks.is_empty() {
+    if verdict.violations.is_empty() {
         return;
     }
     let mut by_rule = BTreeMap::<Rule, usize>::new();
-    verdict.breaks.iter().for_each(|one| *by_rule.entry(one.rule).or_default() += 1);
-    println!("  {} breaks, {by_rule:?}; logs in {}", verdict.breaks.len(), report.folder.display());
-    for one in verdict.breaks.iter().take(MOST_PRINTED) {
-        println!("  {:?}: {}", one.rule, one.way);
+    verdict.violations.iter().for_each(|one| *by_rule.entry(one.rule).or_default() += 1);
+    println!("  {} violations, {by_rule:?}; logs in {}", verdict.violations.len(), report.folder.display());
+    for one in verdict.violations.iter().take(MOST_PRINTED) {
+        println!("  {:?}: {}", one.rule, one.history);
     }
-    let (seed, seconds) = (plan.seed, plan.length.as_secs());
+    let (seed, seconds) = (plan.seed, plan.duration.as_secs());
     println!(
         "  again: curlewpoint fleet soak --seed {seed} --seconds {seconds} --processes N --faults LIBRARY"
     );
@@ -83,14 +83,14 @@
             let program = Program { node, faults: self.faults.clone() };
             let (mut broken, mut uncounted) = (0, 0);
             for seed in self.seed..self.seed + self.seeds {
-                let plan = Plan::draw(seed, Duration::from_secs(self.seconds), self.processes);
+                let plan = Plan::generate(seed, Duration::from_secs(self.seconds), self.processes);
                 let report = match run(&plan, &program, &base.join(format!("seed-{seed}"))).await {
                     Ok(report) => report,
                     Err(why) => return fail(FAILED, &format!("seed {seed} was not run: {why}")),
                 };
                 print(&plan, &report);
-                let counts = report.faults_of_the_rig.is_empty();
-                broken += u64::from(counts && !report.verdict.breaks.is_empty());
+                let counts = report.harness_errors.is_empty();
+                broken += u64::from(counts && !report.verdict.violations.is_empty());
                 uncounted += u64::from(!counts);
             }
             println!("{} seeds, {broken} broke a rule, {uncounted} do not count", self.seeds);
--- a/crates/curlewpoint-soak/src/client.rs
+++ b/crates/curlewpoint-soak/src/client.rs
@@ -17,7 +17,7 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::FramedRead;
 
-use crate::ledger::{Ledger, NodeLife, Request, RequestId, Word};
+use crate::ledger::{Answer, Ledger, ProcessRun, Request, RequestId};
 use crate::worker::is_body;
 
 /// What clients of one process share.
@@ -107,7 +107,7 @@
     }
 
     fn with(&self, id: RequestId, change: impl FnOnce(&mut Request)) {
-        if let Some(request) = self.ledger.books().requests.get_mut(&id) {
+        if let Some(request) = self.ledger.lock().requests.get_mut(&id) {
             change(request);
         }
     }
@@ -125,7 +125,7 @@
                 ended: None,
                 was_repeated,
             };
-            self.ledger.books().requests.insert(call.id, request);
+            self.ledger.lock().requests.insert(call.id, request);
         }
         sent
     }
@@ -192,25 +192,25 @@
     fn hears(&self, said: &[Bytes], open: &mut BTreeMap<u64, Open>) {
         let tag = said.first().and_then(|tag| std::str::from_utf8(tag).ok()?.parse::<u64>().ok());
         let word = match said.get(1).map_or(&b""[..], |w| &w[..]) {
-            w if w == GOOD.as_bytes() => Word::Good,
-            w if w == REFUSED.as_bytes() => Word::Refused,
-            _ => Word::Failed,
+            w if w == GOOD.as_bytes() => Answer::Good,
+            w if w == REFUSED.as_bytes() => Answer::Refused,
+            _ => Answer::Failed,
         };
         let Some(o) = tag.and_then(|tag| open.remove(&tag)) else {
-            return self.ledger.books().faults_of_the_rig.push(format!("an answer to nothing: {said:?}"));
+            return self.ledger.lock().harness_errors.push(format!("an answer to nothing: {said:?}"));
         };
-        if word == Word::Good && !said.get(3).is_some_and(|given| is_body(given, BODY)) {
-            self.ledger.books().faults_of_the_rig.push(format!("{:016x} was given another body", o.id));
+        if word == Answer::Good && !said.get(3).is_some_and(|given| is_body(given, BODY)) {
+            self.ledger.lock().harness_errors.push(format!("{:016x} was given another body", o.id));
         }
         self.with(o.id, |request| request.answers.push((Instant::now(), word)));
     }
 
     /// The process was told to end, or was killed, a moment ago: what ends then is no close of an idle connection.
     fn is_ending(&self, now: Instant) -> bool {
-        let books = self.ledger.books();
-        let lives = books.lives.iter().filter(|((node, _), _)| *node == self.node);
-        let ends = |life: &NodeLife| life.killed.max(life.ended.map(|(at, _)| at));
-        lives.filter_map(|(_, life)| ends(life)).any(|at| at + 2 * CROSSING >= now)
+        let state = self.ledger.lock();
+        let process_runs = state.process_runs.iter().filter(|((node, _), _)| *node == self.node);
+        let ends = |life: &ProcessRun| life.killed.max(life.ended.map(|(at, _)| at));
+        process_runs.filter_map(|(_, life)| ends(life)).any(|at| at + 2 * CROSSING >= now)
     }
 
     /// The other side has ended the connection.
@@ -219,7 +219,7 @@
         let waits: Vec<&Open> = open.values().filter(|o| !o.cancelled).collect();
         if let ([o], Some(call)) = (&waits[..], last) {
             if o.alone && call.id == o.id && now - o.written <= CROSSING && !self.is_ending(now) {
-                self.ledger.books().requests.remove(&call.id);
+                self.ledger.lock().requests.remove(&call.id);
                 return Some(call);
             }
         }
--- a/crates/curlewpoint-soak/src/directory.rs
+++ b/crates/curlewpoint-soak/src/directory.rs
@@ -12,7 +12,7 @@
 use serde_json::{json, Value};
 use tokio::net::UdpSocket;
 
-use crate::ledger::{Ledger, LifeId};
+use crate::ledger::{Ledger, RunId};
 use crate::plan::DirectoryFaults;
 
 /// One worker as the directory tells it.
@@ -85,7 +85,7 @@
     }
 
     /// Notes that a process was told this list: what drains in it, and what it does not name any more.
-    pub fn tells(&self, ledger: &Ledger, life: LifeId, list: &List) {
+    pub fn tells(&self, ledger: &Ledger, life: RunId, list: &List) {
         let ended: Vec<String> = self
             .state()
             .ended
@@ -93,9 +93,9 @@
             .filter(|(_, at)| **at <= list.version)
             .map(|(name, _)| name.clone())
             .collect();
-        let (mut books, now) = (ledger.books(), Instant::now());
+        let (mut state, now) = (ledger.lock(), Instant::now());
         for name in ended {
-            books.told.entry((life, name)).or_insert(now);
+            state.told.entry((life, name)).or_insert(now);
         }
     }
 }
@@ -136,7 +136,7 @@
 pub(crate) struct Server {
     pub board: Arc<Board>,
     pub ledger: Arc<Ledger>,
-    pub life: LifeId,
+    pub life: RunId,
     pub addresses: Vec<SocketAddr>,
     pub faults: DirectoryFaults,
     pub rng: Rand64,
--- a/crates/curlewpoint-soak/src/judge.rs
+++ b/crates/curlewpoint-soak/src/judge.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::ledger::{Arrival, Books, LifeId, Request, RequestId, Word};
-use crate::plan::Terms;
+use crate::ledger::{Answer, Arrival, LedgerState, Request, RequestId, RunId};
+use crate::plan::Limits;
 
 /// What the machine may add to a moment that is judged: the stand-ins' own lateness.
 const SLACK: Duration = Duration::from_millis(50);
@@ -33,41 +33,41 @@
     Crash,
 }
 
-/// One break, with all that is known of its way.
+/// A violation with the history of the request.
 #[derive(Clone, Debug)]
-pub struct Break {
+pub struct Violation {
     pub rule: Rule,
     pub at: Instant,
-    pub way: String,
+    pub history: String,
 }
 
 /// How often each rule could have been broken.
-pub type Chances = BTreeMap<Rule, usize>;
+pub type CheckCounts = BTreeMap<Rule, usize>;
 
 #[derive(Debug, Default)]
 pub struct Verdict {
-    pub breaks: Vec<Break>,
-    pub chances: Chances,
+    pub violations: Vec<Violation>,
+    pub checks: CheckCounts,
 }
 
 struct Judge<'a> {
-    books: &'a Books,
-    terms: Terms,
+    state: &'a LedgerState,
+    terms: Limits,
     begun: Instant,
     by_request: BTreeMap<RequestId, Vec<&'a Arrival>>,
     verdict: Verdict,
 }
 
 /// Judges a run that began at this moment.
-pub fn judge(books: &Books, terms: Terms, begun: Instant) -> Verdict {
+pub fn judge(state: &LedgerState, terms: Limits, begun: Instant) -> Verdict {
     let mut by_request: BTreeMap<RequestId, Vec<&Arrival>> = BTreeMap::new();
-    for arrival in &books.arrivals {
+    for arrival in &state.arrivals {
         if let Some(id) = arrival.request {
             by_request.entry(id).or_default().push(arrival);
         }
     }
-    let mut judge = Judge { books, terms, begun, by_request, verdict: Verdict::default() };
-    for (id, request) in &books.requests {
+    let mut judge = Judge { state, terms, begun, by_request, verdict: Verdict::default() };
+    for (id, request) in &state.requests {
         judge.answers(*id, request);
         judge.effects(*id, request);
         judge.going(*id, request);
@@ -75,28 +75,28 @@
     }
     judge.drains();
     judge.orders();
-    judge.lives();
-    judge.verdict.breaks.sort_by_key(|b| b.at);
+    judge.process_runs();
+    judge.verdict.violations.sort_by_key(|b| b.at);
     judge.verdict
 }
 
 impl Judge<'_> {
     fn chance(&mut self, rule: Rule) {
-        *self.verdict.chances.entry(rule).or_default() += 1;
+        *self.verdict.checks.entry(rule).or_default() += 1;
     }
 
-    fn broken(&mut self, rule: Rule, at: Instant, way: String) {
-        self.verdict.breaks.push(Break { rule, at, way });
+    fn broken(&mut self, rule: Rule, at: Instant, history: String) {
+        self.verdict.violations.push(Violation { rule, at, history });
     }
 
     fn seconds(&self, at: Instant) -> f64 {
         at.saturating_duration_since(self.begun).as_secs_f64()
     }
 
-    /// A request's whole way, in one line.
-    fn way(&self, id: RequestId, request: &Request) -> String {
+    /// Formats the history of a request in one line.
+    fn history(&self, id: RequestId, request: &Request) -> String {
         let after = |at: Instant| at.saturating_duration_since(request.written).as_secs_f64();
-        let mut way = format!(
+        let mut history = format!(
             "{:.3} n{} id {id:016x} {} waits {:.3}",
             self.seconds(request.written),
             request.node,
@@ -104,21 +104,21 @@
             request.timeout.as_secs_f64()
         );
         for (at, word) in &request.answers {
-            way += &format!("; {word:?} +{:.3}", after(*at));
+            history += &format!("; {word:?} +{:.3}", after(*at));
         }
         for (what, at) in [("gone", request.gone), ("connection ended", request.ended)] {
-            way += &at.map_or(String::new(), |at| format!("; {what} +{:.3}", after(at)));
+            history += &at.map_or(String::new(), |at| format!("; {what} +{:.3}", after(at)));
         }
         for a in self.by_request.get(&id).into_iter().flatten() {
             let (first, whole, answer) = (after(a.first_byte), after(a.whole), a.answer.unwrap_or("-"));
-            way += &format!(" | {} +{first:.3} whole +{whole:.3} {answer}", a.worker);
+            history += &format!(" | {} +{first:.3} whole +{whole:.3} {answer}", a.worker);
         }
-        way
+        history
     }
 
     /// A kill without a warning at the time in question excuses what was open.
     fn was_crashed_at(&self, node: usize, at: Instant) -> bool {
-        self.books.lives.iter().any(|((n, _), life)| {
+        self.state.process_runs.iter().any(|((n, _), life)| {
             let killed = life.killed.filter(|_| life.terminated.is_none());
             *n == node
                 && killed.is_some_and(|k| k <= at + SLACK && life.started <= at)
@@ -128,7 +128,7 @@
 
     /// Written so late that the kill after a stop left no time to answer.
     fn met_the_kill(&self, request: &Request) -> bool {
-        self.books.lives.iter().any(|((n, _), life)| {
+        self.state.process_runs.iter().any(|((n, _), life)| {
             let killed = life.killed.filter(|_| life.terminated.is_some());
             *n == request.node
                 && killed.is_some_and(|k| request.written + SLACK >= k && request.written <= k + SLACK)
@@ -143,7 +143,7 @@
             self.broken(
                 Rule::Lost,
                 request.answers[1].0,
-                format!("a second answer: {}", self.way(id, request)),
+                format!("a second answer: {}", self.history(id, request)),
             );
         }
         if request.gone.is_some_and(|gone| gone <= due && first.is_none_or(|(at, _)| gone <= *at)) {
@@ -151,16 +151,20 @@
         }
         match first {
             Some((at, _)) if *at > due => {
-                self.broken(Rule::Lost, *at, format!("answered too late: {}", self.way(id, request)));
+                self.broken(Rule::Lost, *at, format!("answered too late: {}", self.history(id, request)));
             }
-            Some((_, Word::Good)) if !self.was_made(id) => {
-                self.broken(Rule::Lost, due, format!("no worker made the answer: {}", self.way(id, request)));
+            Some((_, Answer::Good)) if !self.was_made(id) => {
+                self.broken(
+                    Rule::Lost,
+                    due,
+                    format!("no worker made the answer: {}", self.history(id, request)),
+                );
             }
             Some(_) => {}
             None => {
                 let end = request.ended.unwrap_or(due);
                 if !self.was_crashed_at(request.node, end) && !self.met_the_kill(request) {
-                    self.broken(Rule::Lost, end, format!("no answer: {}", self.way(id, request)));
+                    self.broken(Rule::Lost, end, format!("no answer: {}", self.history(id, request)));
                 }
             }
         }
@@ -182,15 +186,15 @@
             self.broken(
                 Rule::Twice,
                 last.unwrap_or(request.written),
-                format!("sent again: {}", self.way(id, request)),
+                format!("sent again: {}", self.history(id, request)),
             );
         }
-        if let Some((at, Word::Refused)) = request.answers.first() {
+        if let Some((at, Answer::Refused)) = request.answers.first() {
             if ran > 0 {
                 self.broken(
                     Rule::Twice,
                     *at,
-                    format!("refused though it may have run: {}", self.way(id, request)),
+                    format!("refused though it may have run: {}", self.history(id, request)),
                 );
             }
         }
@@ -204,7 +208,7 @@
             self.broken(
                 Rule::AfterGoing,
                 a.whole,
-                format!("after its client had gone or was answered: {}", self.way(id, request)),
+                format!("after its client had gone or was answered: {}", self.history(id, request)),
             );
         }
     }
@@ -215,16 +219,16 @@
             self.chance(Rule::Budget);
             let left = (request.written + request.timeout).saturating_duration_since(a.whole);
             if a.budget > left + BUDGET_SLACK + SLACK {
-                let why = format!("{:?} are told and {left:?} left: {}", a.budget, self.way(id, request));
+                let why = format!("{:?} are told and {left:?} left: {}", a.budget, self.history(id, request));
                 self.broken(Rule::Budget, a.whole, why);
             }
         }
     }
 
     fn drains(&mut self) {
-        let books = self.books;
-        for a in &books.arrivals {
-            let Some(told) = books.told.get(&(a.life, a.worker.clone())) else { continue };
+        let state = self.state;
+        for a in &state.arrivals {
+            let Some(told) = state.told.get(&(a.life, a.worker.clone())) else { continue };
             self.chance(Rule::Drain);
             // An attempt counts from its first byte, an order once it has come whole.
             let at = if a.request.is_some() { a.first_byte } else { a.whole };
@@ -241,9 +245,9 @@
     }
 
     fn orders(&mut self) {
-        let books = self.books;
-        let mut by_life: BTreeMap<LifeId, Vec<Instant>> = BTreeMap::new();
-        for a in books.arrivals.iter().filter(|a| a.request.is_none()) {
+        let state = self.state;
+        let mut by_life: BTreeMap<RunId, Vec<Instant>> = BTreeMap::new();
+        for a in state.arrivals.iter().filter(|a| a.request.is_none()) {
             by_life.entry(a.life).or_default().push(a.whole);
         }
         for (life, mut orders) in by_life {
@@ -252,7 +256,7 @@
                 self.chance(Rule::Orders);
                 let from = *at - self.terms.order_window.min(at.saturating_duration_since(self.begun));
                 let within = orders[..=no].iter().filter(|o| **o > from).count() as f64;
-                let asked = books.requests.values();
+                let asked = state.requests.values();
                 let asked =
                     asked.filter(|r| r.node == life.0 && r.written > from && r.written <= *at).count() as f64;
                 let most = (self.terms.order_floor + self.terms.order_share * asked) * 1.15 + 1.0;
@@ -267,9 +271,9 @@
         }
     }
 
-    fn lives(&mut self) {
-        let books = self.books;
-        for ((node, no), life) in &books.lives {
+    fn process_runs(&mut self) {
+        let state = self.state;
+        for ((node, no), life) in &state.process_runs {
             self.chance(Rule::Crash);
             let Some((at, code)) = life.ended else { continue };
             let asked = life.terminated.is_some() || life.killed.is_some();
--- a/crates/curlewpoint-soak/src/ledger.rs
+++ b/crates/curlewpoint-soak/src/ledger.rs
@@ -8,11 +8,11 @@
 pub type RequestId = u64;
 
 /// One start of one process: the process, and which start of it.
-pub type LifeId = (usize, usize);
+pub type RunId = (usize, usize);
 
 /// The word of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Answer {
     Good,
     Refused,
     Failed,
@@ -27,7 +27,7 @@
     pub written: Instant,
     /// Its client cancelled it or closed its connection.
     pub gone: Option<Instant>,
-    pub answers: Vec<(Instant, Word)>,
+    pub answers: Vec<(Instant, Answer)>,
     /// Its connection ended from the other side.
     pub ended: Option<Instant>,
     /// What passed before, where it was written again on a new connection.
@@ -37,7 +37,7 @@
 /// What came whole to a worker.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    pub life: LifeId,
+    pub life: RunId,
     /// The worker's name, a new one at each start.
     pub worker: String,
     /// None: an order to load.
@@ -51,7 +51,7 @@
 
 /// One start of a process.
 #[derive(Clone, Debug)]
-pub struct NodeLife {
+pub struct ProcessRun {
     pub started: Instant,
     pub terminated: Option<Instant>,
     pub killed: Option<Instant>,
@@ -60,22 +60,22 @@
 }
 
 #[derive(Default)]
-pub struct Books {
+pub struct LedgerState {
     pub requests: BTreeMap<RequestId, Request>,
     pub arrivals: Vec<Arrival>,
-    pub lives: BTreeMap<LifeId, NodeLife>,
+    pub process_runs: BTreeMap<RunId, ProcessRun>,
     /// When a life was told that a worker drains or is gone.
-    pub told: BTreeMap<(LifeId, String), Instant>,
+    pub told: BTreeMap<(RunId, String), Instant>,
     /// What the rig itself could not do.
-    pub faults_of_the_rig: Vec<String>,
+    pub harness_errors: Vec<String>,
 }
 
-/// The books of one run.
+/// The state of one run.
 #[derive(Default)]
-pub struct Ledger(Mutex<Books>);
+pub struct Ledger(Mutex<LedgerState>);
 
 impl Ledger {
-    pub fn books(&self) -> MutexGuard<'_, Books> {
+    pub fn lock(&self) -> MutexGuard<'_, LedgerState> {
         self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 }
--- a/crates/curlewpoint-soak/src/lib.rs
+++ b/crates/curlewpoint-soak/src/lib.rs
@@ -14,8 +14,8 @@
 mod run;
 mod worker;
 
-pub use judge::{judge, Break, Chances, Rule, Verdict};
-pub use ledger::{Arrival, Ledger, NodeLife, Request, RequestId, Word};
-pub use plan::{Plan, Terms};
+pub use judge::{judge, CheckCounts, Rule, Verdict, Violation};
+pub use ledger::{Answer, Arrival, Ledger, ProcessRun, Request, RequestId};
+pub use plan::{Limits, Plan};
 pub use process::Program;
 pub use run::{run, Report};
--- a/crates/curlewpoint-soak/src/plan.rs
+++ b/crates/curlewpoint-soak/src/plan.rs
@@ -6,7 +6,7 @@
 
 /// The limits that the platform's pages set and the judge holds processes to.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct Limits {
     pub drain_grace: Duration,
     /// The longest time that a client waits.
     pub longest_deadline: Duration,
@@ -18,7 +18,7 @@
     pub order_window: Duration,
 }
 
-pub const TERMS: Terms = Terms {
+pub const LIMITS: Limits = Limits {
     drain_grace: Duration::from_millis(500),
     longest_deadline: Duration::from_millis(2_000),
     kill_after: Duration::from_millis(700),
@@ -52,12 +52,12 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
-    pub length: Duration,
+    pub duration: Duration,
     pub processes: usize,
     pub workers: usize,
     pub clients: usize,
     /// Connections that say nothing, or ask once and stay.
-    pub crowd: usize,
+    pub idle_clients: usize,
     /// What workers do without a copy: answer a miss and wait for an order, or load.
     pub misses: bool,
     /// The script for the preloaded library; empty: none is loaded.
@@ -80,12 +80,12 @@
 
 impl Plan {
     /// What this seed draws, for so long and so many processes at most.
-    pub fn draw(seed: u64, length: Duration, most_processes: usize) -> Plan {
+    pub fn generate(seed: u64, duration: Duration, max_processes: usize) -> Plan {
         let mut rng = Rand64::new(u128::from(seed) << 8 | 0x50a4);
         let mut below = |n: usize| rng.rand_range(0..n as u64) as usize;
-        let processes = 1 + below(most_processes.max(1));
+        let processes = 1 + below(max_processes.max(1));
         let (workers, clients) = (3 + below(4), 2 + below(4));
-        let crowd = if below(4) == 0 { 150 } else { 0 };
+        let idle_clients = if below(4) == 0 { 150 } else { 0 };
         let misses = below(2) == 0;
         let mix = SYSTEM_CALLS[below(SYSTEM_CALLS.len())];
         let pause = Duration::from_millis(300 + below(1_200) as u64);
@@ -107,11 +107,11 @@
         let system_calls = if mix.is_empty() { String::new() } else { format!("seed {seed}; {mix}") };
         Plan {
             seed,
-            length,
+            duration,
             processes,
             workers,
             clients,
-            crowd,
+            idle_clients,
             misses,
             system_calls,
             directory,
--- a/crates/curlewpoint-soak/src/run.rs
+++ b/crates/curlewpoint-soak/src/run.rs
@@ -18,8 +18,8 @@
 use crate::directory::{wall_ms, Board, Row, Server};
 use crate::judge::{judge, Verdict};
 use crate::lateness::{Lateness, MOST_LATE};
-use crate::ledger::{Ledger, LifeId, NodeLife};
-use crate::plan::{Plan, TERMS};
+use crate::ledger::{Ledger, ProcessRun, RunId};
+use crate::plan::{Plan, LIMITS};
 use crate::process::{Process, Program};
 use crate::worker::{Condition, Worker};
 
@@ -31,7 +31,7 @@
     pub served: usize,
     pub starts: usize,
     /// Why this run does not count; empty: it does.
-    pub faults_of_the_rig: Vec<String>,
+    pub harness_errors: Vec<String>,
     pub folder: PathBuf,
 }
 
@@ -67,25 +67,25 @@
     workers: Vec<Arc<Worker>>,
     /// Of each process, its address of each worker.
     addresses: Vec<Vec<SocketAddr>>,
-    lives: Arc<Mutex<BTreeMap<usize, usize>>>,
+    process_runs: Arc<Mutex<BTreeMap<usize, usize>>>,
     nodes: Vec<Node>,
     rng: Rand64,
     names: usize,
 }
 
 fn settings(plan: &Plan) -> Value {
-    let longest = TERMS.longest_deadline.as_millis() as u64;
+    let longest = LIMITS.longest_deadline.as_millis() as u64;
     let method = |name: &str, effect: &str| json!({"name": name, "effect": effect, "group": "all", "aim": 500.0, "giveUp": longest, "gain": 1.0});
     json!({
         "instances": plan.processes, "tenants": [],
         "requestClasses": [method("read", "read_like"), method("issue", "once")],
         "limits": {"maxAttempts": 5, "mayCancel": true, "secondCopies": true, "probes": true},
         "loadInfo": {"how": "pull", "names": ["outstanding", "utilization"]},
-        "contract": {"answerSlack": 16.0, "drainGrace": TERMS.drain_grace.as_millis() as u64, "warmWithin": 1500.0, "fall": 500.0,
+        "contract": {"answerSlack": 16.0, "drainGrace": LIMITS.drain_grace.as_millis() as u64, "warmWithin": 1500.0, "fall": 500.0,
             "fallMultiple": 2.0, "startCapacity": 0.3},
         "familyInfo": {"keepAlive": 8000.0, "whenAbsent": if plan.misses { "miss" } else { "load" }, "mayOrder": true,
-            "loadFloor": TERMS.order_floor, "loadShare": TERMS.order_share,
-            "loadsWithin": TERMS.order_window.as_millis() as u64, "orderLimit": 4000.0},
+            "loadFloor": LIMITS.order_floor, "loadShare": LIMITS.order_share,
+            "loadsWithin": LIMITS.order_window.as_millis() as u64, "orderLimit": 4000.0},
     })
 }
 
@@ -99,12 +99,12 @@
         format!("s-{:08x}", self.names)
     }
 
-    fn life(&self, no: usize) -> LifeId {
+    fn life(&self, no: usize) -> RunId {
         (no, self.nodes[no].starts)
     }
 
-    fn with_life(&self, no: usize, change: impl FnOnce(&mut NodeLife)) {
-        if let Some(life) = self.ledger.books().lives.get_mut(&self.life(no)) {
+    fn with_life(&self, no: usize, change: impl FnOnce(&mut ProcessRun)) {
+        if let Some(life) = self.ledger.lock().process_runs.get_mut(&self.life(no)) {
             change(life);
         }
     }
@@ -132,15 +132,15 @@
         let resolver = self.new_directory(no).await?;
         let (list, seed) = (self.board.list(), self.rng.rand_u64());
         let life = self.life(no);
-        self.lives.lock().unwrap_or_else(PoisonError::into_inner).insert(no, life.1);
+        self.process_runs.lock().unwrap_or_else(PoisonError::into_inner).insert(no, life.1);
         let addresses = &self.addresses[no];
         let node = &mut self.nodes[no];
         node.told["known"] = list.as_known(addresses);
         node.told["resolver"] = json!(resolver.to_string());
         node.told["seed"] = json!(format!("{seed:x}"));
         std::fs::write(&node.file, node.told.to_string())?;
-        let started = NodeLife { started: Instant::now(), terminated: None, killed: None, ended: None };
-        self.ledger.books().lives.insert(life, started);
+        let started = ProcessRun { started: Instant::now(), terminated: None, killed: None, ended: None };
+        self.ledger.lock().process_runs.insert(life, started);
         self.board.tells(&self.ledger, life, &list);
         let started = self.program.start(&node.file, &node.log, &self.plan.system_calls).await;
         let (process, address) = started?;
@@ -170,7 +170,7 @@
             self.signal(no, Signal::HUP);
             self.signal(no, Signal::TERM);
         }
-        let until_killed = TERMS.longest_deadline + TERMS.kill_after;
+        let until_killed = LIMITS.longest_deadline + LIMITS.kill_after;
         let ended = match &mut self.nodes[no].process {
             Some(process) => process.ends(until_killed).await,
             None => None,
@@ -283,10 +283,10 @@
 /// Plays a plan with this program; logs and what processes were told are kept in the folder.
 pub async fn run(plan: &Plan, program: &Program, folder: &Path) -> std::io::Result<Report> {
     std::fs::create_dir_all(folder)?;
-    let (ledger, board, lives) = (Arc::<Ledger>::default(), Arc::<Board>::default(), Arc::default());
+    let (ledger, board, process_runs) = (Arc::<Ledger>::default(), Arc::<Board>::default(), Arc::default());
     let new_worker = |no: usize| {
         let name = format!("s-first{no:03}");
-        Arc::new(Worker::new(&name, Arc::clone(&ledger), Arc::clone(&lives), plan.worker, plan.misses))
+        Arc::new(Worker::new(&name, Arc::clone(&ledger), Arc::clone(&process_runs), plan.worker, plan.misses))
     };
     let workers: Vec<Arc<Worker>> = (0..plan.workers).map(new_worker).collect();
     board.change(|rows| {
@@ -306,7 +306,7 @@
         board,
         workers,
         addresses,
-        lives,
+        process_runs,
         nodes,
         rng,
         names: 0,
@@ -346,11 +346,11 @@
             let seed = u128::from(run.rng.rand_u64());
             clients.spawn(of.clone().client(Rand64::new(seed)));
         }
-        for one in 0..plan.crowd {
+        for one in 0..plan.idle_clients {
             tokio::spawn(of.clone().one_of_a_crowd(one % 2 == 0));
         }
     }
-    while begun.elapsed() < plan.length {
+    while begun.elapsed() < plan.duration {
         let pause = Duration::from_millis(run.below(2 * plan.pause.as_millis() as u64));
         sleep(pause).await;
         run.event().await?;
@@ -367,17 +367,17 @@
     }
     let late = lateness.ends();
     if late > MOST_LATE {
-        ledger.books().faults_of_the_rig.push(format!("the rig was late by up to {late:?}"));
+        ledger.lock().harness_errors.push(format!("the rig was late by up to {late:?}"));
     }
-    let books = ledger.books();
+    let state = ledger.lock();
     let served =
-        books.requests.values().filter(|r| r.answers.iter().any(|(_, w)| *w == crate::Word::Good)).count();
+        state.requests.values().filter(|r| r.answers.iter().any(|(_, w)| *w == crate::Answer::Good)).count();
     Ok(Report {
-        verdict: judge(&books, TERMS, begun),
-        requests: books.requests.len(),
+        verdict: judge(&state, LIMITS, begun),
+        requests: state.requests.len(),
         served,
-        starts: books.lives.len(),
-        faults_of_the_rig: books.faults_of_the_rig.clone(),
+        starts: state.process_runs.len(),
+        harness_errors: state.harness_errors.clone(),
         folder: folder.to_owned(),
     })
 }
--- a/crates/curlewpoint-soak/src/worker.rs
+++ b/crates/curlewpoint-soak/src/worker.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-use crate::ledger::{Arrival, Ledger, LifeId};
+use crate::ledger::{Arrival, Ledger, RunId};
 use crate::plan::WorkerFaults;
 
 /// How a worker is.
@@ -33,7 +33,7 @@
     copies: Mutex<BTreeSet<String>>,
     ledger: Arc<Ledger>,
     /// The start of each process that runs now.
-    lives: Arc<Mutex<BTreeMap<usize, usize>>>,
+    process_runs: Arc<Mutex<BTreeMap<usize, usize>>>,
     faults: WorkerFaults,
     misses: bool,
 }
@@ -47,11 +47,11 @@
 
 impl Worker {
     pub fn new(
-        name: &str, ledger: Arc<Ledger>, lives: Arc<Mutex<BTreeMap<usize, usize>>>, faults: WorkerFaults,
-        misses: bool,
+        name: &str, ledger: Arc<Ledger>, process_runs: Arc<Mutex<BTreeMap<usize, usize>>>,
+        faults: WorkerFaults, misses: bool,
     ) -> Worker {
         let (condition, name) = (watch::channel(Condition::Well).0, Mutex::new(name.to_owned()));
-        Worker { condition, name, copies: Mutex::default(), ledger, lives, faults, misses }
+        Worker { condition, name, copies: Mutex::default(), ledger, process_runs, faults, misses }
     }
 
     /// It starts anew, under another name and without copies.
@@ -68,7 +68,7 @@
             connections += 1;
             let conversation = Conversation {
                 name: locked(&self.name).clone(),
-                life: (node, locked(&self.lives).get(&node).copied().unwrap_or_default()),
+                life: (node, locked(&self.process_runs).get(&node).copied().unwrap_or_default()),
                 worker: Arc::clone(&self),
                 rng: Rand64::new(seed << 32 | connections),
                 withdrawn: Arc::default(),
@@ -80,7 +80,7 @@
 
 struct Conversation {
     name: String,
-    life: LifeId,
+    life: RunId,
     worker: Arc<Worker>,
     rng: Rand64,
     withdrawn: Arc<Mutex<BTreeSet<String>>>,
@@ -150,7 +150,7 @@
     fn hears(&mut self, line: &[u8], first_byte: Instant, say: &mpsc::UnboundedSender<Line>) {
         let Ok(row) = serde_json::from_slice::<Value>(line) else {
             let text = String::from_utf8_lossy(line).into_owned();
-            self.worker.ledger.books().faults_of_the_rig.push(format!("a line that cannot be read: {text}"));
+            self.worker.ledger.lock().harness_errors.push(format!("a line that cannot be read: {text}"));
             return;
         };
         let now_line = |text| Line { text, in_pieces: false, resets: false };
@@ -170,9 +170,9 @@
 
     fn arrives(&self, request: Option<u64>, first_byte: Instant, budget: Duration) -> usize {
         let (life, worker, whole) = (self.life, self.name.clone(), Instant::now());
-        let mut books = self.worker.ledger.books();
-        books.arrivals.push(Arrival { life, worker, request, first_byte, whole, budget, answer: None });
-        books.arrivals.len() - 1
+        let mut state = self.worker.ledger.lock();
+        state.arrivals.push(Arrival { life, worker, request, first_byte, whole, budget, answer: None });
+        state.arrivals.len() - 1
     }
 
     fn invoked(&mut self, row: &Value, first_byte: Instant, say: &mpsc::UnboundedSender<Line>) {
@@ -213,7 +213,7 @@
                 return;
             }
             if !resets {
-                ledger.books().arrivals[arrival].answer = Some(word);
+                ledger.lock().arrivals[arrival].answer = Some(word);
             }
             let _ = say.send(Line { text, in_pieces, resets });
         });
