--- a/crates/curlewpoint-gateway/src/run.rs
+++ b/crates/curlewpoint-gateway/src/run.rs
@@ -5,10 +5,10 @@
 
 use curlewpoint::types::{CopyReport, Outcome, Time};
 use curlewpoint_amqp::Login;
-use curlewpoint_catalogue::{Release, Releases, Standing};
+use curlewpoint_catalogue::{MethodStatus, Release, Releases};
 use curlewpoint_config::Config;
 use curlewpoint_engine::{ClientId, ConnId, Engine, EngineCounters, Pool, PoolLimits, Refusal, RequestId};
-use curlewpoint_journal::{Journal, JournalError, Limits as JournalLimits};
+use curlewpoint_journal::{Journal, JournalError, JournalLimits};
 use curlewpoint_link::{Clock, EventQueue, LinkLimits};
 use curlewpoint_wire::{Field, Frame, Kind, WireError};
 use thiserror::Error;
@@ -116,7 +116,7 @@
         vhost: text("vhost"),
         heartbeat: ms("heartbeat"),
         frame_max: 128 << 10,
-        most_body: config.number("connections", "most-frame") as u64,
+        max_body: config.number("connections", "most-frame") as u64,
     };
     Ok(Some(amqp::Settings {
         address: address.to_owned(),
@@ -219,8 +219,8 @@
         let path = config.value("amqp", "journal").ok_or(StartError::MissingJournal)?;
         let max_bytes = config.number("amqp", "journal-most") as u64;
         let limits = JournalLimits {
-            delay: config.duration("amqp", "journal-delay"),
-            most: max_bytes,
+            commit_delay: config.duration("amqp", "journal-delay"),
+            max_bytes,
             ..Default::default()
         };
         let mut recovered = amqp::RecoveredRecords::default();
@@ -239,8 +239,8 @@
     // In a fleet only a few instances watch the list. Without peers every instance does.
     let is_standalone = config.value("fleet", "listen").is_none();
     let (wanted_list_connection_tx, wanted_list_connection) = watch::channel(is_standalone.then_some(0));
-    // Events of peers use the request channel. The priority channel is emptied first, so a flood of member records on it
-    // would delay RPCs.
+    // Events of peers use the request channel. The priority channel is emptied first, so a flood of member records on
+    // it would delay RPCs.
     let membership = FleetMembership::start(
         config,
         clock.now(),
@@ -379,8 +379,8 @@
         if let Some(membership) = self.membership.take() {
             membership.leave(self.clock.now(), &mut self.engine);
         }
-        // Everything that has arrived is read, refused and answered. Then each connection is shut down, read to its end and
-        // closed.
+        // Everything that has arrived is read, refused and answered. Then each connection is shut down, read to its end
+        // and closed.
         self.closing.cancel();
         tasks.close();
         let (all_tasks, timeout) = (tasks.wait(), tokio::time::sleep(FINAL_WRITE_TIMEOUT));
@@ -399,8 +399,9 @@
         f
     }
 
-    /// Whether a stop is complete: no RPC is open, and no client can have sent a frame that has not been read. Each client
-    /// has announced that it sends nothing more, has disconnected, or has let the time for the announcement pass.
+    /// Whether a stop is complete: no RPC is open, and no client can have sent a frame that has not been read. Each
+    /// client has announced that it sends nothing more, has disconnected, or has let the time for the announcement
+    /// pass.
     fn is_over(&mut self) -> bool {
         let Some(shutdown) = &self.shutdown else { return false };
         let (now, go_away_deadline, deadline) =
@@ -551,8 +552,8 @@
         }
     }
 
-    /// Whether a client's frame is still to be processed. Frames of a client that has disconnected are ignored, and an RPC
-    /// that has been cancelled in the meantime is refused.
+    /// Whether a client's frame is still to be processed. Frames of a client that has disconnected are ignored, and an
+    /// RPC that has been cancelled in the meantime is refused.
     fn should_process(&mut self, id: ClientId, frame: &Frame) -> bool {
         let tag = frame.get_int(Field::TAG).ok().filter(|_| frame.kind == Kind::RPC);
         match (self.engine.driver().clients.get_mut(&id).map(|client| client.process(tag)), tag) {
@@ -624,8 +625,8 @@
 
     /// Distinguishes a method that was withdrawn recently from one that is unknown.
     fn refine_refusal(&mut self, now: Time, method: &str, refusal: Refusal) -> Refusal {
-        match (refusal, self.engine.driver().releases.standing(now, method)) {
-            (Refusal::NoSuchMethod, Standing::Withdrawn { .. }) => Refusal::Withdrawn,
+        match (refusal, self.engine.driver().releases.method_status(now, method)) {
+            (Refusal::NoSuchMethod, MethodStatus::Withdrawn { .. }) => Refusal::Withdrawn,
             _ => refusal,
         }
     }
@@ -634,13 +635,13 @@
     fn reload(
         &mut self, now: Time, prepared: Arc<PreparedMethods>, method_settings: Vec<serde_json::Value>,
     ) -> Result<Release, ReloadError> {
-        self.engine.driver().releases.has_room().map_err(|e| ReloadError::TooManyReleases(e.0))?;
+        self.engine.driver().releases.check_capacity().map_err(|e| ReloadError::TooManyReleases(e.0))?;
         self.engine.set_methods(method_settings).map_err(|_| ReloadError::TooManyMethodSettings)?;
         let releases = &mut self.engine.driver().releases;
         let release = releases
             .reload(now, Arc::clone(&prepared.catalogue))
             .map_err(|e| ReloadError::TooManyReleases(e.0))?;
-        let (held, withdrawn) = (releases.held(), releases.withdrawn().clone());
+        let (held, withdrawn) = (releases.held_count(), releases.withdrawn().clone());
         let (methods, name) = (prepared.catalogue.methods().count(), &prepared.catalogue.release);
         info!(release = release.0, of = name, methods, held, "other methods are in force");
         self.active_methods_tx.send_replace(Arc::new(ActiveMethods { release, prepared, withdrawn }));
@@ -695,18 +696,18 @@
                 let request = RequestId(f.get_int(Field::TAG)?);
                 let outcome = if f.kind == Kind::REPORT { Outcome::Ok } else { codes::outcome(f)? };
                 let copy = if f.kind == Kind::ANSWER { codes::copy(f)? } else { CopyReport::Unreported };
-                let held = f.maybe_int(Field::RPCS_HELD)?.unwrap_or(0);
+                let rpcs_held = f.maybe_int(Field::RPCS_HELD)?.unwrap_or(0);
                 let copies = f.maybe_int(Field::COPIES)?.unwrap_or(0);
                 let report = f.get_floats(Field::REPORT)?;
-                // An answer that does not match its schema counts as an error: the attempt has run, so it is neither ok nor
-                // denied.
+                // An answer that does not match its schema counts as an error: the attempt has run, so it is neither ok
+                // nor denied.
                 let mismatched = f.kind == Kind::ANSWER
                     && outcome == Outcome::Ok
                     && !self.answer_matches_schema(request, &f.body);
                 let outcome = if mismatched { Outcome::Error } else { outcome };
                 if self.engine.driver().answered(now, conn, request) {
                     let body = f.body.clone();
-                    self.engine.request_ended(now, request, outcome, copy, held, copies, report, body);
+                    self.engine.request_ended(now, request, outcome, copy, rpcs_held, copies, report, body);
                 }
             }
             Kind::GO_AWAY => self.engine.driver().drain_conn(conn),
--- a/crates/curlewpoint-lab/src/test_servers/broker.rs
+++ b/crates/curlewpoint-lab/src/test_servers/broker.rs
@@ -222,7 +222,7 @@
                     let _ = framed.get_mut().write_all(&bytes[..bytes.len() / 2]).await;
                     return;
                 }
-                Some(Outgoing::Agreed(frame_max, channel_max)) => framed.codec_mut().agreed(frame_max, channel_max),
+                Some(Outgoing::Agreed(frame_max, channel_max)) => framed.codec_mut().set_limits(frame_max, channel_max),
                 None => return,
             },
         }
--- a/crates/curlewpoint-lab/src/trigger.rs
+++ b/crates/curlewpoint-lab/src/trigger.rs
@@ -6,7 +6,7 @@
 use amq_protocol::types::{AMQPValue, FieldTable};
 use bytes::Bytes;
 use curlewpoint::types::Time;
-use curlewpoint_amqp::{Codec, Host, Login, Session};
+use curlewpoint_amqp::{Codec, Login, Session, SessionDriver};
 use futures_util::SinkExt;
 use tokio::net::TcpStream;
 use tokio_stream::StreamExt;
@@ -42,11 +42,11 @@
     closed: Option<String>,
 }
 
-impl Host for SessionEvents {
+impl SessionDriver for SessionEvents {
     fn send(&mut self, frame: AMQPFrame) {
         self.out.push_back(frame);
     }
-    fn agreed(&mut self, frame_max: u32, channel_max: u16) {
+    fn negotiated(&mut self, frame_max: u32, channel_max: u16) {
         self.agreed = Some((frame_max, channel_max));
     }
     fn ready(&mut self) {
@@ -65,7 +65,7 @@
         self.closed = Some(format!("the broker ended the consumer of {queue}"));
     }
     fn blocked(&mut self, _: bool) {}
-    fn over(&mut self, reason: &str) {
+    fn closed(&mut self, reason: &str) {
         self.closed = Some(reason.to_owned());
     }
 }
@@ -91,7 +91,7 @@
         vhost: "/".to_owned(),
         heartbeat: Time(0),
         frame_max: 128 << 10,
-        most_body: 64 << 20,
+        max_body: 64 << 20,
     };
     let mut headers = FieldTable::default();
     headers.insert("model".into(), AMQPValue::LongString(request.model.as_str().into()));
@@ -105,17 +105,17 @@
         .with_delivery_mode(2)
         .with_headers(headers);
     let queue = format!("curlewpoint.{}", request.method);
-    let mut session = Session::begin(clock(), SessionEvents::default(), login);
+    let mut session = Session::start(clock(), SessionEvents::default(), login);
     let (mut sent, mut received) = (false, None);
     // The answer may take its way back after the last moment.
     let deadline = tokio::time::Instant::now()
         + Duration::from_micros(request.time_left.0 * 100)
         + Duration::from_secs(1);
     loop {
-        if session.host().ready {
-            session.hold(clock(), &request.reply_to, 64);
+        if session.driver().ready {
+            session.set_prefetch(clock(), &request.reply_to, 64);
             if !sent {
-                sent = session.exchange(
+                sent = session.publish_and_ack(
                     clock(),
                     &request.reply_to,
                     None,
@@ -126,23 +126,23 @@
                 );
             }
         }
-        for (tag, properties, body) in std::mem::take(&mut session.host().delivered) {
+        for (tag, properties, body) in std::mem::take(&mut session.driver().delivered) {
             // Others' answers stay unacknowledged, and go back at the end.
             if received.is_none()
                 && properties.correlation_id().as_ref().is_some_and(|c| c.as_str() == request.id)
             {
                 let (answer, reason) = (text_header(&properties, "answer"), text_header(&properties, "why"));
                 received = Some((tag, TriggerAnswer { answer, reason, body }));
-                session.acknowledge(clock(), &request.reply_to, tag);
+                session.ack(clock(), &request.reply_to, tag);
             }
         }
-        let done = received.as_ref().is_some_and(|(tag, _)| session.host().committed.contains(tag));
+        let done = received.as_ref().is_some_and(|(tag, _)| session.driver().committed.contains(tag));
         if done {
             session.close(clock());
         }
-        while let Some(frame) = session.host().out.pop_front() {
-            if let Some((frame_max, channel_max)) = session.host().agreed.take() {
-                framed.codec_mut().agreed(frame_max, channel_max);
+        while let Some(frame) = session.driver().out.pop_front() {
+            if let Some((frame_max, channel_max)) = session.driver().agreed.take() {
+                framed.codec_mut().set_limits(frame_max, channel_max);
             }
             framed.feed(frame).await.map_err(std::io::Error::other)?;
         }
@@ -150,12 +150,12 @@
         if done {
             return Ok(received.map(|(_, received)| received));
         }
-        if let Some(reason) = session.host().closed.take() {
+        if let Some(reason) = session.driver().closed.take() {
             return Err(std::io::Error::other(reason));
         }
         tokio::select! {
             next = framed.next() => match next {
-                Some(Ok(frame)) => session.frame(clock(), frame),
+                Some(Ok(frame)) => session.handle_frame(clock(), frame),
                 Some(Err(e)) => return Err(std::io::Error::other(e)),
                 None => return Err(std::io::ErrorKind::UnexpectedEof.into()),
             },
