--- a/crates/curlewpoint-engine/benches/open_rpcs.rs
+++ b/crates/curlewpoint-engine/benches/open_rpcs.rs
@@ -91,10 +91,10 @@
         };
         let accepted = (0..open).filter(|tag| submit(&mut engine, now, *tag).is_ok()).count();
         let bytes = resident_bytes().saturating_sub(before);
-        const FURTHER: u64 = 20_000;
+        const FURTHER_RPCS: u64 = 20_000;
         let started = Instant::now();
         let mut answered = 0;
-        for tag in open..open + FURTHER {
+        for tag in open..open + FURTHER_RPCS {
             now = now + Time(1);
             engine.advance(now);
             engine.driver().last_attempt = None;
@@ -113,10 +113,10 @@
                 );
             }
         }
-        let us = started.elapsed().as_secs_f64() * 1e6 / FURTHER as f64;
+        let us = started.elapsed().as_secs_f64() * 1e6 / FURTHER_RPCS as f64;
         let bytes_each = bytes.checked_div(accepted).unwrap_or(0);
         println!(
-            "{open} submitted, {accepted} accepted, {} open afterwards; {bytes_each} bytes each; {us:.1} us per further RPC, {answered} of {FURTHER} sent at once",
+            "{open} submitted, {accepted} accepted, {} open afterwards; {bytes_each} bytes each; {us:.1} us per further RPC, {answered} of {FURTHER_RPCS} sent at once",
             engine.open_rpcs()
         );
     }
