--- a/crates/curlewpoint-emulator/tests/broker.rs
+++ b/crates/curlewpoint-emulator/tests/broker.rs
@@ -189,7 +189,7 @@
     }
 
     fn drop_conn(&mut self, conn: u64) {
-        self.sessions.remove(&conn).unwrap().lost("dropped");
+        self.sessions.remove(&conn).unwrap().connection_lost("dropped");
         self.broker.connection_closed(self.now, conn);
         self.run();
     }
@@ -225,7 +225,7 @@
     s.run();
     assert_eq!(s.session(1).driver().committed, [1, 2, 3, 4]);
     assert_eq!((s.broker.waiting_bodies("office").len(), s.bodies(1).len()), (4, 5));
-    s.hold(1, 0);
+    s.set_prefetch(1, 0);
     s.ask("m5", plain());
     assert_eq!((s.bodies(1).len(), s.broker.waiting_bodies(EXTRACTS).len()), (5, 1));
 }
@@ -256,7 +256,7 @@
     let mut s = Harness::new();
     s.ask("m0", plain());
     s.connect(1);
-    s.hold(1, 9);
+    s.set_prefetch(1, 9);
     s.broker.faults.omits_commit_ok = true;
     s.answer(1, 1);
     s.run();
@@ -270,7 +270,7 @@
 fn a_broker_that_blocks_cancels_or_closes_is_told() {
     let mut s = Harness::new();
     s.connect(1);
-    s.hold(1, 9);
+    s.set_prefetch(1, 9);
     s.broker.set_blocked(true);
     s.broker.set_blocked(false);
     s.broker.cancel_consumers(EXTRACTS);
--- a/crates/curlewpoint-rig/src/figures/directory/tests.rs
+++ b/crates/curlewpoint-rig/src/figures/directory/tests.rs
@@ -9,7 +9,7 @@
     (Time(at), from.into(), to.into(), what)
 }
 
-fn of(tape: &[Passed], seen: &[(Time, Seen)], waits: &Waits) -> Directory {
+fn of(tape: &[Passed], seen: &[(Time, TranscriptEvent)], waits: &Waits) -> Directory {
     Directory::of(tape, seen, Some(BUDGET), waits, Time(1_000_000), &[])
 }
 
@@ -60,8 +60,9 @@
 #[test]
 fn what_the_machine_held_up_adds_its_own_time_and_no_more_than_a_second_for_a_scheduler() {
     let tape = [frame(104_000, "front-1", "front-2", Kind::DIRECTORY_UPDATE, 10 * BUDGET as usize, &[])];
-    let most = |seen: &[(Time, Seen)], waits: &Waits| of(&tape, seen, waits).over.expect("far over").most;
-    let stall = |since, at| [(Time(at), Seen::Stalled { scheduler: None, since: Time(since) })];
+    let most =
+        |seen: &[(Time, TranscriptEvent)], waits: &Waits| of(&tape, seen, waits).over.expect("far over").most;
+    let stall = |since, at| [(Time(at), TranscriptEvent::Stalled { scheduler: None, since: Time(since) })];
     let none = Waits::new();
     assert_eq!(most(&stall(90_000, 105_000), &none), MOST as f64 + 1_500.0);
     assert_eq!(most(&stall(70_000, 90_000), &none), MOST as f64);
--- a/crates/curlewpoint-rig/src/figures/spans/tests.rs
+++ b/crates/curlewpoint-rig/src/figures/spans/tests.rs
@@ -56,15 +56,19 @@
 /// takes no part.
 #[test]
 fn a_call_is_timed_from_its_asking_to_a_worker_and_to_its_effect() {
-    let asked =
-        |key: u64| Seen::Asked { key, scheduler: "front-0".into(), method: "m".into(), left: Time(9) };
-    let arrived = |key: u64| Seen::Arrived {
+    let asked = |key: u64| TranscriptEvent::RpcSent {
+        key,
+        scheduler: "front-0".into(),
+        method: "m".into(),
+        time_left: Time(9),
+    };
+    let arrived = |key: u64| TranscriptEvent::AttemptArrived {
         key,
         scheduler: "front-0".into(),
         worker: "w-000".into(),
         method: "m".into(),
     };
-    let ran = |key: u64| Seen::Ran { key, worker: "w-000".into() };
+    let ran = |key: u64| TranscriptEvent::Executed { key, worker: "w-000".into() };
     let seen = [
         (Time(90), asked(1)),
         (Time(100), asked(2)),
