--- a/crates/curlewpoint-emulator/src/broker.rs
+++ b/crates/curlewpoint-emulator/src/broker.rs
@@ -8,22 +8,22 @@
 use curlewpoint::types::Time;
 use curlewpoint_amqp::ContentAssembler;
 
-/// What a broker acts through.
+/// Output of the broker model: frames to clients and connection control.
 pub trait BrokerDriver {
     fn send(&mut self, conn: u64, frame: AMQPFrame);
-    /// What was agreed on with a client.
+    /// The client has confirmed the frame and channel limits (Tune-Ok).
     fn agreed(&mut self, conn: u64, frame_max: u32, channel_max: u16);
     fn close(&mut self, conn: u64);
 }
 
-/// What goes wrong with a broker.
+/// Faults that a broker injects.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BrokerFaults {
-    /// Messages that were delivered before are not marked.
+    /// Redelivered messages do not carry the redelivered flag.
     pub omits_redelivered: bool,
-    /// Commits are done and their word is not sent.
+    /// Commits are applied, but Commit-Ok is not sent.
     pub omits_commit_ok: bool,
-    /// So many confirms are lost, of every ten.
+    /// Publisher confirms lost out of every ten.
     pub lost_confirms_per_ten: u64,
 }
 
@@ -33,15 +33,16 @@
     pub routing_key: String,
     pub properties: AMQPProperties,
     pub body: Bytes,
-    /// When it came into its queue.
+    /// Time of arrival in the queue.
     pub queued_at: Time,
     redelivered: bool,
-    /// It may not be delivered after this moment.
+    /// The message expires at this time unless it is delivered before.
     expires_at: Option<Time>,
+    /// Order of arrival at the broker.
     seq: u64,
 }
 
-/// A queue's arguments, as far as they are followed.
+/// Queue arguments that the model supports.
 #[derive(Clone, Debug, Default)]
 struct QueueArguments {
     ttl: Option<Time>,
@@ -53,7 +54,7 @@
 struct Queue {
     arguments: QueueArguments,
     ready: VecDeque<Message>,
-    /// In turn: connection, channel and tag of each consumer.
+    /// Connection, channel and tag of each consumer, in round-robin order.
     consumers: VecDeque<(u64, u16, String)>,
 }
 
@@ -66,7 +67,7 @@
     Publish(basic::Publish),
 }
 
-/// What a transaction holds until its commit.
+/// An operation that a transaction defers until its commit.
 enum TxOperation {
     Publish(basic::Publish, Box<AMQPProperties>, Bytes),
     Ack(u64, bool),
@@ -76,7 +77,7 @@
 #[derive(Default)]
 struct Channel {
     consumers: BTreeMap<String, Consumer>,
-    /// Delivered and not acknowledged, by tag.
+    /// Queue and message of each unacknowledged delivery, by delivery tag.
     unacked: BTreeMap<u64, (String, Message)>,
     next_tag: u64,
     prefetch: u16,
@@ -91,9 +92,9 @@
     open: bool,
 }
 
-/// A broker of AMQP 0-9-1, as its specification describes it and as far as triggers need it: direct and fanout exchanges,
-/// queues with expiry, dead letters and priorities, consumers with a prefetch, transactions, confirms, returns, `blocked`.
-/// No I/O: what clients send is handed in with the time.
+/// An AMQP 0-9-1 broker with the features that triggers use: direct and fanout exchanges, queues with expiry, dead
+/// lettering and priorities, consumers with prefetch, transactions, publisher confirms, returned messages and
+/// `connection.blocked`. It does no I/O: each call passes the time and a client's input.
 pub struct Broker<L> {
     driver: L,
     exchanges: BTreeMap<String, (String, Vec<(String, String)>)>,
@@ -151,7 +152,7 @@
         &mut self.driver
     }
 
-    /// The bodies that wait in a queue, in its order.
+    /// Bodies of the messages ready in a queue, in delivery order.
     pub fn waiting_bodies(&self, queue: &str) -> Vec<Bytes> {
         self.messages(queue).map(|m| m.body.clone()).collect()
     }
@@ -160,19 +161,19 @@
         self.queues.get(queue).into_iter().flat_map(|q| &q.ready)
     }
 
-    /// A plain queue, as an operator sets one up.
+    /// Declares a queue without arguments.
     pub fn declare(&mut self, queue: &str) {
         self.queues.entry(queue.to_owned()).or_default();
     }
 
-    /// Puts a message into a queue, as a requester does.
+    /// Publishes a message to a queue through the default exchange.
     pub fn enqueue(&mut self, now: Time, queue: &str, properties: AMQPProperties, body: Bytes) {
         self.now = self.now.max(now);
         self.route("", queue, properties, body);
         self.deliver_all();
     }
 
-    /// Messages that are out and not acknowledged.
+    /// Number of unacknowledged deliveries.
     pub fn unacknowledged(&self) -> usize {
         self.conns.values().flat_map(|c| c.channels.values()).map(|c| c.unacked.len()).sum()
     }
@@ -183,7 +184,7 @@
         self.conns.insert(conn, Conn { channels, contents, frame_max: 4096, open: false });
     }
 
-    /// Its connection has ended: what was out on it is ready again, and its transactions are void.
+    /// A client's connection has ended: its unacknowledged messages are requeued, its transactions discarded.
     pub fn connection_closed(&mut self, now: Time, conn: u64) {
         self.now = self.now.max(now);
         let Some(closed) = self.conns.remove(&conn) else { return };
@@ -195,7 +196,7 @@
     }
 
     fn requeue_unacked(&mut self, channel: Channel) {
-        // The last is put first before those that came after it.
+        // In reverse order of delivery, so that messages return to the queue in their original order.
         for (queue, message) in channel.unacked.into_values().rev() {
             self.requeue(&queue, message);
         }
@@ -204,13 +205,13 @@
     fn requeue(&mut self, queue: &str, mut message: Message) {
         message.redelivered = !self.faults.omits_redelivered;
         if let Some(q) = self.queues.get_mut(queue) {
-            // At its old place, as far as that can be.
+            // The original position, or as close to it as possible.
             let at = q.ready.iter().position(|m| m.seq > message.seq).unwrap_or(q.ready.len());
             q.ready.insert(at, message);
         }
     }
 
-    /// Tells all clients that nothing is taken, or is again.
+    /// Sends `connection.blocked` or `connection.unblocked` to all clients.
     pub fn set_blocked(&mut self, blocked: bool) {
         self.blocked = blocked;
         let all: Vec<u64> = self.conns.iter().filter(|(_, c)| c.open).map(|(no, _)| *no).collect();
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Ends all consumers of a queue, as when its node fails over.
+    /// Cancels all consumers of a queue, as a broker does when the queue's node fails over.
     pub fn cancel_consumers(&mut self, queue: &str) {
         let Some(q) = self.queues.get_mut(queue) else { return };
         for (conn, no, tag) in std::mem::take(&mut q.consumers) {
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Time has passed: messages expire.
+    /// Advances the clock: expired messages are dead-lettered, ready ones delivered.
     pub fn advance(&mut self, now: Time) {
         self.now = self.now.max(now);
         let names: Vec<String> = self.queues.keys().cloned().collect();
@@ -279,7 +280,7 @@
         }
     }
 
-    /// Puts a message into the queues that its exchange names; false: there is none.
+    /// Routes a message to the bound queues of its exchange; returns false if there is none.
     fn route(&mut self, exchange: &str, key: &str, properties: AMQPProperties, body: Bytes) -> bool {
         let queues: Vec<String> = match self.exchanges.get(exchange) {
             _ if exchange.is_empty() => vec![key.to_owned()],
@@ -323,7 +324,7 @@
         names.iter().for_each(|name| self.deliver(name));
     }
 
-    /// Hands what is ready to consumers in turn, each up to its prefetch.
+    /// Delivers ready messages to consumers in round-robin order, up to each one's prefetch.
     fn deliver(&mut self, name: &str) {
         loop {
             let Some(q) = self.queues.get_mut(name).filter(|q| !q.ready.is_empty()) else { return };
@@ -361,7 +362,7 @@
         }
     }
 
-    /// The client broke the rules of the protocol.
+    /// Closes the connection of a client that violated the protocol.
     fn close_with_error(&mut self, conn: u64, code: u16, reason: &str) {
         let close =
             connection::Close { reply_code: code, reply_text: reason.into(), class_id: 0, method_id: 0 };
@@ -370,7 +371,7 @@
         self.connection_closed(self.now, conn);
     }
 
-    /// A client has sent a frame.
+    /// Handles a frame from a client.
     pub fn frame(&mut self, now: Time, conn: u64, frame: AMQPFrame) {
         self.now = self.now.max(now);
         let Some(c) = self.conns.get_mut(&conn) else { return };
@@ -466,7 +467,7 @@
         self.deliver_all();
     }
 
-    /// Takes deliveries off a channel: one, or all up to it.
+    /// Removes one unacknowledged delivery from a channel, or all up to its tag.
     fn take_unacked(&mut self, conn: u64, no: u16, tag: u64, multiple: bool) -> Vec<(String, Message)> {
         let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no));
         let Some(channel) = channel else { return Vec::new() };
--- a/crates/curlewpoint-emulator/src/lib.rs
+++ b/crates/curlewpoint-emulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! Models of what the gateway meets: a worker, the model store and the list service. They do no I/O: the clock, the
-//! seed and all that happens are handed in, so that the same model runs behind sockets and in simulated time.
+//! Models of the gateway's environment: a worker, the model store, the list service and an AMQP broker. They do no I/O:
+//! time, seed and inputs are parameters, so the same model runs behind sockets and in simulated time.
 //!
-//! What is not in the users' pages is marked as assumed where it is set.
+//! Values that the user documentation does not state are marked as assumed where they are set.
 
 mod broker;
 mod list;
--- a/crates/curlewpoint-emulator/src/list.rs
+++ b/crates/curlewpoint-emulator/src/list.rs
@@ -2,28 +2,29 @@
 
 use curlewpoint::types::{Lifecycle, Time};
 
-/// What the list says of one worker.
+/// One worker's entry in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
     pub address: String,
     pub lifecycle: Lifecycle,
-    /// One start of its process, and when that was; none: long ago.
+    /// Identifies one start of the worker's process.
     pub start_id: u64,
+    /// Time of that start; `None` if it was long ago.
     pub started_at: Option<Time>,
     pub zone: String,
     pub cell: String,
     pub size: f64,
 }
 
-/// Changes kept; who holds a version older than the oldest of them gets the whole list.
+/// Changes retained; a watcher with an older version gets the whole list.
 const MAX_CHANGES: usize = 256;
 
-/// The list of workers, by version within one run of the service.
+/// The versioned endpoint list of one run of the list service.
 pub struct ListModel {
     pub epoch: u64,
     version: u64,
     entries: BTreeMap<String, ListEntry>,
-    /// The worker that each version changed.
+    /// Version and name of the worker that it changed, oldest first.
     changes: VecDeque<(u64, String)>,
 }
 
@@ -40,7 +41,7 @@
         &self.entries
     }
 
-    /// A worker's entry is new or has changed.
+    /// Adds or replaces a worker's entry; an identical entry creates no version.
     pub fn set(&mut self, name: &str, entry: ListEntry) {
         if self.entries.get(name) == Some(&entry) {
             return;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// What has changed since `known`; none: the whole list is needed.
+    /// Entries changed since `known` (epoch, version); `None` if the watcher needs the whole list.
     pub fn changes_since(&self, known: Option<(u64, u64)>) -> Option<BTreeMap<&str, &ListEntry>> {
         let (epoch, version) = known?;
         let oldest = self.changes.front().map_or(self.version, |(v, _)| v - 1);
@@ -89,7 +90,7 @@
     }
 
     #[test]
-    fn changes_are_told_since_a_version_and_the_whole_after_a_gap() {
+    fn changes_since_a_version_are_returned_unless_they_are_no_longer_retained() {
         let mut list = ListModel::new(7);
         (0..3).for_each(|i| list.set(&format!("w{i}"), entry(1)));
         let known = Some((7, list.version()));
@@ -99,6 +100,6 @@
         assert!(list.changes_since(Some((6, 2))).is_none(), "another run of the service");
         assert!(list.changes_since(None).is_none());
         (0..300).for_each(|i| list.set("w2", entry(10 + i)));
-        assert!(list.changes_since(known).is_none(), "the change is no longer kept");
+        assert!(list.changes_since(known).is_none(), "the change is no longer retained");
     }
 }
--- a/crates/curlewpoint-emulator/src/shared_capacity.rs
+++ b/crates/curlewpoint-emulator/src/shared_capacity.rs
@@ -1,11 +1,11 @@
 use curlewpoint::types::Time;
 
-/// Work under way that shares something evenly: cores, or a store's lines.
+/// Jobs that share a capacity evenly, such as cores or a store's bandwidth.
 #[derive(Clone, Debug)]
 pub struct SharedCapacity<K> {
     jobs: Vec<(K, f64)>,
     updated_at: Time,
-    /// How much of a job's work is done in a millisecond.
+    /// Milliseconds of each job's work done per millisecond.
     rate: f64,
 }
 
@@ -15,7 +15,7 @@
     }
 }
 
-/// Less work than this, in milliseconds, is none.
+/// Remaining work below this counts as finished; it absorbs rounding errors.
 const NEGLIGIBLE_WORK_MS: f64 = 1e-6;
 
 impl<K> SharedCapacity<K> {
@@ -32,20 +32,20 @@
         self.jobs.push((key, work_ms));
     }
 
-    /// Lets time pass at the pace set before.
+    /// Applies the progress made since the last update, at the current rate.
     pub fn advance(&mut self, now: Time) {
         let done = self.rate * (now - self.updated_at).ms();
         self.updated_at = self.updated_at.max(now);
         self.jobs.iter_mut().for_each(|(_, work_left)| *work_left -= done);
     }
 
-    /// From now on each job goes at this pace.
+    /// Sets the rate of each job from now on.
     pub fn set_rate(&mut self, now: Time, rate: f64) {
         self.advance(now);
         self.rate = rate;
     }
 
-    /// What is done by now, in the order in which it came.
+    /// Removes and returns the jobs finished by now, in the order in which they were added.
     pub fn take_finished(&mut self, now: Time) -> Vec<K> {
         self.advance(now);
         let (finished, jobs): (Vec<_>, Vec<_>) =
@@ -54,7 +54,7 @@
         finished.into_iter().map(|j| j.0).collect()
     }
 
-    /// When the next is done, if the pace stays: rounded up, so that it is done then.
+    /// Time at which the next job finishes at the current rate, rounded up so that it is finished by then.
     pub fn next_completion(&self) -> Option<Time> {
         let shortest = self.jobs.iter().map(|j| j.1).min_by(f64::total_cmp)?;
         (self.rate > 0.0)
--- a/crates/curlewpoint-emulator/src/store.rs
+++ b/crates/curlewpoint-emulator/src/store.rs
@@ -2,22 +2,22 @@
 
 use crate::shared_capacity::SharedCapacity;
 
-/// The model store that all workers share.
+/// Capacity of the model store that all workers share.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSpec {
-    /// Fetches that go at full pace at a time; more share it.
+    /// Fetches that run at full speed at a time; further ones share the capacity.
     pub parallel_fetches: f64,
-    /// So much of the pace is lost with each further fetch (assumed).
+    /// Loss of total speed for each multiple of `parallel_fetches` beyond the first (assumed).
     pub overload_penalty: f64,
-    /// Fetches in hand beyond which it turns one away.
+    /// Fetches under way beyond which further ones are rejected.
     pub max_fetches: usize,
 }
 
-/// Whose fetch it is: the shell's number for who asked.
+/// Identifies a fetch; the driver maps it to the requester.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FetchId(pub u64);
 
-/// A store that slows when crowded, turns fetches away past a limit, and stops for a time.
+/// A model store that slows down under load, rejects fetches above a limit and can be stopped for a time.
 pub struct StoreModel {
     spec: StoreSpec,
     fetches: SharedCapacity<FetchId>,
@@ -33,7 +33,7 @@
         StoreModel { spec, fetches, stopped_until, rejecting: false, served: 0, rejected: 0 }
     }
 
-    /// A fetch that takes `work_ms` at full pace; false: turned away.
+    /// Starts a fetch that takes `work_ms` at full speed; returns false if it is rejected.
     pub fn fetch(&mut self, now: Time, id: FetchId, work_ms: f64) -> bool {
         if self.rejecting || self.fetches.len() >= self.spec.max_fetches {
             self.rejected += 1;
@@ -44,7 +44,7 @@
         true
     }
 
-    /// Whoever asked is gone.
+    /// Drops the fetches of requesters that are gone.
     pub fn abandon(&mut self, now: Time, abandoned: impl Fn(FetchId) -> bool) {
         self.fetches.advance(now);
         self.fetches.retain(|id| !abandoned(*id));
@@ -70,7 +70,7 @@
         self.fetches.set_rate(now, rate);
     }
 
-    /// The fetches that are done.
+    /// Advances the clock and returns the finished fetches.
     pub fn advance(&mut self, now: Time) -> Vec<FetchId> {
         let finished = self.fetches.take_finished(now);
         self.served += finished.len() as u64;
@@ -96,30 +96,30 @@
         StoreModel::new(StoreSpec { parallel_fetches: 2.0, overload_penalty: 0.5, max_fetches: 5 })
     }
 
-    /// When `n` fetches of 100 ms that begin together are all done, in milliseconds.
+    /// Milliseconds until `n` fetches of 100 ms that start together are all finished.
     fn all_done(n: u64) -> f64 {
         let mut s = store();
         assert!((0..n).all(|i| s.fetch(Time(0), FetchId(i), 100.0)));
-        let mut left = n as usize;
+        let mut open = n as usize;
         let mut now = Time(0);
-        while left > 0 {
+        while open > 0 {
             now = s.next(now).unwrap();
-            left -= s.advance(now).len();
+            open -= s.advance(now).len();
         }
         now.ms()
     }
 
     #[test]
-    fn it_slows_when_crowded_and_turns_away_past_its_limit() {
+    fn slows_down_under_load_and_rejects_fetches_above_the_limit() {
         assert_eq!(all_done(2), 100.0);
-        assert_eq!(all_done(4), 300.0, "twice its lines: half the share, and thrashing on top");
+        assert_eq!(all_done(4), 300.0, "twice the parallel fetches: half the share, and the penalty on top");
         let mut s = store();
         assert_eq!((0..7).filter(|i| s.fetch(Time(0), FetchId(*i), 9.0)).count(), 5);
         assert_eq!(s.rejected, 2);
     }
 
     #[test]
-    fn a_stop_holds_what_is_under_way() {
+    fn a_stop_delays_fetches_under_way() {
         let mut s = store();
         s.fetch(Time(0), FetchId(1), 100.0);
         s.advance(Time(500));
--- a/crates/curlewpoint-emulator/src/worker.rs
+++ b/crates/curlewpoint-emulator/src/worker.rs
@@ -5,60 +5,61 @@
 
 use crate::shared_capacity::SharedCapacity;
 
-/// What a worker is: units in the names, ranges in the users' pages.
+/// Capacity and behaviour of a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerSpec {
     pub cores: f64,
-    /// Against a core of speed 1.
+    /// Relative to a core of speed 1.
     pub speed: f64,
-    /// RPCs at work at a time.
+    /// RPCs executed at a time.
     pub slots: usize,
-    /// RPCs that wait; more are turned away unseen.
+    /// RPCs that may wait; further ones are rejected before they are looked at.
     pub queue: usize,
     pub memory_mb: f64,
     pub loads_at_once: usize,
+    /// Idle copies are unloaded after this time.
     pub keep_alive: Time,
-    /// Its capacity when it starts, against the full; it grows evenly over `warm_within`.
+    /// Share of the full capacity at the start; it grows linearly to 1 over `warm_within`.
     pub start_capacity: f64,
     pub warm_within: Time,
-    /// Sent more than this multiple of what it can do, over this time, it falls over while it is cold.
+    /// A cold worker crashes when the work offered within `fall_window` exceeds this multiple of its capacity.
     pub fall_multiple: f64,
     pub fall_window: Time,
-    /// Whether it starts another copy by itself when all lanes are taken.
+    /// Whether it loads another copy by itself when all lanes are busy.
     pub adds_copies: bool,
-    /// Whether it answers a miss where the function is neither loaded nor loading.
+    /// Whether it answers `Miss` when the function is neither loaded nor loading.
     pub answers_miss: bool,
 }
 
-/// Who asked: the shell's number for a connection and a tag.
+/// Identifies a request; the driver maps it to a connection and a tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerId(pub u64);
 
-/// An RPC as the worker sees it.
+/// An RPC as the worker receives it.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub caller: CallerId,
     pub model: String,
-    /// Work on a core of speed 1, and the mean work of its method, in milliseconds.
+    /// Work of this RPC and mean work of its method on a core of speed 1.
     pub work_ms: f64,
     pub mean_ms: f64,
     pub memory_mb: f64,
     pub lanes: usize,
-    /// How long a load takes, unobstructed, and which part of it is the fetch.
+    /// Duration of a load without contention, and the share of it that is the fetch.
     pub load_ms: f64,
     pub fetch_share: f64,
 }
 
-/// Faults that a script sets.
+/// Faults that a scenario script injects.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Takes RPCs and answers none.
+    /// Accepts RPCs and answers none.
     pub hangs: bool,
-    /// This share fails at once.
+    /// Share of RPCs that fail at once.
     pub error_share: f64,
-    /// So many times slower.
+    /// Factor by which execution is slower.
     pub slowdown: f64,
-    /// This share of answers is lost; the work is done.
+    /// Share of answers that are lost although the work is done.
     pub lost_answer_share: f64,
 }
 
@@ -68,15 +69,15 @@
     }
 }
 
-/// What a worker acts on.
+/// Output of the worker model: answers to callers and requests to the store.
 pub trait WorkerDriver {
-    /// An RPC has had its effect.
+    /// An RPC has taken effect.
     fn executed(&mut self, caller: CallerId);
     fn answer(&mut self, caller: CallerId, outcome: Outcome, copy: CopyReport, held: u64);
     fn loaded(&mut self, caller: CallerId, outcome: Outcome, copies: u64);
-    /// Asks the store for a model.
+    /// Requests a model from the store.
     fn fetch(&mut self, model: &str, work_ms: f64);
-    /// Pushed over while cold: the process is down and stays down.
+    /// The worker was overloaded while cold and has crashed; it stays down.
     fn overloaded(&mut self, offered: f64, limit: f64);
 }
 
@@ -93,8 +94,8 @@
     fetch_share: f64,
 }
 
-/// A worker: cores shared by what runs, slots, a bounded queue, copies with lanes in bounded memory, loads through the
-/// store, a cold start.
+/// A worker: cores shared by running RPCs, slots, a bounded queue, copies with lanes in bounded memory, loads through
+/// the store, and a cold start.
 pub struct WorkerModel {
     spec: WorkerSpec,
     rng: Rand64,
@@ -104,15 +105,17 @@
     paused_until: Time,
     models: BTreeMap<String, Model>,
     running: SharedCapacity<(Job, CopyReport)>,
-    /// Starts under way after their fetch: when each is done.
+    /// Copies that start after their fetch, each with the time at which it is ready.
     starting: Vec<(Time, String)>,
-    /// Loads that wait for their turn, and those that fetch or start.
+    /// Models whose load has not begun yet.
     load_queue: VecDeque<String>,
+    /// Loads that fetch or start.
     active_loads: usize,
+    /// Time and mean work of each RPC that arrived within the last `fall_window`, while cold.
     arrivals: VecDeque<(Time, f64)>,
 }
 
-/// While a worker is cold or slowed, its pace is set anew this often.
+/// Interval at which the execution rate is updated while the worker is cold or paused.
 const RATE_UPDATE_INTERVAL: Time = Time(200);
 
 impl WorkerModel {
@@ -138,33 +141,33 @@
         self.update_rate(now);
     }
 
-    /// Stands still until then.
+    /// Pauses execution until then.
     pub fn pause(&mut self, now: Time, until: Time) {
         self.paused_until = until;
         self.update_rate(now);
     }
 
-    /// Models that it holds from the start.
+    /// Adds a loaded copy, as present from the start.
     pub fn preload(&mut self, now: Time, model: &str, memory_mb: f64) {
         let m = self.models.entry(model.to_owned()).or_default();
         (m.loaded, m.memory_mb, m.idle_since) = (1, memory_mb, now);
     }
 
-    /// The model was released anew: idle copies are void.
+    /// A new release of the model: idle copies are discarded.
     pub fn model_released(&mut self, model: &str) {
         if let Some(m) = self.models.get_mut(model) {
             m.loaded = m.busy.min(m.loaded);
         }
     }
 
-    /// Its capacity now, against the full.
+    /// Current share of the full capacity.
     pub fn capacity_share(&self, now: Time) -> f64 {
         let Some(since) = self.cold_since else { return 1.0 };
         let elapsed_share = (now - since).0 as f64 / self.spec.warm_within.0.max(1) as f64;
         (self.spec.start_capacity + (1.0 - self.spec.start_capacity) * elapsed_share).min(1.0)
     }
 
-    /// Busy share of cores, RPCs held, share of memory that cannot be freed.
+    /// The load report: busy share of cores, RPCs held, share of memory that cannot be freed.
     pub fn report(&self) -> [f64; 3] {
         let held = self.running.len() + self.models.values().map(|m| m.waiting.len()).sum::<usize>();
         let pinned_mb: f64 =
@@ -175,8 +178,9 @@
 
     fn update_rate(&mut self, now: Time) {
         let stopped = self.faults.hangs || now < self.paused_until;
-        let each = (self.spec.cores / self.running.len().max(1) as f64).min(1.0);
-        let rate = self.spec.speed * self.capacity_share(now) * each / self.faults.slowdown.max(1e-3);
+        let cores_per_rpc = (self.spec.cores / self.running.len().max(1) as f64).min(1.0);
+        let rate =
+            self.spec.speed * self.capacity_share(now) * cores_per_rpc / self.faults.slowdown.max(1e-3);
         self.running.set_rate(now, if stopped { 0.0 } else { rate });
     }
 
@@ -189,7 +193,7 @@
         (m.memory_mb, m.load_ms, m.fetch_share) = (job.memory_mb, job.load_ms, job.fetch_share);
         let held = self.running.keys().filter(|(j, _)| j.model == job.model).count() + m.waiting.len();
         if self.faults.error_share > 0.0 && self.rng.rand_float() < self.faults.error_share {
-            // An error may have had its effect: half of them have.
+            // A failed RPC may have taken effect; here half of them do.
             if self.rng.rand_float() < 0.5 {
                 driver.executed(job.caller);
             }
@@ -211,7 +215,7 @@
         let crowded =
             m.loaded > 0 && m.loading == 0 && m.busy >= m.loaded * job.lanes && self.spec.adds_copies;
         let model = job.model.clone();
-        // One more copy is a wish; without the first there is nothing to wait for.
+        // A further copy is optional; without the first the RPC has nothing to wait for.
         let began = (copy == CopyReport::BeganLoad || crowded) && self.load(now, &model);
         if copy == CopyReport::BeganLoad && !began {
             return driver.answer(job.caller, Outcome::Full, CopyReport::Unreported, held as u64);
@@ -220,8 +224,8 @@
         self.start_ready_work(now, driver);
     }
 
-    /// Guards the rule that a cold worker is not pushed over, as the users state it: the work of any window, against
-    /// what it could do in that window as it is now.
+    /// Crashes a cold worker that is overloaded, by the documented rule: the work offered in any window is compared with
+    /// what the worker could do in that window at its current capacity.
     fn check_overload(&mut self, now: Time, driver: &mut impl WorkerDriver, mean_ms: f64) -> bool {
         let capacity_share = self.capacity_share(now);
         if capacity_share >= 1.0 {
@@ -244,14 +248,14 @@
         self.crashed
     }
 
-    /// Nobody waits any more: what has not begun is dropped.
+    /// The caller has cancelled: drops its RPC unless it has begun.
     pub fn cancel(&mut self, caller: CallerId) {
         for m in self.models.values_mut() {
             m.waiting.retain(|(j, _)| j.caller != caller);
         }
     }
 
-    /// An order to hold at least so many copies.
+    /// Handles a load order: the worker is to hold at least `copies` copies.
     pub fn order(
         &mut self, now: Time, driver: &mut impl WorkerDriver, caller: CallerId, model: &str, copies: usize,
     ) {
@@ -270,7 +274,7 @@
         self.start_ready_work(now, driver);
     }
 
-    /// What a load of this model takes, where no RPC has told it yet.
+    /// Sets the cost of loading a model for which no RPC has arrived yet.
     pub fn set_load_cost(&mut self, model: &str, memory_mb: f64, load_ms: f64, fetch_share: f64) {
         let m = self.models.entry(model.to_owned()).or_default();
         (m.memory_mb, m.load_ms, m.fetch_share) = (memory_mb, load_ms, fetch_share);
@@ -280,18 +284,18 @@
         self.model_released(model);
     }
 
-    /// Begins a load; false: no room for it, or too many wait.
+    /// Queues a load; returns false if memory is insufficient or too many loads wait.
     fn load(&mut self, now: Time, model: &str) -> bool {
-        if self.load_queue.len() >= 2 * self.spec.loads_at_once || !self.make_room(now, model) {
+        if self.load_queue.len() >= 2 * self.spec.loads_at_once || !self.evict_idle(now, model) {
             return false;
         }
-        self.models.get_mut(model).expect("it is known").loading += 1;
+        self.models.get_mut(model).expect("the model is known").loading += 1;
         self.load_queue.push_back(model.to_owned());
         true
     }
 
-    /// Unloads idle copies, the one idle longest first, until one more copy of this model fits.
-    fn make_room(&mut self, _now: Time, model: &str) -> bool {
+    /// Unloads idle copies, longest idle first, until one more copy of this model fits.
+    fn evict_idle(&mut self, _now: Time, model: &str) -> bool {
         let needed_mb = self.models[model].memory_mb;
         loop {
             let used_mb: f64 =
@@ -341,7 +345,7 @@
         });
     }
 
-    /// Begins what can begin now.
+    /// Starts queued loads and waiting RPCs that fit, and completes satisfied load orders.
     fn start_ready_work(&mut self, now: Time, driver: &mut impl WorkerDriver) {
         while self.active_loads < self.spec.loads_at_once {
             let Some(model) = self.load_queue.pop_front() else { break };
@@ -372,7 +376,7 @@
         self.update_rate(now);
     }
 
-    /// Time has passed.
+    /// Advances the clock: finishes RPCs and loads, unloads idle copies, starts waiting work.
     pub fn advance(&mut self, now: Time, driver: &mut impl WorkerDriver) {
         if self.crashed {
             return;
@@ -408,10 +412,10 @@
         if self.crashed {
             return None;
         }
-        let changes = now < self.paused_until || self.capacity_share(now) < 1.0;
-        let step = (changes && !self.running.is_empty()).then_some(now + RATE_UPDATE_INTERVAL);
+        let rate_changes = now < self.paused_until || self.capacity_share(now) < 1.0;
+        let next_update = (rate_changes && !self.running.is_empty()).then_some(now + RATE_UPDATE_INTERVAL);
         let starts = self.starting.iter().map(|s| s.0).min();
-        [self.running.next_completion(), step, starts].into_iter().flatten().min()
+        [self.running.next_completion(), next_update, starts].into_iter().flatten().min()
     }
 }
 
@@ -468,7 +472,7 @@
         Job { caller, model, work_ms, mean_ms, memory_mb, lanes: 2, load_ms: 1000.0, fetch_share: 0.5 }
     }
 
-    /// Lets time pass; the store answers each fetch at once.
+    /// Advances the worker to `until`; the store answers each fetch at once.
     fn run_until(w: &mut WorkerModel, driver: &mut RecordingDriver, mut now: Time, until: Time) {
         loop {
             for model in std::mem::take(&mut driver.fetches) {
@@ -483,7 +487,7 @@
     }
 
     #[test]
-    fn an_rpc_waits_for_the_load_that_it_began_and_the_next_ones_with_it() {
+    fn rpcs_wait_for_a_load_under_way_and_find_the_copy_warm_afterwards() {
         let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
         w.call(Time(0), &mut driver, job(1, "a"));
         w.call(Time(0), &mut driver, job(2, "a"));
@@ -499,7 +503,7 @@
     }
 
     #[test]
-    fn beyond_its_queue_it_turns_away_and_what_is_withdrawn_does_not_run() {
+    fn a_full_queue_rejects_rpcs_and_a_cancelled_rpc_does_not_run() {
         let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
         (1..=4).for_each(|i| w.call(Time(0), &mut driver, job(i, "a")));
         assert_eq!(driver.answers, [(4, Outcome::Full, CopyReport::Unreported)]);
@@ -509,7 +513,7 @@
     }
 
     #[test]
-    fn a_load_makes_room_by_the_longest_idle_and_none_is_made_of_what_is_at_work() {
+    fn a_load_evicts_the_longest_idle_copy_and_never_a_busy_one() {
         let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
         w.preload(Time(0), "a", 100.0);
         w.preload(Time(5), "b", 100.0);
@@ -529,7 +533,7 @@
     }
 
     #[test]
-    fn a_failed_load_misses_those_that_waited_and_fails_the_order() {
+    fn a_failed_load_answers_miss_to_waiting_rpcs_and_fails_the_order() {
         let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
         w.call(Time(0), &mut driver, job(1, "a"));
         w.order(Time(0), &mut driver, CallerId(9), "a", 1);
@@ -539,8 +543,8 @@
     }
 
     #[test]
-    fn a_cold_worker_that_is_pushed_falls_over_and_a_warm_one_does_not() {
-        // 2 x 0.2 x 2 cores x 2000 ms: 16 RPCs of 100 ms may come in a window.
+    fn an_overloaded_worker_crashes_only_while_cold() {
+        // 2 x 0.2 x 2 cores x 2000 ms: a window allows 16 RPCs of 100 ms.
         let (mut cold, mut driver) = (WorkerModel::new(SPEC, 1, Some(Time(0))), RecordingDriver::default());
         (0..16).for_each(|i| cold.call(Time(0), &mut driver, job(i, "a")));
         assert!(!driver.overloaded);
@@ -552,7 +556,7 @@
     }
 
     #[test]
-    fn lost_answers_have_run_and_a_hanging_worker_goes_on_afterwards() {
+    fn rpcs_with_lost_answers_take_effect_and_a_hanging_worker_resumes() {
         let (mut w, mut driver) = (WorkerModel::new(SPEC, 1, None), RecordingDriver::default());
         w.preload(Time(0), "a", 100.0);
         w.set_faults(Time(0), Faults { lost_answer_share: 1.0, ..Faults::default() });
--- a/crates/curlewpoint-emulator/tests/broker.rs
+++ b/crates/curlewpoint-emulator/tests/broker.rs
@@ -1,4 +1,4 @@
-//! A client's session and the model of a broker, joined by bytes in memory.
+//! A client session against the broker model, connected by encoded frames in memory.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,25 +12,25 @@
 use curlewpoint_emulator::{Broker, BrokerDriver};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// What a session was told, and what it has written.
+/// Records the session's events and the frames it writes.
 #[derive(Default)]
 struct SessionRecorder {
-    out: VecDeque<AMQPFrame>,
+    outgoing: VecDeque<AMQPFrame>,
     agreed: (u32, u16),
-    told: Vec<String>,
+    events: Vec<String>,
     delivered: Vec<(u64, bool, Bytes)>,
     committed: Vec<u64>,
 }
 
 impl SessionDriver for SessionRecorder {
     fn send(&mut self, frame: AMQPFrame) {
-        self.out.push_back(frame);
+        self.outgoing.push_back(frame);
     }
     fn negotiated(&mut self, frame_max: u32, channel_max: u16) {
         self.agreed = (frame_max, channel_max);
     }
     fn ready(&mut self) {
-        self.told.push("ready".to_owned());
+        self.events.push("ready".to_owned());
     }
     fn delivered(&mut self, _: &str, tag: u64, redelivered: bool, _: AMQPProperties, body: Bytes) {
         self.delivered.push((tag, redelivered, body));
@@ -38,17 +38,17 @@
     fn committed(&mut self, _: &str, tags: &[u64]) {
         self.committed.extend(tags);
     }
-    fn returned(&mut self, key: &str, why: &str, _: AMQPProperties, body: Bytes) {
-        self.told.push(format!("returned {key}: {why}, {} bytes", body.len()));
+    fn returned(&mut self, key: &str, reason: &str, _: AMQPProperties, body: Bytes) {
+        self.events.push(format!("returned {key}: {reason}, {} bytes", body.len()));
     }
     fn cancelled(&mut self, queue: &str) {
-        self.told.push(format!("cancelled {queue}"));
+        self.events.push(format!("cancelled {queue}"));
     }
     fn blocked(&mut self, blocked: bool) {
-        self.told.push(format!("blocked {blocked}"));
+        self.events.push(format!("blocked {blocked}"));
     }
-    fn closed(&mut self, why: &str) {
-        self.told.push(format!("over: {why}"));
+    fn closed(&mut self, reason: &str) {
+        self.events.push(format!("over: {reason}"));
     }
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// A frame as it arrives: written and read anew.
+/// The frame as received: encoded and decoded again.
 fn encode_and_decode(frame: AMQPFrame, agreed: (u32, u16)) -> AMQPFrame {
     let mut codec = Codec::default();
     codec.set_limits(agreed.0, agreed.1);
@@ -106,7 +106,7 @@
             broker: Broker::new(RecordingDriver::default()),
             sessions: BTreeMap::new(),
         };
-        // A client of its own sets the queues up.
+        // A separate client declares the queues.
         s.connect(99);
         let now = s.now;
         s.session(99).set_prefetch(now, "none", 0);
@@ -135,25 +135,25 @@
         self.run();
     }
 
-    /// Carries frames until nobody has anything to say.
+    /// Exchanges frames until neither side has any left to send.
     fn run(&mut self) {
         loop {
-            let mut moved = false;
+            let mut progress = false;
             for (conn, session) in &mut self.sessions {
                 let agreed = session.driver().agreed;
-                while let Some(frame) = session.driver().out.pop_front() {
-                    moved = true;
+                while let Some(frame) = session.driver().outgoing.pop_front() {
+                    progress = true;
                     self.broker.frame(self.now, *conn, encode_and_decode(frame, agreed));
                 }
             }
             for (conn, frame) in std::mem::take(&mut self.broker.driver().out) {
-                moved = true;
+                progress = true;
                 let agreed = self.broker.driver().agreed.get(&conn).copied().unwrap_or_default();
                 if let Some(session) = self.sessions.get_mut(&conn) {
                     session.handle_frame(self.now, encode_and_decode(frame, agreed));
                 }
             }
-            if !moved {
+            if !progress {
                 return;
             }
         }
@@ -163,14 +163,14 @@
         self.sessions.get_mut(&conn).unwrap()
     }
 
-    fn set_prefetch(&mut self, conn: u64, most: u16) {
+    fn set_prefetch(&mut self, conn: u64, prefetch: u16) {
         let now = self.now;
-        self.session(conn).set_prefetch(now, EXTRACTS, most);
+        self.session(conn).set_prefetch(now, EXTRACTS, prefetch);
         self.run();
     }
 
-    /// An office asks for something, by a session of its own.
-    fn ask(&mut self, body: &str, properties: AMQPProperties) {
+    /// Publishes a request from a separate session.
+    fn publish_request(&mut self, body: &str, properties: AMQPProperties) {
         self.connect(98);
         let now = self.now;
         self.session(98).set_prefetch(now, "office", 0);
@@ -182,13 +182,13 @@
         self.run();
     }
 
-    /// Answers a delivery, up to the commit.
+    /// Answers a delivery; the frames up to the commit are queued.
     fn answer(&mut self, conn: u64, tag: u64) {
         let now = self.now;
         self.session(conn).publish_and_ack(now, EXTRACTS, Some(tag), "", "office", plain(), b"extract");
     }
 
-    fn drop_conn(&mut self, conn: u64) {
+    fn drop_connection(&mut self, conn: u64) {
         self.sessions.remove(&conn).unwrap().connection_lost("dropped");
         self.broker.connection_closed(self.now, conn);
         self.run();
@@ -199,8 +199,8 @@
         all.iter().map(|d| String::from_utf8_lossy(&d.2).into_owned()).collect()
     }
 
-    fn told(&mut self, conn: u64) -> String {
-        self.session(conn).driver().told.join("; ")
+    fn events(&mut self, conn: u64) -> String {
+        self.session(conn).driver().events.join("; ")
     }
 }
 
@@ -209,65 +209,65 @@
 }
 
 #[test]
-fn a_queue_is_consumed_up_to_what_is_held_and_answers_are_committed_together() {
+fn consumption_stops_at_the_prefetch_and_answers_are_committed_together() {
     let mut s = Harness::new();
-    (0..5).for_each(|no| s.ask(&format!("m{no}"), plain()));
+    (0..5).for_each(|no| s.publish_request(&format!("m{no}"), plain()));
     s.connect(1);
-    assert_eq!(s.told(1), "ready");
+    assert_eq!(s.events(1), "ready");
     s.set_prefetch(1, 2);
     assert_eq!(s.bodies(1), ["m0", "m1"]);
     s.set_prefetch(1, 4);
     assert_eq!(s.bodies(1).len(), 4);
-    // The first goes alone; what comes before its word goes with the next commit.
+    // The first answer is committed alone; those that follow before its Commit-Ok share the next commit.
     (1..=4).for_each(|tag| s.answer(1, tag));
     let commit = AMQPFrame::Method(1, AMQPClass::Tx(tx::AMQPMethod::Commit(tx::Commit {})));
-    assert_eq!(s.session(1).driver().out.iter().filter(|f| **f == commit).count(), 1);
+    assert_eq!(s.session(1).driver().outgoing.iter().filter(|f| **f == commit).count(), 1);
     s.run();
     assert_eq!(s.session(1).driver().committed, [1, 2, 3, 4]);
     assert_eq!((s.broker.waiting_bodies("office").len(), s.bodies(1).len()), (4, 5));
     s.set_prefetch(1, 0);
-    s.ask("m5", plain());
+    s.publish_request("m5", plain());
     assert_eq!((s.bodies(1).len(), s.broker.waiting_bodies(EXTRACTS).len()), (5, 1));
 }
 
 #[test]
-fn what_was_not_committed_comes_again_marked_and_its_answer_is_not_there() {
+fn an_uncommitted_answer_is_discarded_and_its_message_redelivered() {
     let mut s = Harness::new();
-    s.ask("m0", plain());
+    s.publish_request("m0", plain());
     s.connect(1);
     s.set_prefetch(1, 9);
     s.connect(2);
     s.set_prefetch(2, 9);
-    // Publish and acknowledge arrive, the commit does not.
+    // Publish and ack arrive, the commit does not.
     s.answer(1, 1);
-    let mut frames: Vec<_> = s.session(1).driver().out.drain(..).collect();
+    let mut frames: Vec<_> = s.session(1).driver().outgoing.drain(..).collect();
     frames.pop();
     for frame in frames {
         s.broker.frame(s.now, 1, frame);
     }
-    s.drop_conn(1);
+    s.drop_connection(1);
     assert_eq!(s.broker.waiting_bodies("office").len(), 0);
     let again = s.session(2).driver().delivered.clone();
     assert_eq!(again, [(1, true, Bytes::from_static(b"m0"))]);
 }
 
 #[test]
-fn a_commit_whose_word_is_lost_is_done_once() {
+fn a_commit_without_commit_ok_is_applied_once() {
     let mut s = Harness::new();
-    s.ask("m0", plain());
+    s.publish_request("m0", plain());
     s.connect(1);
     s.set_prefetch(1, 9);
     s.broker.faults.omits_commit_ok = true;
     s.answer(1, 1);
     s.run();
     assert!(s.session(1).driver().committed.is_empty());
-    s.drop_conn(1);
-    let left = (s.broker.waiting_bodies("office").len(), s.broker.waiting_bodies(EXTRACTS).len());
-    assert_eq!((left, s.broker.unacknowledged()), ((1, 0), 0));
+    s.drop_connection(1);
+    let remaining = (s.broker.waiting_bodies("office").len(), s.broker.waiting_bodies(EXTRACTS).len());
+    assert_eq!((remaining, s.broker.unacknowledged()), ((1, 0), 0));
 }
 
 #[test]
-fn a_broker_that_blocks_cancels_or_closes_is_told() {
+fn blocking_cancelling_and_closing_are_reported_to_the_session() {
     let mut s = Harness::new();
     s.connect(1);
     s.set_prefetch(1, 9);
@@ -275,55 +275,55 @@
     s.broker.set_blocked(false);
     s.broker.cancel_consumers(EXTRACTS);
     s.run();
-    s.ask("m0", plain());
+    s.publish_request("m0", plain());
     let want = format!("ready; blocked true; blocked false; cancelled {EXTRACTS}");
-    assert_eq!((s.told(1), s.bodies(1).len()), (want, 0));
+    assert_eq!((s.events(1), s.bodies(1).len()), (want, 0));
     s.set_prefetch(1, 3);
-    assert_eq!(s.bodies(1), ["m0"], "it is asked for again");
+    assert_eq!(s.bodies(1), ["m0"], "the queue is consumed again");
     let now = s.now;
     s.session(1).set_prefetch(now, "no-such-queue", 3);
     s.run();
     let want = "over: the broker closed no-such-queue: 404 no queue 'no-such-queue'";
-    assert!(s.told(1).ends_with(want), "{}", s.told(1));
+    assert!(s.events(1).ends_with(want), "{}", s.events(1));
     assert_eq!(
         (s.broker.unacknowledged(), s.broker.waiting_bodies(EXTRACTS).len()),
         (0, 1),
-        "all of it was ended"
+        "the whole session was closed"
     );
 }
 
 #[test]
-fn an_answer_that_nobody_takes_comes_back() {
+fn an_unroutable_answer_is_returned() {
     let mut s = Harness::new();
-    s.ask("m0", plain());
+    s.publish_request("m0", plain());
     s.connect(1);
     s.set_prefetch(1, 9);
     let now = s.now;
     s.session(1).publish_and_ack(now, EXTRACTS, Some(1), "", "no-office", plain(), b"extract");
     s.run();
-    assert_eq!(s.told(1), "ready; returned no-office: NO_ROUTE, 7 bytes");
+    assert_eq!(s.events(1), "ready; returned no-office: NO_ROUTE, 7 bytes");
     assert_eq!(s.session(1).driver().committed, [1]);
 }
 
 #[test]
-fn large_messages_pass_in_parts_and_one_over_the_limit_ends_the_session() {
+fn large_messages_are_split_and_one_over_the_limit_closes_the_session() {
     let mut s = Harness::new();
     let long = "x".repeat(100_000);
-    s.ask(&long, plain());
+    s.publish_request(&long, plain());
     s.connect(1);
     s.set_prefetch(1, 9);
     assert_eq!(s.bodies(1), [long]);
-    s.ask(&"x".repeat((1 << 20) + 1), plain());
+    s.publish_request(&"x".repeat((1 << 20) + 1), plain());
     let want = "over: content of 1048577 bytes on channel 1 is over the limit";
-    assert!(s.told(1).contains(want), "{}", s.told(1));
+    assert!(s.events(1).contains(want), "{}", s.events(1));
 }
 
 #[test]
-fn priorities_go_first_and_what_expires_goes_to_the_dead_letters() {
+fn higher_priorities_are_delivered_first_and_expired_messages_are_dead_lettered() {
     let mut s = Harness::new();
-    s.ask("low", plain());
-    s.ask("high", plain().with_priority(5));
-    s.ask("short", plain().with_expiration("50".into()));
+    s.publish_request("low", plain());
+    s.publish_request("high", plain().with_priority(5));
+    s.publish_request("short", plain().with_expiration("50".into()));
     s.now = s.now + Time(500);
     s.broker.advance(s.now);
     s.connect(1);
@@ -335,26 +335,26 @@
 }
 
 #[test]
-fn heartbeats_are_sent_and_a_broker_that_falls_silent_is_given_up() {
+fn heartbeats_are_sent_and_a_silent_broker_closes_the_session() {
     let mut s = Harness::new();
     s.connect(1);
-    // 10 s were agreed on: one is sent when nothing was said for 5 s.
+    // The heartbeat is 10 s: one is sent after 5 s without other frames.
     for _ in 0..10 {
         s.now = s.now + Time(50_000);
         let now = s.now;
         s.session(1).tick(now);
-        assert_eq!(s.session(1).driver().out, [AMQPFrame::Heartbeat]);
+        assert_eq!(s.session(1).driver().outgoing, [AMQPFrame::Heartbeat]);
         s.run();
     }
     let now = s.now + Time(199_999);
     s.session(1).tick(now);
     assert!(!s.session(1).is_closed());
     s.session(1).tick(now + Time(1));
-    assert_eq!(s.told(1), "ready; over: the broker has fallen silent");
+    assert_eq!(s.events(1), "ready; over: the broker has fallen silent");
 }
 
 #[test]
-fn frames_out_of_place_end_the_session() {
+fn unexpected_frames_close_the_session() {
     let qos_ok = AMQPClass::Basic(basic::AMQPMethod::QosOk(basic::QosOk {}));
     let commit_ok = AMQPClass::Tx(tx::AMQPMethod::CommitOk(tx::CommitOk {}));
     for (frame, want) in [
@@ -367,7 +367,7 @@
         s.set_prefetch(1, 1);
         let now = s.now;
         s.session(1).handle_frame(now, frame);
-        assert!(s.told(1).contains(want), "{}", s.told(1));
+        assert!(s.events(1).contains(want), "{}", s.events(1));
         assert!(s.session(1).is_closed());
     }
 }
