--- a/crates/curlewpoint-emulator/src/broker.rs
+++ b/crates/curlewpoint-emulator/src/broker.rs
@@ -214,7 +214,7 @@
     /// Sends `connection.blocked` or `connection.unblocked` to all clients.
     pub fn set_blocked(&mut self, blocked: bool) {
         self.blocked = blocked;
-        let all: Vec<u64> = self.conns.iter().filter(|(_, c)| c.open).map(|(no, _)| *no).collect();
+        let all: Vec<u64> = self.conns.iter().filter(|(_, c)| c.open).map(|(conn, _)| *conn).collect();
         for conn in all {
             let method = if blocked {
                 connection::AMQPMethod::Blocked(connection::Blocked { reason: "low on memory".into() })
@@ -228,11 +228,11 @@
     /// Cancels all consumers of a queue, as a broker does when the queue's node fails over.
     pub fn cancel_consumers(&mut self, queue: &str) {
         let Some(q) = self.queues.get_mut(queue) else { return };
-        for (conn, no, tag) in std::mem::take(&mut q.consumers) {
-            let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no));
+        for (conn, channel_id, tag) in std::mem::take(&mut q.consumers) {
+            let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&channel_id));
             channel.into_iter().for_each(|c| drop(c.consumers.remove(&tag)));
             let cancel = basic::Cancel { consumer_tag: tag.as_str().into(), nowait: true };
-            self.send(conn, no, AMQPClass::Basic(basic::AMQPMethod::Cancel(cancel)));
+            self.send(conn, channel_id, AMQPClass::Basic(basic::AMQPMethod::Cancel(cancel)));
         }
     }
 
@@ -264,19 +264,20 @@
         self.route(&exchange, &key, properties, message.body);
     }
 
-    fn send(&mut self, conn: u64, no: u16, method: AMQPClass) {
-        self.driver.send(conn, AMQPFrame::Method(no, method));
+    fn send(&mut self, conn: u64, channel_id: u16, method: AMQPClass) {
+        self.driver.send(conn, AMQPFrame::Method(channel_id, method));
     }
 
     fn send_content(
-        &mut self, conn: u64, no: u16, method: basic::AMQPMethod, properties: AMQPProperties, body: &Bytes,
+        &mut self, conn: u64, channel_id: u16, method: basic::AMQPMethod, properties: AMQPProperties,
+        body: &Bytes,
     ) {
-        self.send(conn, no, AMQPClass::Basic(method));
+        self.send(conn, channel_id, AMQPClass::Basic(method));
         let header = AMQPContentHeader { class_id: 60, body_size: body.len() as u64, properties };
-        self.driver.send(conn, AMQPFrame::Header(no, header));
+        self.driver.send(conn, AMQPFrame::Header(channel_id, header));
         let max_part = self.conns.get(&conn).map_or(4096, |c| c.frame_max) as usize - 8;
         for part in body.chunks(max_part) {
-            self.driver.send(conn, AMQPFrame::Body(no, part.to_vec()));
+            self.driver.send(conn, AMQPFrame::Body(channel_id, part.to_vec()));
         }
     }
 
@@ -334,10 +335,11 @@
                 channel.is_some_and(|ch| ch.prefetch == 0 || ch.unacked.len() < usize::from(ch.prefetch))
             };
             let Some(at) = q.consumers.iter().position(has_capacity) else { return };
-            let Some((conn, no, consumer)) = q.consumers.remove(at) else { return };
+            let Some((conn, channel_id, consumer)) = q.consumers.remove(at) else { return };
             let Some(message) = q.ready.pop_front() else { return };
-            q.consumers.push_back((conn, no, consumer.clone()));
-            let Some(channel) = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no)) else {
+            q.consumers.push_back((conn, channel_id, consumer.clone()));
+            let Some(channel) = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&channel_id))
+            else {
                 return;
             };
             channel.next_tag += 1;
@@ -354,7 +356,7 @@
             };
             self.send_content(
                 conn,
-                no,
+                channel_id,
                 basic::AMQPMethod::Deliver(deliver),
                 message.properties,
                 &message.body,
@@ -392,18 +394,24 @@
             AMQPFrame::Method(0, AMQPClass::Connection(method)) => {
                 return self.connection_method(conn, method)
             }
-            AMQPFrame::Method(no, method) if c.open => return self.channel_method(conn, no, method),
-            AMQPFrame::Header(no, header) => c.contents.header(no, header).map(|content| (no, content)),
-            AMQPFrame::Body(no, data) => c.contents.body(no, &data).map(|content| (no, content)),
+            AMQPFrame::Method(channel_id, method) if c.open => {
+                return self.channel_method(conn, channel_id, method)
+            }
+            AMQPFrame::Header(channel_id, header) => {
+                c.contents.header(channel_id, header).map(|content| (channel_id, content))
+            }
+            AMQPFrame::Body(channel_id, data) => {
+                c.contents.body(channel_id, &data).map(|content| (channel_id, content))
+            }
             AMQPFrame::Heartbeat => return self.driver.send(conn, AMQPFrame::Heartbeat),
-            _ => return self.close_with_error(conn, 503, "a frame that has no place here"),
+            _ => return self.close_with_error(conn, 503, "a frame that has channel_id place here"),
         };
         match content {
             Err(e) => self.close_with_error(conn, 505, &e.to_string()),
             Ok((_, None)) => {}
-            Ok((no, Some(content))) => {
+            Ok((channel_id, Some(content))) => {
                 let ContentMethod::Publish(publish) = content.method;
-                self.publish(conn, no, publish, content.properties, content.body);
+                self.publish(conn, channel_id, publish, content.properties, content.body);
             }
         }
     }
@@ -433,9 +441,12 @@
     }
 
     fn publish(
-        &mut self, conn: u64, no: u16, publish: basic::Publish, properties: AMQPProperties, body: Bytes,
+        &mut self, conn: u64, channel_id: u16, publish: basic::Publish, properties: AMQPProperties,
+        body: Bytes,
     ) {
-        let Some(channel) = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no)) else { return };
+        let Some(channel) = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&channel_id)) else {
+            return;
+        };
         if let Some(tx) = &mut channel.tx {
             return tx.push(TxOperation::Publish(publish, Box::new(properties), body));
         }
@@ -443,18 +454,18 @@
             *n += 1;
             *n
         });
-        self.route_published(conn, no, publish, properties, body);
+        self.route_published(conn, channel_id, publish, properties, body);
         if let Some(delivery_tag) = seq {
             self.confirm_count += 1;
             if self.confirm_count % 10 >= self.faults.lost_confirms_per_ten {
                 let ack = basic::Ack { delivery_tag, multiple: false };
-                self.send(conn, no, AMQPClass::Basic(basic::AMQPMethod::Ack(ack)));
+                self.send(conn, channel_id, AMQPClass::Basic(basic::AMQPMethod::Ack(ack)));
             }
         }
     }
 
     fn route_published(
-        &mut self, conn: u64, no: u16, p: basic::Publish, properties: AMQPProperties, body: Bytes,
+        &mut self, conn: u64, channel_id: u16, p: basic::Publish, properties: AMQPProperties, body: Bytes,
     ) {
         let (exchange, key) = (p.exchange.to_string(), p.routing_key.to_string());
         let routed = self.route(&exchange, &key, properties.clone(), body.clone());
@@ -462,28 +473,30 @@
             let (reply_code, reply_text) = (312, "NO_ROUTE".into());
             let (exchange, routing_key) = (p.exchange, p.routing_key);
             let returned = basic::Return { reply_code, reply_text, exchange, routing_key };
-            self.send_content(conn, no, basic::AMQPMethod::Return(returned), properties, &body);
+            self.send_content(conn, channel_id, basic::AMQPMethod::Return(returned), properties, &body);
         }
         self.deliver_all();
     }
 
     /// Removes one unacknowledged delivery from a channel, or all up to its tag.
-    fn take_unacked(&mut self, conn: u64, no: u16, tag: u64, multiple: bool) -> Vec<(String, Message)> {
-        let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no));
+    fn take_unacked(
+        &mut self, conn: u64, channel_id: u16, tag: u64, multiple: bool,
+    ) -> Vec<(String, Message)> {
+        let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&channel_id));
         let Some(channel) = channel else { return Vec::new() };
         let tags: Vec<u64> =
             if multiple { channel.unacked.range(..=tag).map(|(t, _)| *t).collect() } else { vec![tag] };
         tags.iter().filter_map(|t| channel.unacked.remove(t)).collect()
     }
 
-    fn apply(&mut self, conn: u64, no: u16, operation: TxOperation) {
+    fn apply(&mut self, conn: u64, channel_id: u16, operation: TxOperation) {
         match operation {
             TxOperation::Publish(publish, properties, body) => {
-                self.route_published(conn, no, publish, *properties, body)
+                self.route_published(conn, channel_id, publish, *properties, body)
             }
-            TxOperation::Ack(tag, multiple) => drop(self.take_unacked(conn, no, tag, multiple)),
+            TxOperation::Ack(tag, multiple) => drop(self.take_unacked(conn, channel_id, tag, multiple)),
             TxOperation::Reject(tag, multiple, requeue) => {
-                for (queue, message) in self.take_unacked(conn, no, tag, multiple) {
+                for (queue, message) in self.take_unacked(conn, channel_id, tag, multiple) {
                     if requeue {
                         self.requeue(&queue, message);
                     } else {
@@ -494,49 +507,57 @@
         }
     }
 
-    fn apply_or_defer(&mut self, conn: u64, no: u16, operation: TxOperation) {
-        let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&no));
+    fn apply_or_defer(&mut self, conn: u64, channel_id: u16, operation: TxOperation) {
+        let channel = self.conns.get_mut(&conn).and_then(|c| c.channels.get_mut(&channel_id));
         match channel.and_then(|c| c.tx.as_mut()) {
             Some(tx) => tx.push(operation),
-            None => self.apply(conn, no, operation),
+            None => self.apply(conn, channel_id, operation),
         }
         self.deliver_all();
     }
 
-    fn channel_method(&mut self, conn: u64, no: u16, method: AMQPClass) {
+    fn channel_method(&mut self, conn: u64, channel_id: u16, method: AMQPClass) {
         use basic::AMQPMethod as B;
         let Some(c) = self.conns.get_mut(&conn) else { return };
         if let AMQPClass::Channel(channel::AMQPMethod::Open(_)) = method {
-            c.channels.insert(no, Channel::default());
+            c.channels.insert(channel_id, Channel::default());
             let ok = channel::AMQPMethod::OpenOk(channel::OpenOk {});
-            return self.send(conn, no, AMQPClass::Channel(ok));
+            return self.send(conn, channel_id, AMQPClass::Channel(ok));
         }
-        let Some(at) = c.channels.get_mut(&no) else {
+        let Some(at) = c.channels.get_mut(&channel_id) else {
             return self.close_with_error(conn, 504, "a channel that was not opened");
         };
         let reply = match method {
             AMQPClass::Basic(B::Publish(publish)) => {
-                if c.contents.start(no, ContentMethod::Publish(publish)).is_err() {
+                if c.contents.start(channel_id, ContentMethod::Publish(publish)).is_err() {
                     self.close_with_error(conn, 505, "content cut short");
                 }
                 return;
             }
             AMQPClass::Basic(B::Ack(ack)) => {
-                return self.apply_or_defer(conn, no, TxOperation::Ack(ack.delivery_tag, ack.multiple))
+                return self.apply_or_defer(
+                    conn,
+                    channel_id,
+                    TxOperation::Ack(ack.delivery_tag, ack.multiple),
+                )
             }
             AMQPClass::Basic(B::Nack(n)) => {
                 return self.apply_or_defer(
                     conn,
-                    no,
+                    channel_id,
                     TxOperation::Reject(n.delivery_tag, n.multiple, n.requeue),
                 )
             }
             AMQPClass::Basic(B::Reject(r)) => {
-                return self.apply_or_defer(conn, no, TxOperation::Reject(r.delivery_tag, false, r.requeue))
+                return self.apply_or_defer(
+                    conn,
+                    channel_id,
+                    TxOperation::Reject(r.delivery_tag, false, r.requeue),
+                )
             }
             AMQPClass::Basic(B::Qos(qos)) => {
                 at.prefetch = qos.prefetch_count;
-                self.send(conn, no, AMQPClass::Basic(B::QosOk(basic::QosOk {})));
+                self.send(conn, channel_id, AMQPClass::Basic(B::QosOk(basic::QosOk {})));
                 return self.deliver_all();
             }
             AMQPClass::Basic(B::Consume(consume)) => {
@@ -545,19 +566,23 @@
                     let text = format!("no queue '{queue}'");
                     let (reply_text, class_id, method_id) = (text.into(), 60, 20);
                     let close = channel::Close { reply_code: 404, reply_text, class_id, method_id };
-                    return self.send(conn, no, AMQPClass::Channel(channel::AMQPMethod::Close(close)));
+                    return self.send(
+                        conn,
+                        channel_id,
+                        AMQPClass::Channel(channel::AMQPMethod::Close(close)),
+                    );
                 };
-                q.consumers.push_back((conn, no, tag.clone()));
+                q.consumers.push_back((conn, channel_id, tag.clone()));
                 at.consumers.insert(tag, Consumer { queue: queue.clone(), no_ack: consume.no_ack });
                 let ok = basic::ConsumeOk { consumer_tag: consume.consumer_tag };
-                self.send(conn, no, AMQPClass::Basic(B::ConsumeOk(ok)));
+                self.send(conn, channel_id, AMQPClass::Basic(B::ConsumeOk(ok)));
                 return self.deliver(&queue);
             }
             AMQPClass::Basic(B::Cancel(cancel)) => {
                 let tag = cancel.consumer_tag.to_string();
                 if let Some(consumer) = at.consumers.remove(&tag) {
                     let q = self.queues.get_mut(&consumer.queue);
-                    q.into_iter().for_each(|q| q.consumers.retain(|c| *c != (conn, no, tag.clone())));
+                    q.into_iter().for_each(|q| q.consumers.retain(|c| *c != (conn, channel_id, tag.clone())));
                 }
                 if cancel.nowait {
                     return;
@@ -590,11 +615,11 @@
             }
             AMQPClass::Tx(tx::AMQPMethod::Commit(_)) => {
                 let all = at.tx.as_mut().map(std::mem::take).unwrap_or_default();
-                all.into_iter().for_each(|operation| self.apply(conn, no, operation));
+                all.into_iter().for_each(|operation| self.apply(conn, channel_id, operation));
                 if self.faults.omits_commit_ok {
                     return;
                 }
-                self.send(conn, no, AMQPClass::Tx(tx::AMQPMethod::CommitOk(tx::CommitOk {})));
+                self.send(conn, channel_id, AMQPClass::Tx(tx::AMQPMethod::CommitOk(tx::CommitOk {})));
                 return self.deliver_all();
             }
             AMQPClass::Tx(tx::AMQPMethod::Rollback(_)) => {
@@ -606,17 +631,23 @@
                 AMQPClass::Confirm(confirm::AMQPMethod::SelectOk(confirm::SelectOk {}))
             }
             AMQPClass::Channel(channel::AMQPMethod::Close(_)) => {
-                if let Some(closed) = c.channels.remove(&no) {
-                    c.contents.channel_closed(no);
-                    self.queues.values_mut().for_each(|q| q.consumers.retain(|x| (x.0, x.1) != (conn, no)));
+                if let Some(closed) = c.channels.remove(&channel_id) {
+                    c.contents.channel_closed(channel_id);
+                    self.queues
+                        .values_mut()
+                        .for_each(|q| q.consumers.retain(|x| (x.0, x.1) != (conn, channel_id)));
                     self.requeue_unacked(closed);
                 }
-                self.send(conn, no, AMQPClass::Channel(channel::AMQPMethod::CloseOk(channel::CloseOk {})));
+                self.send(
+                    conn,
+                    channel_id,
+                    AMQPClass::Channel(channel::AMQPMethod::CloseOk(channel::CloseOk {})),
+                );
                 return self.deliver_all();
             }
             AMQPClass::Channel(_) => return,
             _ => return self.close_with_error(conn, 540, "not served here"),
         };
-        self.send(conn, no, reply);
+        self.send(conn, channel_id, reply);
     }
 }
--- a/crates/curlewpoint-lab/src/http_client.rs
+++ b/crates/curlewpoint-lab/src/http_client.rs
@@ -14,7 +14,7 @@
 
 use crate::transcript::{Transcript, TranscriptEvent};
 
-/// A client with many RPCs on one HTTP/2 connection, which writes down what it sends and what comes.
+/// A client with many RPCs on one HTTP/2 connection, which records what it sends and receives.
 pub struct HttpClient {
     sender: http2::SendRequest<Full<Bytes>>,
     scheduler: String,
@@ -25,7 +25,7 @@
 
 type HttpResult = Result<(StatusCode, Bytes), hyper::Error>;
 
-/// What became of a request, as its status and its problem's type tell.
+/// Maps a response, by its status and problem type, to an event.
 fn event_for(key: u64, response: HttpResult) -> Option<TranscriptEvent> {
     let final_answer = |answer| Some(TranscriptEvent::FinalAnswer { key, answer });
     match response {
@@ -40,15 +40,16 @@
                 }
             }
         }
-        // The server says that it has not looked at it: it came after the server's last word.
+        // The server has not processed the request: it arrived after the server's GOAWAY.
         Err(e) if is_unprocessed(&e) => {
             Some(TranscriptEvent::Refused { key, reason: "not looked at".to_owned() })
         }
-        // Nothing came: who was to answer has to account for it.
+        // No response: the RPC counts as unanswered.
         Err(_) => None,
     }
 }
 
+/// Whether the request failed before the server processed it.
 fn is_unprocessed(e: &hyper::Error) -> bool {
     let reason = e.source().and_then(|s| s.downcast_ref::<h2::Error>()).and_then(h2::Error::reason);
     e.is_canceled() || reason == Some(h2::Reason::REFUSED_STREAM)
@@ -67,7 +68,7 @@
         Ok(HttpClient { sender, scheduler, transcript, open: TaskTracker::new(), connection_task })
     }
 
-    /// Sends an RPC; its key stands in the first bytes of its body.
+    /// Sends an RPC; its key is the first eight bytes of its body.
     pub fn send_rpc(
         &self, key: u64, method: &str, model: &str, tenant: &str, time_left: Time, body_bytes: usize,
     ) {
@@ -100,7 +101,7 @@
         });
     }
 
-    /// Waits until all that is open has its answer or the connection its end.
+    /// Waits until every open RPC is answered or the connection has closed.
     pub async fn wait_closed(self) {
         self.open.close();
         self.open.wait().await;
--- a/crates/curlewpoint-lab/src/lib.rs
+++ b/crates/curlewpoint-lab/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory: stand-ins on loopback sockets, scripted days, a client, and the checker of the five rules.
+//! Test servers on loopback sockets, scripted scenarios, clients, and the checker of the five rules.
 
 mod http_client;
 mod native_client;
--- a/crates/curlewpoint-lab/src/native_client.rs
+++ b/crates/curlewpoint-lab/src/native_client.rs
@@ -13,7 +13,7 @@
 
 use crate::transcript::{Transcript, TranscriptEvent};
 
-/// What came of one RPC.
+/// Outcome of one RPC.
 #[derive(Debug, PartialEq)]
 pub enum CallOutcome {
     Final {
@@ -24,11 +24,11 @@
         body: Bytes,
     },
     Refused(String),
-    /// No answer came in its time, or the connection broke.
+    /// No answer came in time, or the connection broke.
     NoAnswer,
 }
 
-/// One RPC frame.
+/// Builds an RPC frame without a body.
 pub fn encode_rpc(
     tag: u64, method: &str, model: &str, tenant: &str, time_left: Time, token: Option<&str>,
 ) -> Frame {
@@ -37,7 +37,7 @@
     token.map_or(f.clone(), |t| f.text(Field::TOKEN, t))
 }
 
-/// Calls one method once and waits for the answer.
+/// Calls a method once and waits for the answer.
 pub async fn call(
     address: &str, method: &str, model: &str, tenant: &str, time_left: Time, token: Option<&str>, body: Bytes,
 ) -> Result<CallOutcome, LinkError> {
@@ -70,12 +70,12 @@
     tokio::time::timeout(timeout_after, answer).await.unwrap_or(Ok(CallOutcome::NoAnswer))
 }
 
-/// A client with many RPCs on one connection, which writes down what it sends and what comes.
+/// A client with many RPCs on one native connection, which records what it sends and receives.
 pub struct NativeClient {
     outbox: Outbox,
     scheduler: String,
     transcript: Transcript,
-    /// The scheduler wants nothing more on this connection.
+    /// Set when the scheduler has sent GO_AWAY on this connection.
     going_away: Arc<Mutex<bool>>,
     reader_task: JoinHandle<()>,
 }
@@ -119,7 +119,7 @@
         })
     }
 
-    /// Sends an RPC; its key is its tag, and the first bytes of its body.
+    /// Sends an RPC; its key is its tag and the first eight bytes of its body.
     pub fn send_rpc(
         &self, key: u64, method: &str, model: &str, tenant: &str, time_left: Time, body_bytes: usize,
     ) {
@@ -143,12 +143,12 @@
         let _ = self.outbox.send(Frame::new(Kind::CANCEL).int(Field::TAG, key), None);
     }
 
-    /// Ends the connection, whatever is open on it.
+    /// Drops the connection with all RPCs open on it.
     pub fn disconnect(self) {
         self.reader_task.abort();
     }
 
-    /// Waits until the scheduler has ended the connection.
+    /// Waits until the scheduler has closed the connection.
     pub async fn wait_closed(self) {
         drop(self.outbox);
         let _ = self.reader_task.await;
--- a/crates/curlewpoint-lab/src/report.rs
+++ b/crates/curlewpoint-lab/src/report.rs
@@ -9,16 +9,17 @@
 use crate::rules::{Verdict, RULES};
 use crate::transcript::{Transcript, TranscriptEvent};
 
-/// Where a method's RPCs went, as their clients saw it.
+/// Outcomes of a method's RPCs as seen by the clients.
 pub struct MethodSummary {
     pub sent: u64,
     pub ok: u64,
+    /// Ended ok after the soft deadline.
     pub late: u64,
     pub denied: u64,
     pub aborted: u64,
     pub refused: u64,
     pub unanswered: u64,
-    /// Of RPCs that ended ok, in tenths of a millisecond.
+    /// Latency of RPCs that ended ok, in tenths of a millisecond.
     pub latency: Histogram<u64>,
 }
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// Answers by method.
+/// Summarizes the outcomes by method.
 pub fn summarize(config: &Config, all: &[(Time, TranscriptEvent)]) -> BTreeMap<String, MethodSummary> {
     let mut summaries: BTreeMap<String, MethodSummary> = BTreeMap::new();
     let mut open: BTreeMap<u64, (Time, String)> = BTreeMap::new();
@@ -67,7 +68,7 @@
     summaries
 }
 
-/// Answers by method, latencies and the five rules, for a terminal.
+/// Renders outcomes and latencies by method and the results of the five rules for a terminal.
 pub fn render(config: &Config, all: &[(Time, TranscriptEvent)], verdict: &Verdict) -> String {
     let mut out = String::new();
     // Writing to a String cannot fail.
@@ -98,7 +99,7 @@
 }
 
 impl std::fmt::Display for Verdict {
-    /// The five rules, a line each, and what broke them.
+    /// Prints a line for each rule, then the first violations.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for (index, rule) in RULES.iter().enumerate() {
             let violations = self.violations.iter().filter(|b| b.rule == index + 1).count();
--- a/crates/curlewpoint-lab/src/rules.rs
+++ b/crates/curlewpoint-lab/src/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, judged from what passed on the sockets and from nothing else.
+//! Checks the five rules against a transcript of what passed on the sockets, and nothing else.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,7 +8,7 @@
 
 use crate::transcript::TranscriptEvent;
 
-/// What the rules are judged by: the deployment's figures and those of its workers.
+/// Parameters of the rules: settings of the deployment and properties of its workers.
 #[derive(Clone, Debug)]
 pub struct RuleParameters {
     pub effects: BTreeMap<String, Effect>,
@@ -18,21 +18,22 @@
     pub load_window: Time,
     pub load_floor: f64,
     pub load_share: f64,
-    /// Which cell and zone each worker is in.
+    /// Cell and zone of each worker.
     pub groups: BTreeMap<String, (String, String)>,
-    /// What each worker does in a millisecond when warm, in milliseconds of work; the mean work of each method.
+    /// Milliseconds of work that each worker does per millisecond when warm.
     pub capacity: BTreeMap<String, f64>,
+    /// Mean work of each method in milliseconds.
     pub work: BTreeMap<String, f64>,
     pub start_capacity: f64,
     pub warm_within: Time,
-    /// What is sent and what is recorded lie so far apart at most: the machine's own delays.
+    /// Longest delay of the machine between sending something and recording it.
     pub max_transit: Time,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     Idempotent,
-    /// Workers of one group know each other's tokens for so long.
+    /// Workers of one group share their tokens for `span`.
     Tokened {
         group: String,
         span: Time,
@@ -41,7 +42,7 @@
 }
 
 impl RuleParameters {
-    /// What a configuration says of the rules; the workers' part is the caller's.
+    /// Reads the parameters from a configuration; the caller adds `groups`, `capacity` and `work`.
     pub fn from_config(config: &Config) -> RuleParameters {
         let ms = |name| Time::from_ms(config.number("workers", name));
         let effect = |m: &String| match config.method_value(m, "effect") {
@@ -81,13 +82,13 @@
     pub description: String,
 }
 
-/// Where every RPC went, and which rules were broken.
+/// Result of a rule check: violations, and how often and how closely each rule was tested.
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     pub violations: Vec<Violation>,
-    /// The nearest approach to each limit, where it has one: 1 is the limit.
+    /// Closest approach to each rule's limit, as a share of it, for rules that have one.
     pub closest: [f64; 5],
-    /// What each rule was judged on.
+    /// Number of checks made of each rule.
     pub checks: [usize; 5],
 }
 
@@ -114,45 +115,46 @@
     }
 }
 
-/// Who was suspensions by the script, from when to when.
+/// A component that the script suspended, from and until when.
 type Suspension = (String, Time, Time);
 
-/// When the machine gave no turn, and to which scheduler; none: to clients and stand-ins.
+/// Periods in which a process got no CPU time: of a scheduler, or with `None` of clients and test servers.
 type Stalls = [(Option<String>, Time, Time)];
 
-/// How long between these moments the machine gave no turn to a scheduler or to its clients. What both missed counts once.
+/// Time between `from` and `to` in which the scheduler or its clients got no CPU time; overlapping stalls count once.
 fn stalled(stalls: &Stalls, scheduler: &str, from: Time, to: Time) -> Time {
-    let concerns = |who: &Option<String>| who.as_deref().is_none_or(|who| who == scheduler);
+    let affects = |stalled: &Option<String>| stalled.as_deref().is_none_or(|name| name == scheduler);
     let mut parts: Vec<(Time, Time)> = stalls
         .iter()
-        .filter(|(who, ..)| concerns(who))
+        .filter(|(stalled, ..)| affects(stalled))
         .map(|(_, since, until)| ((*since).max(from), (*until).min(to)))
         .filter(|(since, until)| since < until)
         .collect();
     parts.sort();
-    let (mut sum, mut upto) = (Time(0), from);
+    let (mut total, mut counted_until) = (Time(0), from);
     for (since, until) in parts {
-        sum = sum + (until - since.max(upto).min(until));
-        upto = upto.max(until);
+        total = total + (until - since.max(counted_until).min(until));
+        counted_until = counted_until.max(until);
     }
-    sum
+    total
 }
 
-/// What is known of one RPC.
+/// Events of one RPC.
 #[derive(Default)]
 struct RpcTrace {
+    /// Time of sending and time left then.
     sent: Option<(Time, Time)>,
     scheduler: String,
     method: String,
     finals: Vec<(Time, Answer)>,
     refused: bool,
     client_left: Option<Time>,
-    /// Each attempt that arrived: when, where, and whether it was turned away unseen.
+    /// Arrival time and worker of each attempt, and whether the worker rejected it without looking at it.
     attempts: Vec<(Time, String, bool)>,
     executions: Vec<(Time, String)>,
 }
 
-/// Judges a day that is over.
+/// Checks all rules against the transcript of a finished scenario.
 pub fn check_rules(parameters: &RuleParameters, all: &[(Time, TranscriptEvent)]) -> Verdict {
     let mut verdict = Verdict::default();
     let mut traces: BTreeMap<u64, RpcTrace> = BTreeMap::new();
@@ -200,21 +202,23 @@
     verdict
 }
 
-/// Rule 1. An RPC of a scheduler that the script suspensions still past the RPC's time is nobody's duty, as is one whose
-/// client left. While the machine gave no turn no time is counted: an answer that lay in a client's socket was not late.
+/// Rule 1: one final answer in time and nothing after it. No answer is owed by a scheduler that the script suspended past
+/// the deadline, nor to a client that has left. Stalls of the machine are subtracted: an answer that waited in a client's
+/// socket is not late.
 fn check_answers(
     parameters: &RuleParameters, verdict: &mut Verdict, key: u64, s: &RpcTrace, suspensions: &[Suspension],
     stalls: &Stalls,
 ) {
     let Some((sent_at, time_left)) = s.sent else {
         if let Some((at, _)) = s.finals.first() {
-            verdict.add_violation(*at, 1, format!("RPC {key}: answered, never asked"));
+            verdict.add_violation(*at, 1, format!("RPC {key}: answered, never sent"));
         }
         return;
     };
     let deadline = sent_at + time_left;
-    let excused =
-        suspensions.iter().any(|(who, from, to)| *who == s.scheduler && *from <= deadline && *to >= sent_at);
+    let excused = suspensions
+        .iter()
+        .any(|(component, from, to)| *component == s.scheduler && *from <= deadline && *to >= sent_at);
     match (s.refused, s.finals.len()) {
         (true, 0) | (false, 1) => {}
         (false, 0) if excused || s.client_left.is_some_and(|l| l <= deadline) => {}
@@ -227,19 +231,19 @@
         (false, n) => verdict.add_violation(s.finals[1].0, 1, format!("RPC {key}: {n} final answers")),
     }
     let Some((at, answer)) = s.finals.first() else { return };
-    let took = *at - sent_at - stalled(stalls, &s.scheduler, sent_at, *at);
+    let latency = *at - sent_at - stalled(stalls, &s.scheduler, sent_at, *at);
     if !excused {
-        verdict.record_check(1, took.ms() / time_left.ms().max(0.1));
+        verdict.record_check(1, latency.ms() / time_left.ms().max(0.1));
     }
-    if took > time_left && !excused {
+    if latency > time_left && !excused {
         verdict.add_violation(
             *at,
             1,
-            format!("RPC {key}: {answer:?} came {:.1} ms late", (took - time_left).ms()),
+            format!("RPC {key}: {answer:?} came {:.1} ms late", (latency - time_left).ms()),
         );
     }
-    let over = s.client_left.map_or(*at, |l| l.min(*at)) + parameters.max_transit;
-    let late = |sent: Time| sent > over + stalled(stalls, &s.scheduler, over, sent);
+    let ended_at = s.client_left.map_or(*at, |l| l.min(*at)) + parameters.max_transit;
+    let late = |sent: Time| sent > ended_at + stalled(stalls, &s.scheduler, ended_at, sent);
     for (when, worker, _) in
         s.attempts.iter().filter(|a| late(earliest_send(parameters, suspensions, &a.1, a.0)))
     {
@@ -252,16 +256,16 @@
     }
 }
 
-/// When an attempt that arrived at `at` may have been sent: what reaches a worker that was kept from reading may have
-/// lain in its socket since then.
+/// Earliest time at which a frame that arrived at `at` may have been sent: input of a worker that was kept from reading
+/// may have waited in its socket since then.
 fn earliest_send(parameters: &RuleParameters, suspensions: &[Suspension], worker: &str, at: Time) -> Time {
-    let kept = suspensions
-        .iter()
-        .find(|(who, from, to)| who == worker && *from <= at && at <= *to + parameters.max_transit);
-    kept.map_or(at, |(_, from, _)| *from)
+    let suspension = suspensions.iter().find(|(component, from, to)| {
+        component == worker && *from <= at && at <= *to + parameters.max_transit
+    });
+    suspension.map_or(at, |(_, from, _)| *from)
 }
 
-/// Rule 2, from the workers' side: what arrived and was not turned away may have run.
+/// Rule 2, as seen by the workers: an attempt that arrived and was not rejected may have run.
 fn check_effects(parameters: &RuleParameters, verdict: &mut Verdict, key: u64, s: &RpcTrace) {
     let Some(effect) = parameters.effects.get(&s.method) else { return };
     let may_have_run: Vec<_> = s.attempts.iter().filter(|a| !a.2).collect();
@@ -333,7 +337,7 @@
     }
 }
 
-/// Rule 3.
+/// Rule 3: no attempt or load order reaches a draining or gone worker after the drain grace.
 fn check_drains(
     parameters: &RuleParameters, verdict: &mut Verdict, all: &[(Time, TranscriptEvent)],
     suspensions: &[Suspension],
@@ -349,18 +353,20 @@
             }
             TranscriptEvent::AttemptArrived { scheduler, worker, .. }
             | TranscriptEvent::LoadOrdered { scheduler, worker } => {
-                let Some(told_at) = unavailable.get(&(scheduler.as_str(), worker.as_str())) else { continue };
-                let after = earliest_send(parameters, suspensions, worker, *at) - *told_at;
+                let Some(reported_at) = unavailable.get(&(scheduler.as_str(), worker.as_str())) else {
+                    continue;
+                };
+                let after = earliest_send(parameters, suspensions, worker, *at) - *reported_at;
                 verdict.record_check(
                     3,
                     (after - parameters.max_transit).ms() / parameters.drain_grace.ms().max(0.1),
                 );
                 if after > parameters.drain_grace + parameters.max_transit {
-                    let what = format!(
+                    let description = format!(
                         "{scheduler} sent to {worker} {:.0} ms after it was told that it drains or is gone",
                         after.ms()
                     );
-                    verdict.add_violation(*at, 3, what);
+                    verdict.add_violation(*at, 3, description);
                 }
             }
             _ => {}
@@ -368,16 +374,16 @@
     }
 }
 
-/// What arrived of late, with its mean work.
+/// Arrival time and mean work of the latest attempts.
 type Window = VecDeque<(Time, f64)>;
 
-/// Rule 4: what all schedulers together send in any window, against what the worker can do at its end.
+/// Rule 4: the work that all schedulers together send in any window, against the worker's capacity at its end.
 fn check_cold_workers(parameters: &RuleParameters, verdict: &mut Verdict, all: &[(Time, TranscriptEvent)]) {
-    let mut cold: BTreeMap<&str, (Time, Window)> = BTreeMap::new();
+    let mut cold_workers: BTreeMap<&str, (Time, Window)> = BTreeMap::new();
     for (at, event) in all {
         match event {
             TranscriptEvent::WorkerStarted { worker } => {
-                cold.insert(worker, (*at, VecDeque::new()));
+                cold_workers.insert(worker, (*at, VecDeque::new()));
             }
             TranscriptEvent::WorkerOverloaded { worker, offered, limit } => {
                 verdict.add_violation(
@@ -387,12 +393,12 @@
                 );
             }
             TranscriptEvent::AttemptArrived { worker, method, .. } => {
-                let Some((since, window)) = cold.get_mut(worker.as_str()) else { continue };
+                let Some((since, window)) = cold_workers.get_mut(worker.as_str()) else { continue };
                 let capacity_share = parameters.start_capacity
                     + (1.0 - parameters.start_capacity) * (*at - *since).0 as f64
                         / parameters.warm_within.0.max(1) as f64;
                 if capacity_share >= 1.0 {
-                    cold.remove(worker.as_str());
+                    cold_workers.remove(worker.as_str());
                     continue;
                 }
                 window.push_back((*at, parameters.work.get(method).copied().unwrap_or(0.0)));
@@ -421,7 +427,7 @@
     }
 }
 
-/// Rule 5.
+/// Rule 5: load orders of each scheduler stay within the floor plus the share of its RPCs.
 fn check_load_orders(parameters: &RuleParameters, verdict: &mut Verdict, all: &[(Time, TranscriptEvent)]) {
     if parameters.load_window == Time(0) {
         return;
@@ -430,16 +436,16 @@
         .iter()
         .filter_map(|(_, s)| if let TranscriptEvent::Refused { key, .. } = s { Some(*key) } else { None })
         .collect();
-    let mut taken: BTreeMap<&str, VecDeque<Time>> = BTreeMap::new();
+    let mut rpcs: BTreeMap<&str, VecDeque<Time>> = BTreeMap::new();
     let mut orders: BTreeMap<&str, VecDeque<Time>> = BTreeMap::new();
     for (at, event) in all {
         match event {
             TranscriptEvent::RpcSent { key, scheduler, .. } if !refused.contains(key) => {
-                taken.entry(scheduler).or_default().push_back(*at)
+                rpcs.entry(scheduler).or_default().push_back(*at)
             }
             TranscriptEvent::LoadOrdered { scheduler, .. } => {
-                let (taken, orders) =
-                    (taken.entry(scheduler).or_default(), orders.entry(scheduler).or_default());
+                let (rpcs, orders) =
+                    (rpcs.entry(scheduler).or_default(), orders.entry(scheduler).or_default());
                 orders.push_back(*at);
                 while orders
                     .front()
@@ -447,20 +453,18 @@
                 {
                     orders.pop_front();
                 }
-                while taken
-                    .front()
-                    .is_some_and(|t| *t + parameters.load_window + parameters.max_transit < *at)
+                while rpcs.front().is_some_and(|t| *t + parameters.load_window + parameters.max_transit < *at)
                 {
-                    taken.pop_front();
+                    rpcs.pop_front();
                 }
-                let max_orders = parameters.load_floor + parameters.load_share * taken.len() as f64;
+                let max_orders = parameters.load_floor + parameters.load_share * rpcs.len() as f64;
                 verdict.record_check(5, orders.len() as f64 / max_orders.max(1e-9));
                 if orders.len() as f64 > max_orders {
-                    let what = format!(
+                    let description = format!(
                         "{scheduler}: {} load orders in a window, {max_orders:.1} at most",
                         orders.len()
                     );
-                    verdict.add_violation(*at, 5, what);
+                    verdict.add_violation(*at, 5, description);
                 }
             }
             _ => {}
--- a/crates/curlewpoint-lab/src/scenario.rs
+++ b/crates/curlewpoint-lab/src/scenario.rs
@@ -20,23 +20,23 @@
 use crate::test_servers::{TestListService, TestStore, TestWorker};
 use crate::transcript::{Transcript, TranscriptEvent};
 
-/// A day that has been played.
+/// Result of a finished scenario.
 pub struct ScenarioResult {
     pub events: Vec<(Time, TranscriptEvent)>,
     pub verdict: Verdict,
-    /// What each scheduler says of itself; those killed say nothing.
+    /// Counters of each scheduler, except those that were killed.
     pub counters: BTreeMap<String, EngineCounters>,
     pub report: String,
 }
 
-/// Which door the day's clients come by.
+/// Protocol that the scenario's clients use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientProtocol {
     Native,
     Http,
 }
 
-/// One client's connection.
+/// A client's connection.
 enum Client {
     Native(NativeClient),
     Http(HttpClient),
@@ -80,12 +80,14 @@
     }
 }
 
-/// A scheduler on a thread and a runtime of its own, as in a process of its own: it can be held still or killed.
+/// A scheduler on its own thread and runtime, as if in its own process: it can be stalled or killed.
 struct Instance {
     name: String,
     address: SocketAddr,
     runtime: tokio::runtime::Handle,
+    /// True shuts the scheduler down, false kills it.
     stop: mpsc::UnboundedSender<bool>,
+    /// Completes with the final counters, or without them after a kill.
     stopped_rx: oneshot::Receiver<EngineCounters>,
 }
 
@@ -107,7 +109,7 @@
                         return None;
                     }
                 };
-                // Where clients come by HTTP, that is its address.
+                // The address of the HTTP listener if there is one, as the clients then use HTTP.
                 let address = gateway.http.unwrap_or(gateway.address);
                 tokio::spawn(transcript.watch_scheduler_stalls(config.text("name").to_owned()));
                 let _ = started_tx.send(Ok((address, tokio::runtime::Handle::current())));
@@ -129,7 +131,7 @@
         Ok(Instance { name, address, runtime, stop, stopped_rx })
     }
 
-    /// Gets no turn for so long.
+    /// Blocks the scheduler's thread for this time.
     fn stall(&self, duration: Duration) {
         self.runtime.spawn(async move { std::thread::sleep(duration) });
     }
@@ -145,20 +147,20 @@
     }
 }
 
-/// What the load goes by; the script changes it.
+/// Parameters of the generated load, which scripted events change.
 pub struct Traffic {
-    /// Of the script's rate.
+    /// Factor on the script's rate.
     pub rate_factor: f64,
-    /// Each scheduler's part of it.
+    /// Each scheduler's share of the rate.
     pub shares: Vec<f64>,
-    /// The part of the RPCs that ask for a model asked for once.
+    /// Share of RPCs for models that are requested only once.
     pub scan_share: f64,
-    /// Where clients find each scheduler.
+    /// Address of each scheduler.
     pub addresses: Vec<SocketAddr>,
     pub finished: bool,
 }
 
-/// The load's terms, as the script changes them while clients go by them.
+/// Load parameters shared by the scenario and its clients.
 pub type SharedTraffic = Arc<Mutex<Traffic>>;
 
 fn lock_traffic(shared: &SharedTraffic) -> std::sync::MutexGuard<'_, Traffic> {
@@ -173,17 +175,17 @@
     list: TestListService,
     store: TestStore,
     workers: Vec<TestWorker>,
-    /// Each worker's start, counted.
+    /// Number of starts of each worker.
     starts: Vec<u64>,
     instances: Vec<Option<Instance>>,
     traffic: SharedTraffic,
     rng: Rand64,
-    /// What is to happen, by time.
+    /// Pending actions by time, then by order of scheduling.
     schedule: BTreeMap<(Time, u64), Action>,
     next_action: u64,
 }
 
-/// One step of something that the script does.
+/// A step of a scripted event.
 enum Action {
     StartEvent(ScriptEvent),
     SetLifecycle(usize, Lifecycle),
@@ -198,7 +200,7 @@
     StartScheduler(usize),
 }
 
-/// Plays a script against real sockets, with schedulers that run this configuration and clients that come by this door.
+/// Runs a script on loopback sockets, with schedulers of this configuration and clients of this protocol.
 pub async fn run_scenario(
     config: &Config, script: &Script, protocol: ClientProtocol,
 ) -> std::io::Result<ScenarioResult> {
@@ -211,12 +213,12 @@
     }
     let begin = fleet.transcript.now();
     let end = begin + fleet.script.length;
-    while let Some((&(at, no), _)) = fleet.schedule.first_key_value() {
+    while let Some((&(at, index), _)) = fleet.schedule.first_key_value() {
         if at >= fleet.script.length {
             break;
         }
         sleep_until(fleet.transcript.instant(begin + at).into()).await;
-        if let Some(action) = fleet.schedule.remove(&(at, no)) {
+        if let Some(action) = fleet.schedule.remove(&(at, index)) {
             fleet.perform(at, action).await?;
         }
     }
@@ -238,8 +240,8 @@
         let spec = script.worker_spec(config);
         let method_costs = script.method_costs();
         let mut workers = Vec::new();
-        for no in 0..script.workers {
-            let (name, seed) = (format!("w-{no:03}"), script.seed * 1000 + no as u64);
+        for index in 0..script.workers {
+            let (name, seed) = (format!("w-{index:03}"), script.seed * 1000 + index as u64);
             workers.push(
                 TestWorker::start(
                     any,
@@ -277,32 +279,34 @@
             schedule: BTreeMap::new(),
             next_action: 0,
         };
-        for no in 0..fleet.workers.len() {
-            fleet.publish_entry(no, Lifecycle::Ready, None);
-            // Popular models stand at two workers each when the day begins.
+        for index in 0..fleet.workers.len() {
+            fleet.publish_entry(index, Lifecycle::Ready, None);
+            // Each model is loaded at two workers at the start.
             for rank in 0..fleet.script.models {
-                if (rank * 7 + 3) % fleet.workers.len() == no || (rank * 5 + 1) % fleet.workers.len() == no {
+                if (rank * 7 + 3) % fleet.workers.len() == index
+                    || (rank * 5 + 1) % fleet.workers.len() == index
+                {
                     let mean = fleet.script.methods.values().map(|m| m.1.memory_mb).fold(0.0, f64::max);
-                    fleet.workers[no].preload(&format!("model-{rank}"), mean);
+                    fleet.workers[index].preload(&format!("model-{rank}"), mean);
                 }
             }
         }
         fleet.list.set_delay(fleet.script.list_delay);
-        for no in 0..fleet.script.schedulers {
-            let instance = fleet.start_instance(no, "127.0.0.1:0").await?;
-            set_address(&fleet.traffic, instance.address, no);
+        for index in 0..fleet.script.schedulers {
+            let instance = fleet.start_instance(index, "127.0.0.1:0").await?;
+            set_address(&fleet.traffic, instance.address, index);
             fleet.instances.push(Some(instance));
         }
         Ok(fleet)
     }
 
-    async fn start_instance(&self, no: usize, listen: &str) -> std::io::Result<Instance> {
-        let config = self.config.clone().with_value("name", &format!("front-{no}"));
+    async fn start_instance(&self, index: usize, listen: &str) -> std::io::Result<Instance> {
+        let config = self.config.clone().with_value("name", &format!("front-{index}"));
         let config = match self.protocol {
             ClientProtocol::Native => config.with_value("listen", listen),
             ClientProtocol::Http => config.with_value("http", listen),
         };
-        let config = config.with_value("seed", &format!("{}", self.script.seed * 100 + no as u64));
+        let config = config.with_value("seed", &format!("{}", self.script.seed * 100 + index as u64));
         Instance::start(config, self.transcript.clone()).await
     }
 
@@ -315,10 +319,10 @@
         (format!("cell-{cell}"), format!("zone-{}", cell % self.script.zones))
     }
 
-    fn publish_entry(&self, no: usize, lifecycle: Lifecycle, started_at: Option<Time>) {
-        let w = &self.workers[no];
-        let (cell, zone) = self.cell_and_zone(no);
-        let (address, start_id) = (w.address.to_string(), self.starts[no]);
+    fn publish_entry(&self, index: usize, lifecycle: Lifecycle, started_at: Option<Time>) {
+        let w = &self.workers[index];
+        let (cell, zone) = self.cell_and_zone(index);
+        let (address, start_id) = (w.address.to_string(), self.starts[index]);
         self.list.set_entry(
             &w.name,
             ListEntry { address, lifecycle, start_id, started_at, zone, cell, size: 1.0 },
@@ -328,10 +332,10 @@
     /// Starts a client for each scheduler.
     fn start_clients(&self) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
-        for no in 0..self.instances.len() {
+        for index in 0..self.instances.len() {
             let (transcript, shared, script) =
                 (self.transcript.clone(), Arc::clone(&self.traffic), self.script.clone());
-            tasks.spawn(generate_load(no, self.protocol, transcript, shared, script, self.config.clone()));
+            tasks.spawn(generate_load(index, self.protocol, transcript, shared, script, self.config.clone()));
         }
         tasks
     }
@@ -341,7 +345,7 @@
         self.schedule.insert((at, self.next_action), action);
     }
 
-    /// So many of `n`, drawn.
+    /// Chooses this share of `n` indices at random, at least one.
     fn choose(&mut self, n: usize, share: f64) -> Vec<usize> {
         let mut all: Vec<usize> = (0..n).collect();
         for i in (1..n).rev() {
@@ -354,22 +358,24 @@
     async fn perform(&mut self, at: Time, action: Action) -> std::io::Result<()> {
         match action {
             Action::StartEvent(event) => self.start_event(at, event).await?,
-            Action::SetLifecycle(no, lifecycle) => self.list.set_lifecycle(&self.workers[no].name, lifecycle),
-            Action::Kill(no) => self.workers[no].kill(),
-            Action::StartWorker(no) => {
-                self.workers[no].start_process(true);
-                self.starts[no] += 1;
-                self.publish_entry(no, Lifecycle::Ready, Some(self.transcript.now()));
+            Action::SetLifecycle(index, lifecycle) => {
+                self.list.set_lifecycle(&self.workers[index].name, lifecycle)
             }
-            Action::SetFaults(no, change) => self.workers[no].set_faults(change),
-            Action::Pause(no, span) => self.workers[no].pause_until(self.transcript.now() + span),
-            Action::Mute(no, mute) => self.workers[no].mute(mute),
+            Action::Kill(index) => self.workers[index].kill(),
+            Action::StartWorker(index) => {
+                self.workers[index].start_process(true);
+                self.starts[index] += 1;
+                self.publish_entry(index, Lifecycle::Ready, Some(self.transcript.now()));
+            }
+            Action::SetFaults(index, change) => self.workers[index].set_faults(change),
+            Action::Pause(index, span) => self.workers[index].pause_until(self.transcript.now() + span),
+            Action::Mute(index, mute) => self.workers[index].mute(mute),
             Action::Traffic(change) => change(&mut lock_traffic(&self.traffic)),
             Action::SetStoreRejecting(refuses) => self.store.set_rejecting(refuses),
             Action::SetListDelay(late) => self.list.set_delay(late),
-            Action::StartScheduler(no) => {
-                let listen = lock_traffic(&self.traffic).addresses[no].to_string();
-                self.instances[no] = Some(self.start_instance(no, &listen).await?);
+            Action::StartScheduler(index) => {
+                let listen = lock_traffic(&self.traffic).addresses[index].to_string();
+                self.instances[index] = Some(self.start_instance(index, &listen).await?);
             }
         }
         Ok(())
@@ -385,22 +391,22 @@
         let workers = self.workers.len();
         match e.kind {
             EventKind::Crash => {
-                for no in self.choose(workers, e.share) {
-                    self.kill_until(at, end, no);
+                for index in self.choose(workers, e.share) {
+                    self.kill_until(at, end, index);
                 }
             }
             EventKind::MassRestart => {
                 let cell = self.rng.rand_range(0..self.script.cells as u64) as usize;
-                for no in (0..workers).filter(|w| self.cell(*w) == cell).collect::<Vec<_>>() {
-                    self.kill_until(at, end, no);
+                for index in (0..workers).filter(|w| self.cell(*w) == cell).collect::<Vec<_>>() {
+                    self.kill_until(at, end, index);
                 }
             }
             EventKind::Deploy => {
                 let all = self.choose(workers, e.share);
                 let batch = ((workers as f64 * e.size.min(1.0)).round() as usize).max(1);
                 let batches = all.len().div_ceil(batch) as u64;
-                for (no, worker) in all.into_iter().enumerate() {
-                    let from = at + Time(e.duration.0 * (no / batch) as u64 / batches);
+                for (index, worker) in all.into_iter().enumerate() {
+                    let from = at + Time(e.duration.0 * (index / batch) as u64 / batches);
                     self.schedule(from, Action::SetLifecycle(worker, Lifecycle::Draining));
                     self.schedule(from + e.interval, Action::Kill(worker));
                     self.schedule(from + e.interval + Time(3_000), Action::StartWorker(worker));
@@ -421,38 +427,38 @@
             ),
             EventKind::Ageing => {
                 let cell = self.rng.rand_range(0..self.script.cells as u64) as usize;
-                for no in (0..workers).filter(|w| self.cell(*w) == cell).collect::<Vec<_>>() {
+                for index in (0..workers).filter(|w| self.cell(*w) == cell).collect::<Vec<_>>() {
                     for step in 1..=10u64 {
                         let slow = 1.0 + (e.size - 1.0) * step as f64 / 10.0;
                         let change = Box::new(move |f: &mut curlewpoint_emulator::Faults| f.slowdown = slow);
                         self.schedule(
                             at + Time(e.duration.0 * (step - 1) / 10),
-                            Action::SetFaults(no, change),
+                            Action::SetFaults(index, change),
                         );
                     }
-                    self.schedule(end, Action::SetFaults(no, Box::new(|f| f.slowdown = 1.0)));
+                    self.schedule(end, Action::SetFaults(index, Box::new(|f| f.slowdown = 1.0)));
                 }
             }
             EventKind::Pauses => {
-                for no in self.choose(workers, e.share) {
+                for index in self.choose(workers, e.share) {
                     let mut from = at;
                     while from < end {
-                        self.schedule(from, Action::Pause(no, Time::from_ms(e.size * 100.0)));
+                        self.schedule(from, Action::Pause(index, Time::from_ms(e.size * 100.0)));
                         from = from + e.interval.max(Time(100));
                     }
                 }
             }
             EventKind::Cut => {
-                for no in self.choose(workers, e.share) {
-                    self.workers[no].cut_next_frame();
+                for index in self.choose(workers, e.share) {
+                    self.workers[index].cut_next_frame();
                 }
             }
             EventKind::Mute => {
-                for no in self.choose(workers, e.share) {
-                    let (component, until) = (self.workers[no].name.clone(), now + e.duration);
+                for index in self.choose(workers, e.share) {
+                    let (component, until) = (self.workers[index].name.clone(), now + e.duration);
                     self.transcript.add(TranscriptEvent::Suspended { component, until });
-                    self.workers[no].mute(true);
-                    self.schedule(end, Action::Mute(no, false));
+                    self.workers[index].mute(true);
+                    self.schedule(end, Action::Mute(index, false));
                 }
             }
             EventKind::StoreStop => self.store.stop_until(now + e.duration),
@@ -466,8 +472,8 @@
                 self.schedule(end, Action::SetListDelay(self.script.list_delay));
             }
             EventKind::SchedulerStall => {
-                for no in self.choose(self.instances.len(), e.share) {
-                    if let Some(instance) = &self.instances[no] {
+                for index in self.choose(self.instances.len(), e.share) {
+                    if let Some(instance) = &self.instances[index] {
                         let (component, until) = (instance.name.clone(), now + e.duration + Time(500));
                         self.transcript.add(TranscriptEvent::Suspended { component, until });
                         instance.stall(Duration::from_micros(e.duration.0 * 100));
@@ -475,12 +481,12 @@
                 }
             }
             EventKind::SchedulerKill => {
-                for no in self.choose(self.instances.len(), e.share) {
-                    if let Some(instance) = self.instances[no].take() {
+                for index in self.choose(self.instances.len(), e.share) {
+                    if let Some(instance) = self.instances[index].take() {
                         let (component, until) = (instance.name.clone(), now + e.duration + Time(2_000));
                         self.transcript.add(TranscriptEvent::Suspended { component, until });
                         instance.kill().await;
-                        self.schedule(end, Action::StartScheduler(no));
+                        self.schedule(end, Action::StartScheduler(index));
                     }
                 }
             }
@@ -508,11 +514,11 @@
         Ok(())
     }
 
-    fn kill_until(&mut self, at: Time, end: Time, no: usize) {
-        self.workers[no].kill();
-        // The list tells of a death late; `list-late` comes on top.
-        self.schedule(at + Time(2_000), Action::SetLifecycle(no, Lifecycle::Gone));
-        self.schedule(end.max(at + Time(2_001)), Action::StartWorker(no));
+    fn kill_until(&mut self, at: Time, end: Time, index: usize) {
+        self.workers[index].kill();
+        // The list reports a dead worker 200 ms later; `list-late` is added to that.
+        self.schedule(at + Time(2_000), Action::SetLifecycle(index, Lifecycle::Gone));
+        self.schedule(end.max(at + Time(2_001)), Action::StartWorker(index));
     }
 
     fn inject_fault(
@@ -520,13 +526,13 @@
         begin_fault: impl Fn(&mut curlewpoint_emulator::Faults) + Clone + Send + 'static,
         end_fault: impl Fn(&mut curlewpoint_emulator::Faults) + Clone + Send + 'static,
     ) {
-        for no in self.choose(self.workers.len(), share) {
-            self.workers[no].set_faults(begin_fault.clone());
-            self.schedule(end, Action::SetFaults(no, Box::new(end_fault.clone())));
+        for index in self.choose(self.workers.len(), share) {
+            self.workers[index].set_faults(begin_fault.clone());
+            self.schedule(end, Action::SetFaults(index, Box::new(end_fault.clone())));
         }
     }
 
-    /// No more is asked; what is open has its time, and then the schedulers end in order.
+    /// Stops the load, shuts the schedulers down once open RPCs have ended, and checks the rules.
     async fn finish(self, mut clients: JoinSet<()>) -> std::io::Result<ScenarioResult> {
         lock_traffic(&self.traffic).finished = true;
         let mut counters = BTreeMap::new();
@@ -542,8 +548,8 @@
         }
         while clients.join_next().await.is_some() {}
         let mut parameters = RuleParameters::from_config(&self.config);
-        for (no, w) in self.workers.iter().enumerate() {
-            let cell = no * self.script.cells / self.workers.len();
+        for (index, w) in self.workers.iter().enumerate() {
+            let cell = index * self.script.cells / self.workers.len();
             let cell_and_zone = (format!("cell-{cell}"), format!("zone-{}", cell % self.script.zones));
             parameters.groups.insert(w.name.clone(), cell_and_zone);
             parameters.capacity.insert(w.name.clone(), self.script.cores);
@@ -556,19 +562,19 @@
     }
 }
 
-fn set_address(shared: &SharedTraffic, address: SocketAddr, no: usize) {
+fn set_address(shared: &SharedTraffic, address: SocketAddr, index: usize) {
     let mut t = lock_traffic(shared);
-    t.addresses.truncate(no);
+    t.addresses.truncate(index);
     t.addresses.push(address);
 }
 
-/// One scheduler's clients, called `front-` and its number: arrivals at random, whatever became of those before (an open loop).
+/// Generates the load of one scheduler, which is named `front-` and its number: an open loop with random arrivals.
 pub async fn generate_load(
-    no: usize, protocol: ClientProtocol, transcript: Transcript, shared: SharedTraffic, script: Script,
+    index: usize, protocol: ClientProtocol, transcript: Transcript, shared: SharedTraffic, script: Script,
     config: Config,
 ) {
-    let mut rng = Rand64::new(u128::from(script.seed * 31 + no as u64));
-    let mut key = (no as u64 + 1) << 40;
+    let mut rng = Rand64::new(u128::from(script.seed * 31 + index as u64));
+    let mut key = (index as u64 + 1) << 40;
     let mut connection: Option<Client> = None;
     let weights: Vec<f64> = (1..=script.models).map(|rank| (rank as f64).powf(-script.zipf)).collect();
     let sum: f64 = weights.iter().sum();
@@ -579,7 +585,7 @@
     loop {
         let (rate, address, scan_share, finished) = {
             let t = lock_traffic(&shared);
-            (script.rate * t.rate_factor * t.shares[no], t.addresses[no], t.scan_share, t.finished)
+            (script.rate * t.rate_factor * t.shares[index], t.addresses[index], t.scan_share, t.finished)
         };
         if finished {
             break;
@@ -587,13 +593,13 @@
         let gap = if rate > 0.0 { (-(1.0 - rng.rand_float()).ln() / rate).min(0.2) } else { 0.1 };
         at = at + Time::from_ms(gap * 1000.0);
         sleep_until(transcript.instant(at).into()).await;
-        // A gap that was cut short, and a moment without traffic, ask for nothing.
+        // A shortened gap, or a rate of zero, sends nothing.
         if rate == 0.0 || gap >= 0.2 {
             continue;
         }
         if connection.as_ref().is_none_or(Client::is_closed) {
             connection =
-                Client::open(protocol, &address.to_string(), &format!("front-{no}"), &transcript).await;
+                Client::open(protocol, &address.to_string(), &format!("front-{index}"), &transcript).await;
         }
         let Some(up) = &connection else { continue };
         let mut draw = rng.rand_float() * script.methods.values().map(|m| m.0).sum::<f64>();
@@ -613,7 +619,7 @@
             });
             format!("model-{}", rank.unwrap_or(0))
         };
-        // A try is given up after 50 to 100% of the method's deadline.
+        // The client waits for 50 to 100% of the method's deadline.
         let time_left = Time::from_ms(deadline(method).ms() * (0.5 + 0.5 * rng.rand_float()));
         let tenant = tenants.get(rng.rand_range(0..tenants.len().max(1) as u64) as usize);
         up.send_rpc(key, method, &model, tenant.map_or("", String::as_str), time_left, script.body);
--- a/crates/curlewpoint-lab/src/script.rs
+++ b/crates/curlewpoint-lab/src/script.rs
@@ -7,15 +7,16 @@
 
 use crate::test_servers::MethodCost;
 
-/// The configuration and the script that `rehearse` plays.
+/// Configuration of the schedulers that `rehearse` runs.
 pub const REHEARSAL_CONFIG: &str = include_str!("../days/rehearsal.conf");
+/// Script of the scenario that `rehearse` runs.
 pub const BAD_DAY: &str = include_str!("../days/bad.day");
-/// The kinds of trouble that the bad day has not.
+/// Script with the kinds of events that `BAD_DAY` lacks.
 pub const SECOND_DAY: &str = include_str!("../days/second.day");
 
 macro_rules! kinds {
     ($($name:ident $text:literal $about:literal)*) => {
-        /// What a script can do.
+        /// Kinds of scripted events.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum EventKind { $(#[doc = $about] $name),* }
 
@@ -49,22 +50,23 @@
     Flush "flush" "`part` of the models are released anew: idle copies are void"
 }
 
-/// One thing that happens, at a time.
+/// A scripted event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptEvent {
     pub at: Time,
     pub kind: EventKind,
-    /// Of the workers, schedulers or models.
+    /// Share of the workers, schedulers or models that it affects.
     pub share: f64,
     pub duration: Time,
+    /// Strength of the event; its meaning depends on the kind.
     pub size: f64,
     pub interval: Time,
 }
 
-/// Is told of a fault: its line, its word, what is wrong.
+/// Reports an error in a script: its line, the index of the word, and the message.
 pub type ReportError<'a> = dyn FnMut(&Line, usize, String) + 'a;
 
-/// A day: the fleet, the load, and what happens.
+/// A parsed scenario script: the fleet, the load and the events.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub length: Time,
@@ -82,13 +84,13 @@
     pub store_max_fetches: usize,
     pub store_overload_penalty: f64,
     pub list_delay: Time,
-    /// RPCs a second, at all schedulers together.
+    /// RPCs per second at all schedulers together.
     pub rate: f64,
     pub models: usize,
-    /// Popularity falls with the rank to this power.
+    /// Exponent of the Zipf distribution of RPCs over models.
     pub zipf: f64,
     pub body: usize,
-    /// Each method's share of the RPCs, and what it costs a worker.
+    /// Each method's share of the RPCs and its cost at a worker.
     pub methods: BTreeMap<String, (f64, MethodCost)>,
     pub events: Vec<ScriptEvent>,
 }
@@ -140,7 +142,7 @@
     bytes(text).map(|b| b / 1048576.0)
 }
 
-/// Takes a value into its place; false: there is no such directive.
+/// Sets the field of a directive; returns false if there is no such directive.
 fn set(s: &mut Script, name: &str, v: &str) -> Result<bool, String> {
     match name {
         "length" => s.length = time(v)?,
@@ -237,7 +239,7 @@
 }
 
 impl Script {
-    /// What a worker of this script is, where schedulers run with this configuration.
+    /// Capacity of this script's workers, with the workers' settings of the schedulers' configuration.
     pub fn worker_spec(&self, config: &Config) -> WorkerSpec {
         let workers = |name| config.number("workers", name);
         WorkerSpec {
@@ -257,12 +259,12 @@
         }
     }
 
-    /// What each method costs a worker.
+    /// Cost of each method at a worker.
     pub fn method_costs(&self) -> Arc<BTreeMap<String, MethodCost>> {
         Arc::new(self.methods.iter().map(|(m, (_, t))| (m.clone(), *t)).collect())
     }
 
-    /// Reads a script; all faults are told at once.
+    /// Parses a script and reports all errors at once.
     pub fn parse(name: &str, text: &str) -> Result<Script, ConfigErrors> {
         read_lines(name, text, |lines, fault| {
             let mut events = Vec::new();
@@ -279,8 +281,8 @@
         })
     }
 
-    /// Reads the lines of a script that tell the fleet and the load, and what they leave out from another; `other` is asked about those that do not, and says
-    /// whether it knows them.
+    /// Parses the lines of a script that describe the fleet and the load; `base` supplies what they omit. Other lines go to
+    /// `other`, which returns whether it knows the directive.
     pub fn from_lines(
         base: Script, lines: &[Line], fault: &mut ReportError,
         other: &mut dyn FnMut(&Line, &mut ReportError) -> bool,
@@ -325,7 +327,7 @@
     use test_case::test_case;
 
     #[test]
-    fn the_shipped_day_and_its_configuration_are_read() {
+    fn the_shipped_script_and_its_configuration_parse() {
         let day = Script::parse("bad.day", BAD_DAY).unwrap_or_else(|f| panic!("{f}"));
         let config =
             curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG).unwrap_or_else(|f| panic!("{f}"));
@@ -340,7 +342,7 @@
     #[test_case("rate x", "'x' is not a number" ; "nonsense")]
     #[test_case("rte 5", "no directive 'rte'" ; "an unknown directive")]
     #[test_case("workers 0", "workers must be at value 1" ; "no worker")]
-    fn faults_are_told_with_their_place(line: &str, want: &str) {
+    fn errors_are_reported_with_their_position(line: &str, want: &str) {
         let told = Script::parse("x.day", &format!("method a {{\n  work 5ms\n}}\n{line}\n")).unwrap_err();
         assert!(told.rendered.contains(want) && told.rendered.contains("x.day:"), "{told}");
     }
--- a/crates/curlewpoint-lab/src/test_servers/broker.rs
+++ b/crates/curlewpoint-lab/src/test_servers/broker.rs
@@ -17,23 +17,24 @@
 use tokio_util::codec::{Encoder, Framed};
 
 enum Outgoing {
-    /// Half of it, and then nothing more.
+    /// Sends the first half of the frame and closes the connection.
     HalfFrame(Box<AMQPFrame>),
     Frame(Box<AMQPFrame>),
-    Agreed(u32, u16),
+    /// Sets the negotiated frame and channel limits.
+    SetLimits(u32, u16),
 }
 
 enum Event {
     Connected(u64, mpsc::UnboundedSender<Outgoing>, AbortHandle),
     Frame(u64, Box<AMQPFrame>),
     Disconnected(u64),
-    /// Ends the connections of all clients that are up.
+    /// Drops the connections of all clients.
     DisconnectAll,
-    /// Ends a connection when it sends its next commit, before or after that is done.
+    /// Drops the connection that sends the next commit, before or (if true) after applying it.
     DisconnectAtCommit(bool),
-    /// Says nothing more to whoever sends the next commit, before or after that is done, and tells of it.
+    /// Does not answer the next commit, which is applied if true, and notifies the sender.
     SilenceAtCommit(bool, oneshot::Sender<()>),
-    /// Tells of the next message that is delivered.
+    /// Notifies when the next message has been delivered.
     NextDelivery(oneshot::Sender<()>),
     SetFaults(BrokerFaults),
     SetBlocked(bool),
@@ -41,7 +42,7 @@
     CancelConsumers(String),
     Enqueue(String, Box<AMQPProperties>, Bytes),
     Messages(String, oneshot::Sender<Vec<Message>>),
-    /// Tells once one of these queues has so count messages.
+    /// Notifies once one of these queues has at least this many messages.
     WaitForMessages(Vec<String>, usize, oneshot::Sender<()>),
     MessageCount(String, oneshot::Sender<usize>),
 }
@@ -49,12 +50,12 @@
 #[derive(Default)]
 struct Sockets {
     cut_delivery: bool,
-    outs: BTreeMap<u64, (mpsc::UnboundedSender<Outgoing>, AbortHandle)>,
+    connections: BTreeMap<u64, (mpsc::UnboundedSender<Outgoing>, AbortHandle)>,
 }
 
 impl BrokerDriver for Sockets {
     fn send(&mut self, conn: u64, frame: AMQPFrame) {
-        if let Some((out, _)) = self.outs.get(&conn) {
+        if let Some((out, _)) = self.connections.get(&conn) {
             if self.cut_delivery && is_delivery(&frame) {
                 self.cut_delivery = false;
                 let _ = out.send(Outgoing::HalfFrame(Box::new(frame)));
@@ -64,16 +65,16 @@
         }
     }
     fn agreed(&mut self, conn: u64, frame_max: u32, channel_max: u16) {
-        if let Some((out, _)) = self.outs.get(&conn) {
-            let _ = out.send(Outgoing::Agreed(frame_max, channel_max));
+        if let Some((out, _)) = self.connections.get(&conn) {
+            let _ = out.send(Outgoing::SetLimits(frame_max, channel_max));
         }
     }
     fn close(&mut self, conn: u64) {
-        self.outs.remove(&conn);
+        self.connections.remove(&conn);
     }
 }
 
-/// A broker on a socket, with what goes wrong by a test's word.
+/// An AMQP broker on a socket, with faults that the test injects.
 pub struct TestBroker {
     pub address: SocketAddr,
     events: mpsc::UnboundedSender<Event>,
@@ -89,7 +90,7 @@
 }
 
 impl TestBroker {
-    /// A broker with these queues.
+    /// Starts a broker with these queues.
     pub async fn start(listen: &str, queues: &[&str]) -> std::io::Result<TestBroker> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -97,15 +98,15 @@
         let event_tx = events.clone();
         let (mute, muted) = watch::channel(false);
         let (count, accepted) = watch::channel(0);
-        let accepting = tokio::spawn(async move {
+        let accept_task = tokio::spawn(async move {
             let mut conn = 0;
             while let Ok((stream, _)) = listener.accept().await {
                 conn += 1;
                 count.send_replace(conn);
-                let (out, waiting) = mpsc::unbounded_channel();
+                let (out_tx, out_rx) = mpsc::unbounded_channel();
                 let connection_task =
-                    tokio::spawn(run_connection(conn, stream, waiting, event_tx.clone(), muted.clone()));
-                let _ = event_tx.send(Event::Connected(conn, out, connection_task.abort_handle()));
+                    tokio::spawn(run_connection(conn, stream, out_rx, event_tx.clone(), muted.clone()));
+                let _ = event_tx.send(Event::Connected(conn, out_tx, connection_task.abort_handle()));
                 let event_tx = event_tx.clone();
                 tokio::spawn(async move {
                     let _ = connection_task.await;
@@ -114,7 +115,7 @@
             }
         });
         let tasks =
-            [accepting, tokio::spawn(run(queues.iter().map(|q| (*q).to_owned()).collect(), events_rx))];
+            [accept_task, tokio::spawn(run(queues.iter().map(|q| (*q).to_owned()).collect(), events_rx))];
         Ok(TestBroker { address, events, mute, accepted, tasks })
     }
 
@@ -122,26 +123,26 @@
         let _ = self.events.send(event);
     }
 
-    /// Puts a message into a queue, as a requester does.
+    /// Publishes a message to a queue.
     pub fn enqueue(&self, queue: &str, properties: AMQPProperties, body: Bytes) {
         self.send(Event::Enqueue(queue.to_owned(), Box::new(properties), body));
     }
 
-    /// What waits in a queue.
-    /// Waits until one of these queues has so count messages.
+    /// Waits until one of these queues has at least `count` messages.
     pub async fn wait_for_messages(&self, queues: &[&str], count: usize) {
         let (done_tx, done_rx) = oneshot::channel();
         self.send(Event::WaitForMessages(queues.iter().map(|q| (*q).to_owned()).collect(), count, done_tx));
         let _ = done_rx.await;
     }
 
+    /// Messages ready in a queue.
     pub async fn messages(&self, queue: &str) -> Vec<Message> {
         let (done_tx, done_rx) = oneshot::channel();
         self.send(Event::Messages(queue.to_owned(), done_tx));
         done_rx.await.unwrap_or_default()
     }
 
-    /// How count messages wait in a queue.
+    /// Number of messages ready in a queue.
     pub async fn message_count(&self, queue: &str) -> usize {
         let (done_tx, done_rx) = oneshot::channel();
         self.send(Event::MessageCount(queue.to_owned(), done_tx));
@@ -152,18 +153,19 @@
         self.send(Event::DisconnectAll);
     }
 
-    pub fn disconnect_at_commit(&self, done: bool) {
-        self.send(Event::DisconnectAtCommit(done));
+    /// Drops the connection that sends the next commit, after applying it if `applied`.
+    pub fn disconnect_at_commit(&self, applied: bool) {
+        self.send(Event::DisconnectAtCommit(applied));
     }
 
-    /// When the next commit has come: it is done, or not, and its sender hears nothing of it.
-    pub async fn silence_at_commit(&self, done: bool) -> oneshot::Receiver<()> {
+    /// Leaves the next commit unanswered; it is applied if `applied`. The receiver completes when it has arrived.
+    pub async fn silence_at_commit(&self, applied: bool) -> oneshot::Receiver<()> {
         let (done_tx, done_rx) = oneshot::channel();
-        self.send(Event::SilenceAtCommit(done, done_tx));
+        self.send(Event::SilenceAtCommit(applied, done_tx));
         done_rx
     }
 
-    /// When the next message has been delivered.
+    /// The receiver completes when the next message has been delivered.
     pub async fn next_delivery(&self) -> oneshot::Receiver<()> {
         let (done_tx, done_rx) = oneshot::channel();
         self.send(Event::NextDelivery(done_tx));
@@ -174,17 +176,17 @@
         self.send(Event::SetFaults(faults));
     }
 
-    /// The next delivery is cut off in its middle, and its connection with it.
+    /// Cuts the next delivery in the middle and closes its connection.
     pub fn cut_delivery(&self) {
         self.send(Event::CutDelivery);
     }
 
-    /// Waits until so count connections have been accepted.
+    /// Waits until at least `count` connections have been accepted.
     pub async fn wait_for_connections(&self, count: u64) {
         let _ = self.accepted.clone().wait_for(|n| *n >= count).await;
     }
 
-    /// Reads nothing and writes nothing, or does again; connections stay up.
+    /// While muted, nothing is read or written; connections stay open.
     pub fn set_muted(&self, mute: bool) {
         let _ = self.mute.send(mute);
     }
@@ -222,7 +224,7 @@
                     let _ = framed.get_mut().write_all(&bytes[..bytes.len() / 2]).await;
                     return;
                 }
-                Some(Outgoing::Agreed(frame_max, channel_max)) => framed.codec_mut().set_limits(frame_max, channel_max),
+                Some(Outgoing::SetLimits(frame_max, channel_max)) => framed.codec_mut().set_limits(frame_max, channel_max),
                 None => return,
             },
         }
@@ -242,7 +244,7 @@
 async fn run(queues: Vec<String>, mut events: mpsc::UnboundedReceiver<Event>) {
     let (mut broker, started_at, mut disconnect_at) = (Broker::new(Sockets::default()), Instant::now(), None);
     let mut silence: Option<(bool, oneshot::Sender<()>)> = None;
-    let mut at_delivery: Option<oneshot::Sender<()>> = None;
+    let mut delivery_waiter: Option<oneshot::Sender<()>> = None;
     let mut waiters: Vec<(Vec<String>, usize, oneshot::Sender<()>)> = Vec::new();
     queues.iter().for_each(|q| broker.declare(q));
     let mut tick = tokio::time::interval(std::time::Duration::from_millis(20));
@@ -257,19 +259,19 @@
         };
         let Some(event) = event else { return };
         let disconnect = |broker: &mut Broker<Sockets>, conn: u64| {
-            if let Some((_, connection_task)) = broker.driver().outs.remove(&conn) {
+            if let Some((_, connection_task)) = broker.driver().connections.remove(&conn) {
                 connection_task.abort();
             }
             broker.connection_closed(now, conn);
         };
         match event {
             Event::Connected(conn, out, connection_task) => {
-                broker.driver().outs.insert(conn, (out, connection_task));
+                broker.driver().connections.insert(conn, (out, connection_task));
                 broker.connection_opened(conn);
             }
             Event::Frame(conn, frame) if silence.is_some() && is_commit(&frame) => {
-                if let Some((done, done_tx)) = silence.take() {
-                    if done {
+                if let Some((applied, done_tx)) = silence.take() {
+                    if applied {
                         broker.faults.omits_commit_ok = true;
                         broker.frame(now, conn, *frame);
                         broker.faults.omits_commit_ok = false;
@@ -278,9 +280,9 @@
                 }
             }
             Event::Frame(conn, frame) => match disconnect_at.filter(|_| is_commit(&frame)) {
-                Some(done) => {
+                Some(applied) => {
                     disconnect_at = None;
-                    if done {
+                    if applied {
                         broker.frame(now, conn, *frame);
                     }
                     disconnect(&mut broker, conn);
@@ -289,12 +291,12 @@
             },
             Event::Disconnected(conn) => disconnect(&mut broker, conn),
             Event::DisconnectAll => {
-                let all: Vec<u64> = broker.driver().outs.keys().copied().collect();
+                let all: Vec<u64> = broker.driver().connections.keys().copied().collect();
                 all.into_iter().for_each(|conn| disconnect(&mut broker, conn));
             }
-            Event::SilenceAtCommit(done, done_tx) => silence = Some((done, done_tx)),
-            Event::NextDelivery(done_tx) => at_delivery = Some(done_tx),
-            Event::DisconnectAtCommit(done) => disconnect_at = Some(done),
+            Event::SilenceAtCommit(applied, done_tx) => silence = Some((applied, done_tx)),
+            Event::NextDelivery(done_tx) => delivery_waiter = Some(done_tx),
+            Event::DisconnectAtCommit(applied) => disconnect_at = Some(applied),
             Event::Enqueue(queue, properties, body) => broker.enqueue(now, &queue, *properties, body),
             Event::SetFaults(faults) => broker.faults = faults,
             Event::CutDelivery => broker.driver().cut_delivery = true,
@@ -310,7 +312,7 @@
             let _ = done_tx.send(());
         }
         if broker.unacknowledged() > 0 {
-            if let Some(done_tx) = at_delivery.take() {
+            if let Some(done_tx) = delivery_waiter.take() {
                 let _ = done_tx.send(());
             }
         }
--- a/crates/curlewpoint-lab/src/test_servers/list.rs
+++ b/crates/curlewpoint-lab/src/test_servers/list.rs
@@ -20,7 +20,7 @@
     Down(Time),
 }
 
-/// The list service on a socket: it pushes changes, late by a stated time, to all who watch.
+/// A list service on a socket: it pushes changes to all watchers after a configurable delay.
 pub struct TestListService {
     pub address: SocketAddr,
     changes: mpsc::UnboundedSender<Change>,
@@ -56,7 +56,7 @@
         let _ = self.changes.send(Change::Delay(delay));
     }
 
-    /// The service is away until then, and comes back as a new run of itself that knows the same workers.
+    /// Takes the service down until then; it restarts with a new epoch and the same workers.
     pub fn down_until(&self, until: Time) {
         let _ = self.changes.send(Change::Down(until));
     }
@@ -65,7 +65,7 @@
 struct Watcher {
     name: String,
     outgoing: mpsc::UnboundedSender<Outgoing>,
-    /// The version that it was told last; none: it has not asked.
+    /// Epoch and version last sent to it; `None` until it watches.
     version: Option<(u64, u64)>,
 }
 
@@ -78,7 +78,7 @@
     let mut listening = Some(Listener::open(listener, "list".to_owned(), event_tx.clone(), muted.clone()));
     let mut model = ListModel::new(1);
     let mut watchers: BTreeMap<PeerId, Watcher> = BTreeMap::new();
-    // Changes wait here until their time has come.
+    // `waiting` holds changes until their delay has passed.
     let (mut delay, mut waiting, mut down_until) = (delay, Vec::<(Time, Change)>::new(), Time(0));
     loop {
         let now = transcript.now();
--- a/crates/curlewpoint-lab/src/test_servers/mod.rs
+++ b/crates/curlewpoint-lab/src/test_servers/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on sockets.
+//! Test servers on loopback sockets.
 
 pub mod broker;
 pub mod list;
--- a/crates/curlewpoint-lab/src/test_servers/scripted_worker.rs
+++ b/crates/curlewpoint-lab/src/test_servers/scripted_worker.rs
@@ -9,13 +9,14 @@
 
 use super::wire::{Listener, Outgoing, PeerEvent, PeerId};
 
-/// A worker whose answers the test gives by hand.
+/// A worker whose answers the test sends explicitly.
 pub struct ScriptedWorker {
     pub name: String,
     pub address: SocketAddr,
     listener: Option<Listener>,
     events: mpsc::UnboundedReceiver<PeerEvent>,
     pub peers: BTreeMap<PeerId, mpsc::UnboundedSender<Outgoing>>,
+    /// While true, the worker does not read from its connections.
     pub mute: watch::Sender<bool>,
 }
 
@@ -25,11 +26,11 @@
         let address = listener.local_addr().expect("bound");
         let (event_tx, events) = mpsc::unbounded_channel();
         let (mute, muted) = watch::channel(false);
-        let accepting = Some(Listener::open(listener, name.to_owned(), event_tx, muted));
+        let accept_task = Some(Listener::open(listener, name.to_owned(), event_tx, muted));
         ScriptedWorker {
             name: name.to_owned(),
             address,
-            listener: accepting,
+            listener: accept_task,
             events,
             peers: BTreeMap::new(),
             mute,
@@ -40,7 +41,7 @@
     pub async fn next_attempt(&mut self) -> (PeerId, Frame) {
         loop {
             let Some(event) = self.events.recv().await else {
-                // It has died: nothing arrives any more.
+                // The worker was killed: nothing arrives any more.
                 std::future::pending().await
             };
             match event {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether an attempt arrives before this event has happened.
+    /// Whether an attempt arrives before this future completes.
     pub async fn attempt_before(&mut self, event: impl std::future::Future<Output = ()>) -> bool {
         tokio::select! {
             _ = self.next_attempt() => true,
@@ -72,12 +73,13 @@
         self.send(*peer, Outgoing::Frame(encode_answer(f, outcome)));
     }
 
-    /// The process dies: all connections end at once.
+    /// Simulates the death of the process: all connections end at once.
     pub fn kill(&mut self) {
         self.listener = None;
     }
 }
 
+/// Builds an answer that echoes the attempt's body.
 pub fn encode_answer(f: &Frame, outcome: Outcome) -> Frame {
     let tag = f.get_int(Field::TAG).expect("attempts have tags");
     Frame::new(Kind::ANSWER)
--- a/crates/curlewpoint-lab/src/test_servers/store.rs
+++ b/crates/curlewpoint-lab/src/test_servers/store.rs
@@ -20,7 +20,7 @@
     SetRejecting(bool),
 }
 
-/// The model store on a socket.
+/// A model store on a socket.
 pub struct TestStore {
     pub address: SocketAddr,
     faults: mpsc::UnboundedSender<Fault>,
@@ -47,12 +47,12 @@
         Ok(TestStore { address, faults, rejected, requested, task })
     }
 
-    /// Fetches that were turned away so far.
+    /// Fetches rejected so far.
     pub fn rejected_fetches(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
 
-    /// Fetches that were open for so far.
+    /// Fetches requested so far.
     pub fn requested_fetches(&self) -> u64 {
         self.requested.load(Ordering::Relaxed)
     }
--- a/crates/curlewpoint-lab/src/test_servers/wire.rs
+++ b/crates/curlewpoint-lab/src/test_servers/wire.rs
@@ -1,4 +1,4 @@
-//! A stand-in's side of a connection: it can cut one in the middle of a frame, and stop reading.
+//! A test server's connections: it can cut a connection in the middle of a frame and stop reading.
 
 use bytes::BytesMut;
 use curlewpoint_wire::{Codec, Field, Frame, Kind, VERSION};
@@ -9,33 +9,33 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::{Encoder, FramedRead};
 
-/// A connection to a stand-in.
+/// Identifies a connection to a test server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerId(pub u64);
 
-/// What comes from one.
+/// An event on a connection.
 pub enum PeerEvent {
-    /// A scheduler has said hello: its name, and the way to it.
+    /// A peer has sent its HELLO: its name, and the sender of frames to it.
     Connected(PeerId, String, mpsc::UnboundedSender<Outgoing>),
     Frame(PeerId, Frame),
     Disconnected(PeerId),
 }
 
-/// What is said on one.
+/// Output on a connection.
 pub enum Outgoing {
     Frame(Frame),
-    /// The first half of a frame, and the end of the connection.
+    /// Sends the first half of a frame and closes the connection.
     HalfFrame(Frame),
     Close,
 }
 
-/// Serves a stand-in's connections until it is dropped; with it they all end at once, as when a process dies.
+/// Serves a test server's connections. Dropping it ends them all at once, as when a process dies.
 pub struct Listener {
     _tasks: JoinSet<()>,
 }
 
 impl Listener {
-    /// While `muted` holds, what peers send is not read.
+    /// While `muted` is true, nothing is read from the peers.
     pub fn open(
         listener: TcpListener, name: String, event_tx: mpsc::UnboundedSender<PeerEvent>,
         muted: watch::Receiver<bool>,
--- a/crates/curlewpoint-lab/src/test_servers/worker.rs
+++ b/crates/curlewpoint-lab/src/test_servers/worker.rs
@@ -20,7 +20,7 @@
 use super::wire::{Listener, Outgoing, PeerEvent, PeerId};
 use crate::transcript::{Transcript, TranscriptEvent};
 
-/// What a method costs a worker.
+/// Cost of a method at a worker.
 #[derive(Clone, Copy, Debug)]
 pub struct MethodCost {
     pub work_ms: f64,
@@ -31,7 +31,7 @@
 }
 
 impl MethodCost {
-    /// A model's own size, the same wherever it is reckoned: half to one and a half of the method's (assumed).
+    /// Scales the cost to the model's size, which derives from its name: 0.5 to 1.5 times the method's (assumed).
     fn for_model(self, model: &str) -> MethodCost {
         let size = 0.5 + (id_of(model) % 1000) as f64 / 1000.0;
         MethodCost { memory_mb: self.memory_mb * size, load_ms: self.load_ms * size, ..self }
@@ -43,18 +43,18 @@
     Pause(Time),
     Release(String),
     Preload(String, f64),
-    /// The next frame said on each connection is cut in its middle.
+    /// The next frame sent on each connection is cut in the middle.
     Cut,
     Mute(bool),
-    /// The process dies.
+    /// Ends the process.
     Kill,
-    /// It starts: empty and cold, or (at the day's begin) long since warm.
+    /// Starts the process: cold and without copies, or warm, as at the beginning of a scenario.
     Start {
         cold: bool,
     },
 }
 
-/// A worker on a socket.
+/// A worker on a socket, with faults that the test injects.
 pub struct TestWorker {
     pub name: String,
     pub address: SocketAddr,
@@ -133,7 +133,7 @@
 struct WorkerTask {
     name: String,
     address: SocketAddr,
-    /// For its first process: it can be reached from its start, and nobody else takes its port meanwhile.
+    /// Listener of the first process, bound at construction: the worker is reachable from then on, and its port reserved.
     first_listener: Option<TcpListener>,
     transcript: Transcript,
     spec: WorkerSpec,
@@ -143,7 +143,7 @@
     cut_frames: bool,
 }
 
-/// One process of the process, from its start to its death.
+/// State of one process, from its start to its end.
 struct Process {
     model: WorkerModel,
     _listener: Listener,
@@ -153,7 +153,7 @@
     driver: ProcessDriver,
 }
 
-/// What the model acts on, for one process.
+/// Driver of the worker model for one process.
 struct ProcessDriver {
     name: String,
     transcript: Transcript,
@@ -165,6 +165,7 @@
     cut_frames: bool,
 }
 
+/// A request under way: its connection, tag, the client's key and body.
 struct Request {
     peer: PeerId,
     tag: u64,
@@ -226,47 +227,47 @@
 impl WorkerTask {
     async fn run(mut self, mut faults: mpsc::UnboundedReceiver<Fault>) {
         let mut process: Option<Process> = None;
-        let mut faults_set = Faults::default();
+        let mut current_faults = Faults::default();
         loop {
             let now = self.transcript.now();
-            let Some(process_state) = &mut process else {
+            let Some(running) = &mut process else {
                 match faults.recv().await {
-                    Some(Fault::Start { cold }) => process = self.start(cold, faults_set).await,
-                    Some(Fault::Set(change)) => change(&mut faults_set),
+                    Some(Fault::Start { cold }) => process = self.start(cold, current_faults).await,
+                    Some(Fault::Set(change)) => change(&mut current_faults),
                     Some(_) => {}
                     None => return,
                 }
                 continue;
             };
-            process_state.model.advance(now, &mut process_state.driver);
-            process_state.driver.report = process_state.model.report();
-            let next = process_state.model.next(now).unwrap_or(now + Time(10_000));
+            running.model.advance(now, &mut running.driver);
+            running.driver.report = running.model.report();
+            let next = running.model.next(now).unwrap_or(now + Time(10_000));
             tokio::select! {
                 fault = faults.recv() => match fault {
                     None => return,
                     Some(Fault::Kill) => process = None,
                     Some(Fault::Start { .. }) => {}
                     Some(Fault::Set(change)) => {
-                        change(&mut faults_set);
-                        process_state.model.set_faults(self.transcript.now(), faults_set);
+                        change(&mut current_faults);
+                        running.model.set_faults(self.transcript.now(), current_faults);
                     }
-                    Some(Fault::Pause(until)) => process_state.model.pause(self.transcript.now(), until),
-                    Some(Fault::Release(model)) => process_state.model.model_released(&model),
-                    Some(Fault::Preload(model, memory_mb)) => process_state.model.preload(self.transcript.now(), &model, memory_mb),
+                    Some(Fault::Pause(until)) => running.model.pause(self.transcript.now(), until),
+                    Some(Fault::Release(model)) => running.model.model_released(&model),
+                    Some(Fault::Preload(model, memory_mb)) => running.model.preload(self.transcript.now(), &model, memory_mb),
                     Some(Fault::Cut) => self.cut_frames = true,
                     Some(Fault::Mute(mute)) => {
-                        let _ = process_state.mute.send(mute);
+                        let _ = running.mute.send(mute);
                     }
                 },
-                Some(event) = process_state.events.recv() => {
-                    process_state.driver.cut_frames = self.cut_frames;
-                    self.handle_event(process_state, event);
-                    if self.cut_frames && process_state.driver.peers.is_empty() {
+                Some(event) = running.events.recv() => {
+                    running.driver.cut_frames = self.cut_frames;
+                    self.handle_event(running, event);
+                    if self.cut_frames && running.driver.peers.is_empty() {
                         self.cut_frames = false;
                     }
                 }
-                Some((model, ok)) = process_state.store.recv() => {
-                    process_state.model.fetched(self.transcript.now(), &mut process_state.driver, &model, ok);
+                Some((model, ok)) = running.store.recv() => {
+                    running.model.fetched(self.transcript.now(), &mut running.driver, &model, ok);
                 }
                 () = sleep_until(self.transcript.instant(next).into()) => {}
             }
@@ -278,7 +279,7 @@
         while listener.is_none() {
             listener = TcpListener::bind(self.address).await.ok();
             if listener.is_none() {
-                // The sockets of the process before may take a moment to close.
+                // The sockets of the previous process may take a moment to close.
                 sleep(Duration::from_millis(5)).await;
             }
         }
@@ -337,7 +338,7 @@
                 self.transcript
                     .add_at(now, TranscriptEvent::AttemptArrived { key, scheduler, worker, method });
                 process.driver.callers.insert(caller, Request { peer: id, tag, key, body: f.body });
-                // Work varies as an exponential does, cut at four times its mean (assumed).
+                // Exponentially distributed work, capped at four times its mean (assumed).
                 let work_ms = (-(1.0 - self.rng.rand_float()).ln()).min(4.0) * cost.work_ms;
                 let MethodCost { memory_mb, load_ms, fetch_share, lanes, .. } = cost;
                 let mean_ms = cost.work_ms;
@@ -370,13 +371,13 @@
     }
 }
 
-/// The client's own number of an RPC: the first eight bytes of its body. Nothing of the scheduler's is needed to know
-/// it again at a worker.
+/// The client's key of an RPC: the first eight bytes of its body. It identifies the RPC at a worker independently of the
+/// scheduler.
 pub fn rpc_key(body: &[u8]) -> u64 {
     body.get(..8).and_then(|b| b.try_into().ok()).map_or(0, u64::from_be_bytes)
 }
 
-/// Fetches models from the store over one connection, dialled anew when it breaks.
+/// Fetches models from the store over one connection, which is reopened when it breaks.
 async fn run_fetches(
     store: SocketAddr, name: String, mut wanted: mpsc::UnboundedReceiver<(String, f64)>,
     answers: mpsc::UnboundedSender<(String, bool)>,
@@ -386,7 +387,7 @@
     let mut link: Option<Link> = None;
     loop {
         if link.is_none() {
-            // Whatever was under way has failed with the connection.
+            // Fetches under way have failed with the connection.
             for (_, model) in std::mem::take(&mut waiting) {
                 let _ = answers.send((model, false));
             }
--- a/crates/curlewpoint-lab/src/transcript.rs
+++ b/crates/curlewpoint-lab/src/transcript.rs
@@ -6,10 +6,10 @@
 use tokio::sync::watch;
 use tokio::time::sleep_until;
 
-/// What a stand-in or a client saw pass on its sockets.
+/// An event that a test server or a client observed on its sockets, or that the scenario caused.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TranscriptEvent {
-    /// A client has sent an RPC, for which it waits so long.
+    /// A client has sent an RPC.
     RpcSent {
         key: u64,
         scheduler: String,
@@ -20,12 +20,12 @@
         key: u64,
         answer: Answer,
     },
-    /// The scheduler would not take it.
+    /// The scheduler has refused an RPC.
     Refused {
         key: u64,
         reason: String,
     },
-    /// The client has lost its connection, or ended it: nothing is owed any more.
+    /// The client has lost or closed its connection: no answer is owed any more.
     ClientLeft {
         key: u64,
     },
@@ -36,12 +36,12 @@
         worker: String,
         method: String,
     },
-    /// The worker has answered that it never looked at it.
+    /// The worker has rejected an attempt without looking at it.
     AttemptRejected {
         key: u64,
         worker: String,
     },
-    /// The work has had its effect.
+    /// An attempt has taken effect.
     Executed {
         key: u64,
         worker: String,
@@ -50,13 +50,13 @@
         scheduler: String,
         worker: String,
     },
-    /// The list service has told a scheduler of a worker.
+    /// The list service has sent a worker's entry to a scheduler.
     ListEntrySent {
         scheduler: String,
         worker: String,
         lifecycle: Lifecycle,
     },
-    /// A worker's process is up, empty and cold.
+    /// A worker's process has started, without copies and cold.
     WorkerStarted {
         worker: String,
     },
@@ -65,35 +65,36 @@
         offered: f64,
         limit: f64,
     },
-    /// The script killed a scheduler or held it still, or kept a worker from reading, up to this moment.
+    /// The script killed or paused a scheduler, or kept a worker from reading, until this time.
     Suspended {
         component: String,
         until: Time,
     },
-    /// The machine gave no turn since then: to this scheduler, or (none) to clients and stand-ins. Measured, never scripted.
+    /// Since then the machine gave no CPU time to this scheduler, or with `None` to clients and test servers. Measured,
+    /// never scripted.
     Stalled {
         scheduler: Option<String>,
         since: Time,
     },
-    /// The script did something.
+    /// A scripted event has begun.
     Scripted {
         description: String,
     },
 }
 
-/// All that was seen, by one clock. Every stand-in and client writes here, no scheduler does.
+/// All events by one clock. Every test server and client writes to it, no scheduler does.
 #[derive(Clone)]
 pub struct Transcript {
     started_at: Instant,
     events: Arc<Mutex<Vec<(Time, TranscriptEvent)>>>,
-    /// Something was written down.
+    /// Notifies waiters of a new event.
     added: watch::Sender<()>,
 }
 
-/// The record's clock starts so far on that nothing in it is "long ago".
+/// Start of the transcript's clock: an hour, so that times before the start do not underflow.
 const CLOCK_START: Time = Time(36_000_000);
 
-/// Between two looks at whether the machine gives turns; less than this late counts as none.
+/// Interval between two stall checks; a shorter delay does not count as a stall.
 const STALL_CHECK_INTERVAL: Time = Time(100);
 
 impl Default for Transcript {
@@ -107,7 +108,7 @@
         CLOCK_START + Time((self.started_at.elapsed().as_micros() / 100) as u64)
     }
 
-    /// Time since the record started_at.
+    /// Time since the transcript's start.
     pub fn since_start(at: Time) -> Time {
         at - CLOCK_START
     }
@@ -125,21 +126,20 @@
         self.added.send_replace(());
     }
 
-    /// Waits until `look` finds what it wants in all that was seen, and gives that.
+    /// Waits until `find` returns a value for the events so far.
     pub async fn wait_for<T>(&self, find: impl Fn(Vec<(Time, TranscriptEvent)>) -> Option<T>) -> T {
         let mut added = self.added.subscribe();
         loop {
             if let Some(found) = find(self.events()) {
                 return found;
             }
-            // The sender is the record's own: it cannot have gone.
+            // `self` owns the sender, so this cannot fail.
             let _ = added.changed().await;
         }
     }
 
-    /// Looks again and again how late the runtime of clients and stand-ins wakes, and writes it down. Guards against taking
-    /// a machine that is busy with other things for a scheduler that is late: while these get no turn, an answer lies in
-    /// a socket.
+    /// Records when the runtime of clients and test servers wakes up late. Without it a busy machine would look like a slow
+    /// scheduler: while these tasks do not run, answers wait in their sockets.
     pub async fn watch_runtime_stalls(self) {
         loop {
             let due = self.now() + STALL_CHECK_INTERVAL;
@@ -150,23 +150,23 @@
         }
     }
 
-    /// Writes down how long this thread, a scheduler's own, was ready to run and not let. Only the system's account of that
-    /// counts: what the scheduler itself takes, or waits for, is its own fault.
+    /// Records how long the calling thread, which a scheduler has for itself, was runnable without a CPU. Only the time that
+    /// the operating system accounts as such counts; time that the scheduler computes or blocks is its own.
     pub async fn watch_scheduler_stalls(self, scheduler: String) {
-        let mut before = run_queue_wait();
+        let mut waited_before = run_queue_wait();
         loop {
             sleep_until(self.instant(self.now() + STALL_CHECK_INTERVAL).into()).await;
             let waited = run_queue_wait();
-            let stalled = waited - before;
+            let stalled = waited - waited_before;
             if stalled >= STALL_CHECK_INTERVAL {
-                before = waited;
+                waited_before = waited;
                 let (scheduler, since) = (Some(scheduler.clone()), self.now() - stalled);
                 self.add(TranscriptEvent::Stalled { scheduler, since });
             }
         }
     }
 
-    /// Everything so far, in order of time.
+    /// All events so far, ordered by time.
     pub fn events(&self) -> Vec<(Time, TranscriptEvent)> {
         let mut all = self.events.lock().unwrap_or_else(PoisonError::into_inner).clone();
         all.sort_by_key(|(at, _)| *at);
@@ -174,7 +174,7 @@
     }
 }
 
-/// How long this thread has waited for a processor in all, as the system tells; nought where it does not.
+/// Total time that this thread has waited on the run queue; zero where the system does not report it.
 fn run_queue_wait() -> Time {
     let schedstat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanoseconds = schedstat.split(' ').nth(1).and_then(|w| w.parse::<u64>().ok()).unwrap_or(0);
--- a/crates/curlewpoint-lab/src/trigger.rs
+++ b/crates/curlewpoint-lab/src/trigger.rs
@@ -12,7 +12,7 @@
 use tokio_stream::StreamExt;
 use tokio_util::codec::Framed;
 
-/// One message to a method's queue.
+/// A request message for a method's queue.
 #[derive(Clone, Debug)]
 pub struct TriggerRequest {
     pub method: String,
@@ -24,7 +24,7 @@
     pub body: Bytes,
 }
 
-/// What came for it.
+/// The answer message to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TriggerAnswer {
     pub answer: String,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Puts a message into its method's queue and waits for its answer; none: it did not come in its time.
+/// Publishes a request to its method's queue and waits for the answer; `None` if it does not come in time.
 pub async fn trigger(
     address: &str, user: &str, password: &str, request: &TriggerRequest,
 ) -> std::io::Result<Option<TriggerAnswer>> {
@@ -107,7 +107,7 @@
     let queue = format!("curlewpoint.{}", request.method);
     let mut session = Session::start(clock(), SessionEvents::default(), login);
     let (mut sent, mut received) = (false, None);
-    // The answer may take its way back after the last moment.
+    // An answer given at the deadline still needs time to arrive.
     let deadline = tokio::time::Instant::now()
         + Duration::from_micros(request.time_left.0 * 100)
         + Duration::from_secs(1);
@@ -127,7 +127,7 @@
             }
         }
         for (tag, properties, body) in std::mem::take(&mut session.driver().delivered) {
-            // Others' answers stay unacknowledged, and go back at the end.
+            // Answers to other requests stay unacknowledged and are requeued when the session closes.
             if received.is_none()
                 && properties.correlation_id().as_ref().is_some_and(|c| c.as_str() == request.id)
             {
