--- a/crates/curlewpoint-lab/benches/forward.rs
+++ b/crates/curlewpoint-lab/benches/forward.rs
@@ -1,6 +1,6 @@
-//! The gateway beside a bare forwarder of ours: the same codec and connections, round robin, no module. Both run on a
-//! thread of their own, before 87 workers that answer at once; what saturates is measured with RPCs always in flight,
-//! latency at half of the forwarder's and of the gateway's own saturation with arrivals at set times.
+//! The gateway compared with a bare forwarder: the same codec and connections, round robin, no decision module. Each runs on
+//! its own thread with 87 workers that answer at once. Saturation is measured with a fixed number of RPCs in flight, latency
+//! with scheduled arrivals at a half and a tenth of the gateway's saturation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,21 +29,21 @@
 const WORKERS: usize = 87;
 const CLIENTS: usize = 8;
 const IN_FLIGHT: usize = 32;
-const SPAN: Duration = Duration::from_secs(4);
-const BODY: usize = 256;
+const RUN_TIME: Duration = Duration::from_secs(4);
+const BODY_BYTES: usize = 256;
 
 /// A worker that answers at once.
 async fn worker(no: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     tokio::spawn(async move {
-        let (tell, mut heard) = mpsc::unbounded_channel();
+        let (event_tx, mut events) = mpsc::unbounded_channel();
         let (_mute, muted) = watch::channel(false);
-        let _door = Listener::open(listener, format!("w{no}"), tell, muted);
+        let _listener = Listener::open(listener, format!("w{no}"), event_tx, muted);
         let mut peers = BTreeMap::new();
-        while let Some(heard) = heard.recv().await {
-            match heard {
-                PeerEvent::Connected(id, _, say) => drop(peers.insert(id, say)),
+        while let Some(event) = events.recv().await {
+            match event {
+                PeerEvent::Connected(id, _, outgoing) => drop(peers.insert(id, outgoing)),
                 PeerEvent::Disconnected(id) => drop(peers.remove(&id)),
                 PeerEvent::Frame(id, f) => {
                     let kind = match f.kind {
@@ -56,8 +56,8 @@
                     let a =
                         Frame::new(kind).int(Field::TAG, tag).int(Field::OUTCOME, outcome_code(Outcome::Ok));
                     let a = a.int(Field::COPY_STATUS, 1).int(Field::COPIES, 1).body(f.body);
-                    if let Some(say) = peers.get(&id) {
-                        let _ = say.send(Outgoing::Frame(a));
+                    if let Some(outgoing) = peers.get(&id) {
+                        let _ = outgoing.send(Outgoing::Frame(a));
                     }
                 }
             }
@@ -66,16 +66,16 @@
     address
 }
 
-/// The baseline: what comes goes to the next worker in turn, and its answer back.
+/// The baseline: forwards RPCs to the workers in turn, and their answers back.
 async fn forwarder(workers: Vec<SocketAddr>) -> SocketAddr {
     type Waiting = Arc<Mutex<BTreeMap<u64, (Outbox, u64)>>>;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("bound");
     let waiting = Waiting::default();
-    let mut to = Vec::new();
+    let mut outboxes = Vec::new();
     for address in workers {
         let Link { outbox, mut reader, .. } = link(address).await;
-        to.push(outbox);
+        outboxes.push(outbox);
         let waiting = Arc::clone(&waiting);
         tokio::spawn(async move {
             while let Some(Ok(f)) = reader.next().await {
@@ -90,10 +90,10 @@
             }
         });
     }
-    let (to, next) = (Arc::new(to), Arc::new(AtomicU64::new(0)));
+    let (outboxes, next) = (Arc::new(outboxes), Arc::new(AtomicU64::new(0)));
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let (to, next, waiting) = (Arc::clone(&to), Arc::clone(&next), Arc::clone(&waiting));
+            let (outboxes, next, waiting) = (Arc::clone(&outboxes), Arc::clone(&next), Arc::clone(&waiting));
             tokio::spawn(async move {
                 let Ok(Link { outbox, mut reader, .. }) =
                     handshake(stream, "forwarder", LinkLimits::default()).await
@@ -107,7 +107,8 @@
                     let out = Frame::new(Kind::ATTEMPT).int(Field::TAG, no);
                     let out = out.text(Field::METHOD, f.get_text(Field::METHOD).unwrap_or(""));
                     let out = out.text(Field::MODEL, f.get_text(Field::MODEL).unwrap_or(""));
-                    let _ = to[no as usize % to.len()].send(out.int(Field::TIME_LEFT, 9).body(f.body), None);
+                    let _ = outboxes[no as usize % outboxes.len()]
+                        .send(out.int(Field::TIME_LEFT, 9).body(f.body), None);
                 }
             });
         }
@@ -121,20 +122,20 @@
         .expect("it speaks")
 }
 
-/// Runs something on a thread and a runtime of its own, and tells where it listens.
-fn on_its_own<F>(work: impl FnOnce() -> F + Send + 'static) -> SocketAddr
+/// Runs a server on its own thread and runtime, and returns its address.
+fn spawn_on_thread<F>(work: impl FnOnce() -> F + Send + 'static) -> SocketAddr
 where
     F: std::future::Future<Output = SocketAddr>,
 {
-    let (tell, told) = std::sync::mpsc::channel();
+    let (address_tx, address_rx) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let _ = tell.send(work().await);
+            let _ = address_tx.send(work().await);
             std::future::pending::<()>().await
         });
     });
-    told.recv().expect("it starts")
+    address_rx.recv().expect("it starts")
 }
 
 fn rpc(tag: u64, body: &Bytes) -> Frame {
@@ -144,35 +145,35 @@
 }
 
 #[derive(Default)]
-struct Sums {
+struct Counts {
     ok: u64,
     other: u64,
 }
 
-/// Keeps RPCs in flight; RPCs ended ok a second.
+/// Keeps RPCs in flight; returns the RPCs ended ok per second and the number that ended otherwise.
 async fn saturate(address: SocketAddr) -> (f64, u64) {
     let mut tasks = tokio::task::JoinSet::new();
     for _ in 0..CLIENTS {
         tasks.spawn(async move {
-            let (mut link, body) = (link(address).await, Bytes::from(vec![7; BODY]));
-            let mut sums = Sums::default();
+            let (mut link, body) = (link(address).await, Bytes::from(vec![7; BODY_BYTES]));
+            let mut counts = Counts::default();
             (0..IN_FLIGHT as u64).for_each(|tag| link.outbox.send(rpc(tag, &body), None).expect("room"));
             let (began, mut tag) = (Instant::now(), IN_FLIGHT as u64);
-            while began.elapsed() < SPAN {
+            while began.elapsed() < RUN_TIME {
                 let f = link.reader.next().await.expect("it lives").expect("a frame");
                 let ok = f.kind == Kind::FINAL_ANSWER && f.get_int(Field::OUTCOME) == Ok(0);
-                *(if ok { &mut sums.ok } else { &mut sums.other }) += 1;
+                *(if ok { &mut counts.ok } else { &mut counts.other }) += 1;
                 link.outbox.send(rpc(tag, &body), None).expect("room");
                 tag += 1;
             }
-            sums
+            counts
         });
     }
     let all = tasks.join_all().await;
-    (all.iter().map(|s| s.ok).sum::<u64>() as f64 / SPAN.as_secs_f64(), all.iter().map(|s| s.other).sum())
+    (all.iter().map(|s| s.ok).sum::<u64>() as f64 / RUN_TIME.as_secs_f64(), all.iter().map(|s| s.other).sum())
 }
 
-/// The same over HTTP/2, which the gateway's other door speaks.
+/// The same over HTTP/2.
 async fn saturate_http(address: SocketAddr) -> (f64, u64) {
     let mut tasks = tokio::task::JoinSet::new();
     for _ in 0..CLIENTS {
@@ -184,9 +185,9 @@
         for lane in 0..IN_FLIGHT as u64 {
             let mut sender = sender.clone();
             tasks.spawn(async move {
-                let (body, mut sums) = (Bytes::from(vec![7; BODY]), Sums::default());
+                let (body, mut counts) = (Bytes::from(vec![7; BODY_BYTES]), Counts::default());
                 let (began, mut tag) = (Instant::now(), lane);
-                while began.elapsed() < SPAN {
+                while began.elapsed() < RUN_TIME {
                     let model = tag.wrapping_mul(0x9e37_79b9_7f4a_7c15) % 100;
                     let request = Request::post(format!("http://door/v1/read-fields/model-{model}"))
                         .header("content-type", "application/octet-stream")
@@ -195,26 +196,26 @@
                     let response = sender.send_request(request).await.expect("it answers");
                     let ok = response.status() == 200;
                     response.into_body().collect().await.expect("to the end");
-                    *(if ok { &mut sums.ok } else { &mut sums.other }) += 1;
+                    *(if ok { &mut counts.ok } else { &mut counts.other }) += 1;
                     tag += IN_FLIGHT as u64;
                 }
-                sums
+                counts
             });
         }
     }
     let all = tasks.join_all().await;
-    (all.iter().map(|s| s.ok).sum::<u64>() as f64 / SPAN.as_secs_f64(), all.iter().map(|s| s.other).sum())
+    (all.iter().map(|s| s.ok).sum::<u64>() as f64 / RUN_TIME.as_secs_f64(), all.iter().map(|s| s.other).sum())
 }
 
-/// Sends at set times whatever has come back; latencies from the time at which each was due.
-async fn at_rate(address: SocketAddr, rate: f64) -> Histogram<u64> {
+/// Open loop: sends at scheduled times; returns latencies from the scheduled time of each RPC.
+async fn measure_latency(address: SocketAddr, rate: f64) -> Histogram<u64> {
     let mut tasks = tokio::task::JoinSet::new();
     for _ in 0..CLIENTS {
         tasks.spawn(async move {
             let Link { outbox, mut reader, .. } = link(address).await;
-            let body = Bytes::from(vec![7; BODY]);
+            let body = Bytes::from(vec![7; BODY_BYTES]);
             let gap = Duration::from_secs_f64(CLIENTS as f64 / rate);
-            let total = (SPAN.as_secs_f64() / gap.as_secs_f64()) as u64;
+            let total = (RUN_TIME.as_secs_f64() / gap.as_secs_f64()) as u64;
             let began = Instant::now();
             let due = move |tag: u64| began + gap * tag as u32;
             let sending = tokio::spawn(async move {
@@ -224,14 +225,14 @@
                 }
                 outbox
             });
-            let mut took = Histogram::<u64>::new(3).expect("three digits");
+            let mut latencies = Histogram::<u64>::new(3).expect("three digits");
             for _ in 0..total {
                 let f = reader.next().await.expect("it lives").expect("a frame");
-                let since = due(f.get_int(Field::TAG).expect("a tag")).elapsed();
-                let _ = took.record(since.as_micros() as u64);
+                let latency = due(f.get_int(Field::TAG).expect("a tag")).elapsed();
+                let _ = latencies.record(latency.as_micros() as u64);
             }
             drop(sending.await);
-            took
+            latencies
         });
     }
     tasks
@@ -269,35 +270,35 @@
     }
     let config = curlewpoint_config::parse("rehearsal.conf", REHEARSAL_CONFIG).expect("shipped");
     let config = config.with_value("list", &list.address.to_string()).with_value("seed", "1");
-    let (tell, told) = std::sync::mpsc::channel();
-    let gateway = on_its_own(move || async move {
-        let running =
+    let (address_tx, address_rx) = std::sync::mpsc::channel();
+    let gateway = spawn_on_thread(move || async move {
+        let scheduler =
             curlewpoint_gateway::start(&config.with_value("http", "127.0.0.1:0")).await.expect("it starts");
-        let address = running.address;
-        let _ = tell.send(running.http.expect("it has the door"));
-        tokio::spawn(running.wait());
+        let address = scheduler.address;
+        let _ = address_tx.send(scheduler.http.expect("the HTTP listener is configured"));
+        tokio::spawn(scheduler.wait());
         address
     });
-    let http = told.recv().expect("it starts");
-    let plain = on_its_own(move || forwarder(workers));
+    let http = address_rx.recv().expect("it starts");
+    let plain = spawn_on_thread(move || forwarder(workers));
     let cores = std::thread::available_parallelism().map_or(0, |n| n.get());
-    println!("{cores} cores, {WORKERS} workers that answer at once, bodies of {BODY} bytes, {CLIENTS} x {IN_FLIGHT} in flight");
-    let mut most = Vec::new();
+    println!("{cores} cores, {WORKERS} workers that answer at once, bodies of {BODY_BYTES} bytes, {CLIENTS} x {IN_FLIGHT} in flight");
+    let mut saturation = Vec::new();
     for (name, address) in [("forwarder", plain), ("gateway", gateway)] {
-        // Once to warm up, once to count.
+        // The first run warms up, the second counts.
         saturate(address).await;
         let (rate, other) = saturate(address).await;
         println!("{name:10} saturates at {rate:8.0} RPCs a second; {other} ended otherwise than ok");
-        most.push(rate);
+        saturation.push(rate);
     }
-    println!("gateway / forwarder: {:.2}", most[1] / most[0]);
+    println!("gateway / forwarder: {:.2}", saturation[1] / saturation[0]);
     saturate_http(http).await;
     let (rate, other) = saturate_http(http).await;
     println!("by HTTP/2  saturates at {rate:8.0} RPCs a second; {other} ended otherwise than ok");
-    println!("by HTTP/2 / by the native door: {:.2}", rate / most[1]);
-    for rate in [most[1] / 2.0, most[1] / 10.0] {
+    println!("by HTTP/2 / by the native door: {:.2}", rate / saturation[1]);
+    for rate in [saturation[1] / 2.0, saturation[1] / 10.0] {
         for (name, address) in [("forwarder", plain), ("gateway", gateway)] {
-            let h = at_rate(address, rate).await;
+            let h = measure_latency(address, rate).await;
             let us = |q| h.value_at_quantile(q);
             println!(
                 "{name:10} at {rate:6.0} a second: p50 {} us, p99 {} us, p99.9 {} us",
@@ -310,7 +311,7 @@
 }
 
 fn main() {
-    // `cargo test` runs benches too; the measurement is for `cargo bench` alone.
+    // `cargo test` runs bench targets too; measure only under `cargo bench`.
     if std::env::args().any(|a| a == "--bench") {
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
         runtime.block_on(measure());
--- a/crates/curlewpoint-lab/benches/triggers.rs
+++ b/crates/curlewpoint-lab/benches/triggers.rs
@@ -1,6 +1,6 @@
-//! Triggers through one gateway: messages a second out of a full queue, and how long one takes at a steady rate, by how many
-//! are held, with a journal (extracts) and without one (reads), and by the journal's delay. Broker, gateway, eight workers
-//! that answer at once and the load share this machine.
+//! Triggers through one gateway: messages per second from a full queue, and latency at a steady rate, by the number of
+//! messages held, with a journal (extracts) and without (reads), and by the journal's delay. Broker, gateway, eight workers
+//! that answer at once and the load run on the same machine.
 
 use std::time::{Duration, Instant};
 
@@ -13,9 +13,9 @@
 use curlewpoint_lab::{Transcript, REHEARSAL_CONFIG};
 use hdrhistogram::Histogram;
 
-const BACKLOG: usize = 8_000;
-const STEADY: u64 = 500;
-const SPAN: Duration = Duration::from_secs(4);
+const BACKLOG_MESSAGES: usize = 8_000;
+const STEADY_PER_SECOND: u64 = 500;
+const RUN_TIME: Duration = Duration::from_secs(4);
 
 struct TriggerBench {
     broker: TestBroker,
@@ -34,7 +34,7 @@
         for no in 0..8 {
             let mut worker = ScriptedWorker::start(&format!("w{no}")).await;
             let (zone, cell, address) = (String::new(), String::new(), worker.address.to_string());
-            let row = ListEntry {
+            let entry = ListEntry {
                 address,
                 lifecycle: Lifecycle::Ready,
                 start_id: 1,
@@ -43,7 +43,7 @@
                 cell,
                 size: 1.0,
             };
-            list.set_entry(&worker.name, row);
+            list.set_entry(&worker.name, entry);
             workers.push(tokio::spawn(async move {
                 loop {
                     let asked = worker.next_attempt().await;
@@ -56,7 +56,7 @@
         TriggerBench { broker, list, workers }
     }
 
-    fn put(&self, queue: &str, id: u64, body: Bytes) {
+    fn publish(&self, queue: &str, id: u64, body: Bytes) {
         let mut headers = FieldTable::default();
         let model = format!("model-{}", id % 40);
         headers.insert("model".into(), AMQPValue::LongString(model.as_str().into()));
@@ -67,16 +67,16 @@
         self.broker.enqueue(queue, properties, body);
     }
 
-    async fn wait_for_answers(&self, many: usize) {
-        let began = Instant::now();
-        while self.broker.message_count("office").await < many && began.elapsed().as_secs() < 60 {
+    async fn wait_for_answers(&self, count: usize) {
+        let started_at = Instant::now();
+        while self.broker.message_count("office").await < count && started_at.elapsed().as_secs() < 60 {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 }
 
 async fn measure(method: &str, held: &str, delay: &str) {
-    let rig = TriggerBench::start().await;
+    let bench = TriggerBench::start().await;
     let queue = format!("curlewpoint.{method}");
     let folder = std::env::temp_dir()
         .join(format!("curlewpoint-triggers-{}-{method}-{held}-{delay}", std::process::id()));
@@ -84,55 +84,58 @@
     let config =
         curlewpoint_config::parse("rehearsal.conf", &REHEARSAL_CONFIG.replace("deadline 4s", "deadline 60s"));
     let config =
-        config.expect("shipped").with_value("list", &rig.list.address.to_string()).with_value("seed", "1");
+        config.expect("shipped").with_value("list", &bench.list.address.to_string()).with_value("seed", "1");
     let config = config
-        .with_block_value("amqp", "address", &rig.broker.address.to_string())
+        .with_block_value("amqp", "address", &bench.broker.address.to_string())
         .with_block_value("amqp", "journal", &folder.join("journal").display().to_string())
         .with_block_value("amqp", "journal-delay", delay)
         .with_block_value("amqp", "most-held", held);
     let gateway = curlewpoint_gateway::start(&config).await.expect("it starts");
-    // Some to open the window with, before what is counted.
-    (0..2_000).for_each(|id| rig.put(&queue, id, Bytes::new()));
-    rig.wait_for_answers(2_000).await;
-    let began = Instant::now();
-    (0..BACKLOG as u64).for_each(|id| rig.put(&queue, 10_000 + id, Bytes::new()));
-    rig.wait_for_answers(2_000 + BACKLOG).await;
-    let rate = BACKLOG as f64 / began.elapsed().as_secs_f64();
-    // At a steady rate: the answer's time of arrival at the broker, by the broker's clock.
-    rig.broker.enqueue("probe", AMQPProperties::default(), Bytes::new());
-    let zero = rig.broker.messages("probe").await[0].queued_at;
+    // A first batch warms up the gateway before the measurement.
+    (0..2_000).for_each(|id| bench.publish(&queue, id, Bytes::new()));
+    bench.wait_for_answers(2_000).await;
+    let started_at = Instant::now();
+    (0..BACKLOG_MESSAGES as u64).for_each(|id| bench.publish(&queue, 10_000 + id, Bytes::new()));
+    bench.wait_for_answers(2_000 + BACKLOG_MESSAGES).await;
+    let rate = BACKLOG_MESSAGES as f64 / started_at.elapsed().as_secs_f64();
+    // Steady rate: latency until the answer's arrival at the broker, by the broker's clock.
+    bench.broker.enqueue("probe", AMQPProperties::default(), Bytes::new());
+    let zero = bench.broker.messages("probe").await[0].queued_at;
     let start = Instant::now();
-    let total = STEADY * SPAN.as_secs();
+    let total = STEADY_PER_SECOND * RUN_TIME.as_secs();
     for no in 0..total {
-        tokio::time::sleep_until((start + Duration::from_secs_f64(no as f64 / STEADY as f64)).into()).await;
+        tokio::time::sleep_until(
+            (start + Duration::from_secs_f64(no as f64 / STEADY_PER_SECOND as f64)).into(),
+        )
+        .await;
         let at = (start.elapsed().as_micros() / 100) as u64;
-        rig.put(&queue, 100_000 + no, Bytes::copy_from_slice(&at.to_be_bytes()));
+        bench.publish(&queue, 100_000 + no, Bytes::copy_from_slice(&at.to_be_bytes()));
     }
-    rig.wait_for_answers(2_000 + BACKLOG + total as usize).await;
-    let mut took = Histogram::<u64>::new(3).expect("three digits");
-    for m in rig.broker.messages("office").await.iter().filter(|m| m.body.len() == 8) {
+    bench.wait_for_answers(2_000 + BACKLOG_MESSAGES + total as usize).await;
+    let mut latencies = Histogram::<u64>::new(3).expect("three digits");
+    for m in bench.broker.messages("office").await.iter().filter(|m| m.body.len() == 8) {
         let sent = u64::from_be_bytes(m.body[..].try_into().unwrap_or_default());
-        let _ = took.record((m.queued_at - zero).0.saturating_sub(sent) * 100);
+        let _ = latencies.record((m.queued_at - zero).0.saturating_sub(sent) * 100);
     }
-    let ms = |q| took.value_at_quantile(q) as f64 / 1000.0;
+    let ms = |q| latencies.value_at_quantile(q) as f64 / 1000.0;
     println!(
-        "{method:13} held {held:>4}, journal delay {delay:>4}: {rate:6.0} a second; at {STEADY} a second p50 {:5.1} ms, p99 {:5.1} ms",
+        "{method:13} held {held:>4}, journal delay {delay:>4}: {rate:6.0} a second; at {STEADY_PER_SECOND} a second p50 {:5.1} ms, p99 {:5.1} ms",
         ms(0.5),
         ms(0.99)
     );
     gateway.stop().await;
     gateway.wait().await;
-    rig.workers.iter().for_each(tokio::task::JoinHandle::abort);
+    bench.workers.iter().for_each(tokio::task::JoinHandle::abort);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 fn main() {
-    // `cargo test` runs benches too; the measurement is for `cargo bench` alone.
+    // `cargo test` runs bench targets too; measure only under `cargo bench`.
     if std::env::args().any(|a| a == "--bench") {
         let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
             let cores = std::thread::available_parallelism().map_or(0, |n| n.get());
-            println!("{cores} cores, a queue of {BACKLOG}, 8 workers that answer at once");
+            println!("{cores} cores, a queue of {BACKLOG_MESSAGES}, 8 workers that answer at once");
             for held in ["2", "16", "256"] {
                 measure("read-fields", held, "0ms").await;
                 measure("issue-extract", held, "0ms").await;
--- a/crates/curlewpoint-lab/tests/rule_checker.rs
+++ b/crates/curlewpoint-lab/tests/rule_checker.rs
@@ -1,4 +1,4 @@
-//! The checker knows each rule: a scripted scheduler breaks one on real sockets, and is caught for that one.
+//! Each rule of the checker: a scripted scheduler breaks one rule on real sockets, and the checker reports that rule only.
 
 use std::net::SocketAddr;
 
@@ -21,32 +21,32 @@
 const METHOD_COST: MethodCost =
     MethodCost { work_ms: 20.0, memory_mb: 100.0, load_ms: 20.0, fetch_share: 0.5, lanes: 4 };
 
-/// What a scripted scheduler does with the RPC that it takes.
+/// How a scripted scheduler misbehaves with the RPC it receives.
 #[derive(Clone, Copy, Debug)]
-enum Breaks {
+enum Misbehaviour {
     Nothing,
     Silent,
     Late,
     Twice,
-    CallsOutAfterTheAnswer,
+    SendsAfterTheAnswer,
     RunsTwice,
-    DeniesWhatMayHaveRun,
-    RepeatsOutsideTheGroup,
-    RepeatsAfterTheSpan,
-    SendsToADrain,
-    OrdersAtADrain,
-    PushesACold,
-    OrdersTooMany,
+    DeniesAfterAnAttempt,
+    RetriesOutsideTheGroup,
+    RetriesAfterTheMemorySpan,
+    SendsToADrainingWorker,
+    OrdersAtADrainingWorker,
+    OverloadsAColdWorker,
+    OrdersTooManyLoads,
 }
 
-/// A scheduler that knows its two workers and does as it is told.
-struct Rogue {
+/// A scheduler with links to one client and two workers, controlled by the test.
+struct ScriptedScheduler {
     client: Link,
     workers: Vec<Link>,
     next: u64,
 }
 
-impl Rogue {
+impl ScriptedScheduler {
     fn attempt(&mut self, worker: usize, asked: &Frame) {
         self.next += 1;
         let text = |field| asked.get_text(field).unwrap_or("");
@@ -56,14 +56,14 @@
         self.workers[worker].outbox.send(f, None).unwrap();
     }
 
-    fn order(&mut self, worker: usize) {
+    fn order_load(&mut self, worker: usize) {
         self.next += 1;
         let f =
             Frame::new(Kind::LOAD).int(Field::TAG, self.next).text(Field::MODEL, "m").int(Field::COPIES, 1);
         self.workers[worker].outbox.send(f, None).unwrap();
     }
 
-    async fn answered(&mut self, worker: usize) {
+    async fn wait_for_answer(&mut self, worker: usize) {
         while let Some(Ok(f)) = self.workers[worker].reader.next().await {
             if f.kind == Kind::ANSWER {
                 return;
@@ -81,8 +81,8 @@
     handshake(TcpStream::connect(address).await.unwrap(), "front", LinkLimits::default()).await.unwrap()
 }
 
-/// Plays one RPC of this method through a scheduler that breaks something, and judges what passed.
-async fn play(method: &str, breaks: Breaks) -> Verdict {
+/// Runs one RPC of this method through a misbehaving scheduler, and checks the transcript.
+async fn run(method: &str, misbehaviour: Misbehaviour) -> Verdict {
     let transcript = Transcript::default();
     let store = TestStore::start(
         "127.0.0.1:0",
@@ -112,9 +112,9 @@
     let method_costs =
         Arc::new(config.methods().iter().map(|m| (m.clone(), METHOD_COST)).collect::<BTreeMap<_, _>>());
     let mut terms = RuleParameters::from_config(&config);
-    let mut stands = Vec::new();
+    let mut test_workers = Vec::new();
     for (no, name) in ["w0", "w1"].into_iter().enumerate() {
-        let stand = TestWorker::start(
+        let test_worker = TestWorker::start(
             "127.0.0.1:0",
             name,
             &transcript,
@@ -127,14 +127,14 @@
         .unwrap();
         terms.groups.insert(name.to_owned(), (format!("cell-{no}"), format!("zone-{no}")));
         terms.capacity.insert(name.to_owned(), 2.0);
-        stand.preload("m", 100.0);
-        stands.push(stand);
+        test_worker.preload("m", 100.0);
+        test_workers.push(test_worker);
     }
     terms.work = config.methods().iter().map(|m| (m.clone(), METHOD_COST.work_ms)).collect();
-    if let Breaks::PushesACold = breaks {
-        stands[0].kill();
-        stands[0].start_process(true);
-        until(&transcript, |s| matches!(s, TranscriptEvent::WorkerStarted { .. })).await;
+    if let Misbehaviour::OverloadsAColdWorker = misbehaviour {
+        test_workers[0].kill();
+        test_workers[0].start_process(true);
+        wait_for(&transcript, |s| matches!(s, TranscriptEvent::WorkerStarted { .. })).await;
     }
 
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -144,26 +144,34 @@
     });
     let rpc_client = NativeClient::open(&address.to_string(), "front", &transcript).await.unwrap();
     let client = accepting.await.unwrap();
-    let workers = vec![link(stands[0].address).await, link(stands[1].address).await];
-    let mut rogue = Rogue { client, workers, next: 0 };
+    let workers = vec![link(test_workers[0].address).await, link(test_workers[1].address).await];
+    let mut scheduler = ScriptedScheduler { client, workers, next: 0 };
 
     rpc_client.send_rpc(1, method, "m", "", Time(8_000), 32);
-    let asked = rogue.client.reader.next().await.unwrap().unwrap();
-    misbehave(&mut rogue, &asked, breaks, &transcript, &list, &mut terms).await;
-    // The end of the day is known by an RPC of its own, sent when all else has arrived.
-    let last = Frame::new(Kind::ATTEMPT).text(Field::METHOD, "read-fields").text(Field::MODEL, "m");
-    let last = last.int(Field::TAG, 0).int(Field::TIME_LEFT, 9).body(99u64.to_be_bytes().to_vec());
-    for worker in rogue.workers.iter().filter(|_| !matches!(breaks, Breaks::PushesACold)) {
-        worker.outbox.send(last.clone(), None).unwrap();
+    let asked = scheduler.client.reader.next().await.unwrap().unwrap();
+    misbehave(&mut scheduler, &asked, misbehaviour, &transcript, &list, &mut terms).await;
+    // A marker attempt at each worker shows that everything sent before has arrived.
+    let marker = Frame::new(Kind::ATTEMPT).text(Field::METHOD, "read-fields").text(Field::MODEL, "m");
+    let marker = marker.int(Field::TAG, 0).int(Field::TIME_LEFT, 9).body(99u64.to_be_bytes().to_vec());
+    for worker in
+        scheduler.workers.iter().filter(|_| !matches!(misbehaviour, Misbehaviour::OverloadsAColdWorker))
+    {
+        worker.outbox.send(marker.clone(), None).unwrap();
     }
-    let wanted = if matches!(breaks, Breaks::PushesACold | Breaks::SendsToADrain | Breaks::OrdersAtADrain) {
+    let markers = if matches!(
+        misbehaviour,
+        Misbehaviour::OverloadsAColdWorker
+            | Misbehaviour::SendsToADrainingWorker
+            | Misbehaviour::OrdersAtADrainingWorker
+    ) {
         0
     } else {
         2
     };
-    until_count(&transcript, wanted, |s| matches!(s, TranscriptEvent::AttemptArrived { key: 99, .. })).await;
-    if let Breaks::PushesACold = breaks {
-        until(&transcript, |s| matches!(s, TranscriptEvent::WorkerOverloaded { .. })).await;
+    wait_for_count(&transcript, markers, |s| matches!(s, TranscriptEvent::AttemptArrived { key: 99, .. }))
+        .await;
+    if let Misbehaviour::OverloadsAColdWorker = misbehaviour {
+        wait_for(&transcript, |s| matches!(s, TranscriptEvent::WorkerOverloaded { .. })).await;
     }
     let seen: Vec<_> = transcript
         .events()
@@ -174,38 +182,41 @@
 }
 
 async fn misbehave(
-    r: &mut Rogue, asked: &Frame, breaks: Breaks, transcript: &Transcript, list: &TestListService,
-    terms: &mut RuleParameters,
+    r: &mut ScriptedScheduler, asked: &Frame, misbehaviour: Misbehaviour, transcript: &Transcript,
+    list: &TestListService, terms: &mut RuleParameters,
 ) {
-    match breaks {
-        Breaks::Nothing | Breaks::Twice | Breaks::Late | Breaks::CallsOutAfterTheAnswer => {
+    match misbehaviour {
+        Misbehaviour::Nothing
+        | Misbehaviour::Twice
+        | Misbehaviour::Late
+        | Misbehaviour::SendsAfterTheAnswer => {
             r.attempt(0, asked);
-            r.answered(0).await;
-            if let Breaks::Late = breaks {
+            r.wait_for_answer(0).await;
+            if let Misbehaviour::Late = misbehaviour {
                 tokio::time::sleep(std::time::Duration::from_millis(850)).await;
             }
             r.answer(asked, Answer::Ok);
-            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
-            if let Breaks::Twice = breaks {
+            wait_for(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
+            if let Misbehaviour::Twice = misbehaviour {
                 r.answer(asked, Answer::Aborted);
-                until_count(transcript, 2, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
+                wait_for_count(transcript, 2, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
             }
-            if let Breaks::CallsOutAfterTheAnswer = breaks {
+            if let Misbehaviour::SendsAfterTheAnswer = misbehaviour {
                 tokio::time::sleep(std::time::Duration::from_micros(terms.max_transit.0 * 100 + 20_000))
                     .await;
                 r.attempt(1, asked);
             }
         }
-        Breaks::Silent => {}
-        Breaks::RunsTwice | Breaks::RepeatsOutsideTheGroup => {
+        Misbehaviour::Silent => {}
+        Misbehaviour::RunsTwice | Misbehaviour::RetriesOutsideTheGroup => {
             r.attempt(0, asked);
-            r.answered(0).await;
+            r.wait_for_answer(0).await;
             r.attempt(1, asked);
-            r.answered(1).await;
+            r.wait_for_answer(1).await;
             r.answer(asked, Answer::Ok);
-            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
+            wait_for(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
-        Breaks::RepeatsAfterTheSpan => {
+        Misbehaviour::RetriesAfterTheMemorySpan => {
             for group in terms.groups.values_mut() {
                 group.0 = "one".to_owned();
             }
@@ -215,20 +226,20 @@
                 }
             }
             r.attempt(0, asked);
-            r.answered(0).await;
+            r.wait_for_answer(0).await;
             tokio::time::sleep(std::time::Duration::from_micros(terms.max_transit.0 * 100 + 20_000)).await;
             r.attempt(1, asked);
-            r.answered(1).await;
+            r.wait_for_answer(1).await;
             r.answer(asked, Answer::Ok);
-            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
+            wait_for(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
-        Breaks::DeniesWhatMayHaveRun => {
+        Misbehaviour::DeniesAfterAnAttempt => {
             r.attempt(0, asked);
-            r.answered(0).await;
+            r.wait_for_answer(0).await;
             r.answer(asked, Answer::Denied);
-            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
+            wait_for(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
-        Breaks::SendsToADrain | Breaks::OrdersAtADrain => {
+        Misbehaviour::SendsToADrainingWorker | Misbehaviour::OrdersAtADrainingWorker => {
             let mut watch = link(list.address).await;
             let (address, zone, cell) = ("127.0.0.1:1".to_owned(), "z".to_owned(), "c".to_owned());
             list.set_entry(
@@ -244,7 +255,7 @@
                 },
             );
             watch.outbox.send(Frame::new(Kind::WATCH), None).unwrap();
-            until(transcript, |s| {
+            wait_for(transcript, |s| {
                 matches!(s, TranscriptEvent::ListEntrySent { lifecycle: Lifecycle::Draining, .. })
             })
             .await;
@@ -253,66 +264,66 @@
                 (terms.drain_grace + terms.max_transit).0 * 100 + 20_000,
             ))
             .await;
-            if let Breaks::OrdersAtADrain = breaks {
-                r.order(0);
-                until(transcript, |s| matches!(s, TranscriptEvent::LoadOrdered { .. })).await;
+            if let Misbehaviour::OrdersAtADrainingWorker = misbehaviour {
+                r.order_load(0);
+                wait_for(transcript, |s| matches!(s, TranscriptEvent::LoadOrdered { .. })).await;
             } else {
                 r.attempt(0, asked);
-                until(transcript, |s| matches!(s, TranscriptEvent::AttemptArrived { .. })).await;
+                wait_for(transcript, |s| matches!(s, TranscriptEvent::AttemptArrived { .. })).await;
             }
             r.answer(asked, Answer::Aborted);
-            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
+            wait_for(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
-        Breaks::PushesACold => {
+        Misbehaviour::OverloadsAColdWorker => {
             for _ in 0..200 {
                 r.attempt(0, asked);
             }
             r.answer(asked, Answer::Ok);
-            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
+            wait_for(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
-        Breaks::OrdersTooMany => {
-            (0..9).for_each(|_| r.order(0));
-            until_count(transcript, 9, |s| matches!(s, TranscriptEvent::LoadOrdered { .. })).await;
+        Misbehaviour::OrdersTooManyLoads => {
+            (0..9).for_each(|_| r.order_load(0));
+            wait_for_count(transcript, 9, |s| matches!(s, TranscriptEvent::LoadOrdered { .. })).await;
             r.answer(asked, Answer::Aborted);
-            until(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
+            wait_for(transcript, |s| matches!(s, TranscriptEvent::FinalAnswer { .. })).await;
         }
     }
 }
 
-async fn until(transcript: &Transcript, wanted: impl Fn(&TranscriptEvent) -> bool) {
-    until_count(transcript, 1, wanted).await;
+async fn wait_for(transcript: &Transcript, wanted: impl Fn(&TranscriptEvent) -> bool) {
+    wait_for_count(transcript, 1, wanted).await;
 }
 
-async fn until_count(transcript: &Transcript, n: usize, wanted: impl Fn(&TranscriptEvent) -> bool) {
+async fn wait_for_count(transcript: &Transcript, n: usize, wanted: impl Fn(&TranscriptEvent) -> bool) {
     transcript.wait_for(|all| (all.iter().filter(|(_, s)| wanted(s)).count() >= n).then_some(())).await;
 }
 
-#[test_case("issue-extract", Breaks::Nothing, 0 ; "one that breaks nothing")]
-#[test_case("issue-extract", Breaks::Silent, 1 ; "no answer")]
-#[test_case("issue-extract", Breaks::Late, 1 ; "a late answer")]
-#[test_case("issue-extract", Breaks::Twice, 1 ; "two answers")]
-#[test_case("read-fields", Breaks::CallsOutAfterTheAnswer, 1 ; "a call out after the answer")]
-#[test_case("issue-extract", Breaks::RunsTwice, 2 ; "two runs")]
-#[test_case("read-fields", Breaks::RunsTwice, 0 ; "two runs of what may run again")]
-#[test_case("issue-extract", Breaks::DeniesWhatMayHaveRun, 2 ; "a denial of what may have run")]
-#[test_case("read-register", Breaks::RepeatsOutsideTheGroup, 2 ; "a token outside its group")]
-#[test_case("read-register", Breaks::RepeatsAfterTheSpan, 2 ; "a token forgotten")]
-#[test_case("read-fields", Breaks::SendsToADrain, 3 ; "an rpc to a drain")]
-#[test_case("read-fields", Breaks::OrdersAtADrain, 3 ; "an order to a drain")]
-#[test_case("read-fields", Breaks::PushesACold, 4 ; "a cold worker pushed over")]
-#[test_case("read-fields", Breaks::OrdersTooMany, 5 ; "too many load orders")]
-fn a_broken_rule_is_caught(method: &str, breaks: Breaks, rule: usize) {
+#[test_case("issue-extract", Misbehaviour::Nothing, 0 ; "no violation")]
+#[test_case("issue-extract", Misbehaviour::Silent, 1 ; "no answer")]
+#[test_case("issue-extract", Misbehaviour::Late, 1 ; "a late answer")]
+#[test_case("issue-extract", Misbehaviour::Twice, 1 ; "two answers")]
+#[test_case("read-fields", Misbehaviour::SendsAfterTheAnswer, 1 ; "an attempt after the answer")]
+#[test_case("issue-extract", Misbehaviour::RunsTwice, 2 ; "two runs")]
+#[test_case("read-fields", Misbehaviour::RunsTwice, 0 ; "two runs of an idempotent method")]
+#[test_case("issue-extract", Misbehaviour::DeniesAfterAnAttempt, 2 ; "a denial after an attempt")]
+#[test_case("read-register", Misbehaviour::RetriesOutsideTheGroup, 2 ; "a retry outside the group")]
+#[test_case("read-register", Misbehaviour::RetriesAfterTheMemorySpan, 2 ; "a retry after the memory span")]
+#[test_case("read-fields", Misbehaviour::SendsToADrainingWorker, 3 ; "an attempt to a draining worker")]
+#[test_case("read-fields", Misbehaviour::OrdersAtADrainingWorker, 3 ; "a load order to a draining worker")]
+#[test_case("read-fields", Misbehaviour::OverloadsAColdWorker, 4 ; "a cold worker overloaded")]
+#[test_case("read-fields", Misbehaviour::OrdersTooManyLoads, 5 ; "too many load orders")]
+fn a_violation_is_reported_for_its_rule_only(method: &str, misbehaviour: Misbehaviour, rule: usize) {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build().unwrap();
-    let verdict = runtime.block_on(play(method, breaks));
+    let verdict = runtime.block_on(run(method, misbehaviour));
     let mut broken: Vec<usize> = verdict.violations.iter().map(|b| b.rule).collect();
     broken.dedup();
     let want: Vec<usize> = (rule > 0).then_some(rule).into_iter().collect();
-    assert_eq!(broken, want, "{breaks:?}: {:?}", verdict.violations);
+    assert_eq!(broken, want, "{misbehaviour:?}: {:?}", verdict.violations);
 }
 
-/// Guards against a worker that nobody reaches, or whose port another takes, between its start and its first turn.
+/// Guards against a test worker whose port is not bound, or taken by another process, before its task first runs.
 #[tokio::test]
-async fn a_worker_can_be_reached_from_its_start() {
+async fn a_test_worker_is_reachable_from_its_start() {
     let transcript = Transcript::default();
     let any = "127.0.0.1:0";
     let store = TestStore::start(
@@ -326,21 +337,21 @@
     let spec = Script::parse("x", "").unwrap().worker_spec(&config);
     let worker =
         TestWorker::start(any, "w", &transcript, spec, Arc::default(), store.address, 1).await.unwrap();
-    // By a blocking socket: no task has had a turn since.
-    std::net::TcpStream::connect(worker.address).expect("it is there");
+    // A blocking connect: no task has run since the start.
+    std::net::TcpStream::connect(worker.address).expect("the listener is bound");
 }
 
-/// An answer 300 ms late is late, unless the machine gave no turn for all of that: to this scheduler or to its clients,
-/// and while the RPC was open.
+/// An answer 300 ms after the deadline is late unless stalls of this scheduler or of its clients, while the RPC was open,
+/// cover that time.
 #[test_case(&[], 1 ; "no stall")]
-#[test_case(&[(None, 2_800, 3_150)], 0 ; "clients had no turn for longer")]
-#[test_case(&[(Some("front"), 1_000, 1_350)], 0 ; "the scheduler had none for longer")]
-#[test_case(&[(None, 2_800, 3_050)], 1 ; "clients had no turn for less")]
-#[test_case(&[(None, 1_500, 1_700), (Some("front"), 1_600, 1_760)], 1 ; "both had none in the same time")]
-#[test_case(&[(None, 1_500, 1_700), (Some("front"), 1_690, 1_810)], 0 ; "one had none after the other")]
-#[test_case(&[(Some("other"), 1_000, 2_000)], 1 ; "another scheduler had none")]
-#[test_case(&[(None, 0, 1_000), (None, 3_300, 4_000)], 1 ; "before it was asked and after it was answered")]
-fn an_answer_is_late_by_what_the_machine_did_not_take(stalls: &[(Option<&str>, u64, u64)], broken: usize) {
+#[test_case(&[(None, 2_800, 3_150)], 0 ; "clients stalled for longer")]
+#[test_case(&[(Some("front"), 1_000, 1_350)], 0 ; "the scheduler stalled for longer")]
+#[test_case(&[(None, 2_800, 3_050)], 1 ; "clients stalled for less")]
+#[test_case(&[(None, 1_500, 1_700), (Some("front"), 1_600, 1_760)], 1 ; "overlapping stalls")]
+#[test_case(&[(None, 1_500, 1_700), (Some("front"), 1_690, 1_810)], 0 ; "consecutive stalls")]
+#[test_case(&[(Some("other"), 1_000, 2_000)], 1 ; "another scheduler stalled")]
+#[test_case(&[(None, 0, 1_000), (None, 3_300, 4_000)], 1 ; "stalls before and after the rpc")]
+fn stalls_of_the_machine_do_not_make_an_answer_late(stalls: &[(Option<&str>, u64, u64)], broken: usize) {
     let ms = |ms: u64| Time(36_000_000 + ms * 10);
     let (key, scheduler, method) = (1, "front".to_owned(), "read-fields".to_owned());
     let mut seen = vec![
@@ -357,13 +368,13 @@
     assert_eq!(verdict.violations.len(), broken, "{verdict}");
 }
 
-/// A runtime whose threads are kept from turning says so, by its own clock.
+/// A blocked runtime records a stall; a scheduler's own sleep is not recorded as one.
 #[tokio::test]
-async fn a_thread_that_gets_no_turn_is_seen() {
+async fn a_blocked_runtime_records_a_stall() {
     let transcript = Transcript::default();
     let began = transcript.now();
     tokio::spawn(transcript.clone().watch_runtime_stalls());
-    // What a scheduler's own thread sleeps away is no fault of the machine.
+    // Time that the scheduler's own thread sleeps is not a stall of the machine.
     tokio::spawn(transcript.clone().watch_scheduler_stalls("front".to_owned()));
     tokio::task::yield_now().await;
     let from = transcript.now();
@@ -384,8 +395,8 @@
         TranscriptEvent::Stalled { scheduler: Some(_), since } => Some((*at - *since).0),
         _ => None,
     });
-    // All but the time slept may have been spent in waiting for a processor.
-    let most = (transcript.now() - began).0 - 2_000;
-    assert!(front.sum::<u64>() <= most, "{all:?}");
+    // At most the time outside the sleep can have been spent waiting for a CPU.
+    let max_stalled = (transcript.now() - began).0 - 2_000;
+    assert!(front.sum::<u64>() <= max_stalled, "{all:?}");
     assert!(since <= from + Time(100) && at >= until, "{since:?} to {at:?}, not {from:?} to {until:?}");
 }
--- a/crates/curlewpoint-lab/tests/sockets/document.rs
+++ b/crates/curlewpoint-lab/tests/sockets/document.rs
@@ -1,12 +1,12 @@
-//! A client that knows nothing but an OpenAPI document: what to send and what may come back.
+//! A client that knows only an OpenAPI document: which requests to send and which responses to expect.
 
 use oorandom::Rand64;
 use percent_encoding::{utf8_percent_encode, NON_ALPHANUMERIC};
 use serde_json::{json, Map, Value};
 
-use crate::http::{send, Answered};
+use crate::http::{send, HttpResponse};
 
-/// Draws values that fit a schema of the kinds that these tests use.
+/// Generates random values that fit a schema, for the schema keywords that these tests use.
 pub struct Draw(Rand64);
 
 impl Draw {
@@ -20,8 +20,8 @@
 
     fn text(&mut self, schema: &Value) -> String {
         let of = |name: &str, default| schema[name].as_u64().unwrap_or(default) as usize;
-        let (least, most) = (of("minLength", 0), of("maxLength", 12).min(12));
-        let length = least + self.below(most - least + 1);
+        let (min, max) = (of("minLength", 0), of("maxLength", 12).min(12));
+        let length = min + self.below(max - min + 1);
         (0..length).map(|_| char::from(b"abcdefghkmnopqrstuvwxyzABCXYZ019"[self.below(32)])).collect()
     }
 
@@ -31,17 +31,17 @@
         }
         match schema["type"].as_str() {
             Some("integer") => {
-                let (least, most) =
+                let (min, max) =
                     (schema["minimum"].as_i64().unwrap_or(-9), schema["maximum"].as_i64().unwrap_or(99));
-                json!(least + self.below((most - least + 1) as usize) as i64)
+                json!(min + self.below((max - min + 1) as usize) as i64)
             }
             Some("number") => json!(self.below(1_000) as f64 / 8.0),
             Some("boolean") => json!(self.below(2) == 0),
             Some("string") => json!(self.text(schema)),
             Some("array") => {
-                let least = schema["minItems"].as_u64().unwrap_or(0) as usize;
-                let most = schema["maxItems"].as_u64().unwrap_or(4) as usize;
-                let length = least + self.below(most - least + 1);
+                let min = schema["minItems"].as_u64().unwrap_or(0) as usize;
+                let max = schema["maxItems"].as_u64().unwrap_or(4) as usize;
+                let length = min + self.below(max - min + 1);
                 (0..length).map(|_| self.value(&schema["items"])).collect()
             }
             _ => {
@@ -49,19 +49,19 @@
                     schema["required"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
                 let none = Map::new();
                 let properties = schema["properties"].as_object().unwrap_or(&none);
-                let mut drawn = Map::new();
+                let mut object = Map::new();
                 for (name, of) in properties {
                     if required.contains(&name.as_str()) || self.below(2) == 0 {
-                        drawn.insert(name.clone(), self.value(of));
+                        object.insert(name.clone(), self.value(of));
                     }
                 }
-                Value::Object(drawn)
+                Value::Object(object)
             }
         }
     }
 
-    /// The same value with one thing in it changed at random: it may fit or not.
-    pub fn changed(&mut self, value: &Value) -> Value {
+    /// The same value with one random change: it may fit or not.
+    pub fn mutate(&mut self, value: &Value) -> Value {
         let scalars = [
             json!(null),
             json!(-1),
@@ -80,7 +80,7 @@
                     0 => drop(map.remove(&key)),
                     1 => drop(map.insert(format!("{key}s"), json!(1))),
                     _ => {
-                        let inner = self.changed(&map[&key]);
+                        let inner = self.mutate(&map[&key]);
                         map.insert(key, inner);
                     }
                 }
@@ -90,7 +90,7 @@
                 let (mut all, no) = (all.clone(), self.below(all.len()));
                 match self.below(2) {
                     0 => all.extend(vec![value[no].clone(); 9]),
-                    _ => all[no] = self.changed(&all[no]),
+                    _ => all[no] = self.mutate(&all[no]),
                 }
                 Value::Array(all)
             }
@@ -99,29 +99,29 @@
     }
 }
 
-/// One operation of a document, and all that it says of it.
+/// One POST operation of a document.
 pub struct Operation<'d> {
     document: &'d Value,
     pub path: &'d str,
-    said: &'d Value,
+    spec: &'d Value,
 }
 
 pub fn operations(document: &Value) -> Vec<Operation<'_>> {
     let paths = document["paths"].as_object().expect("a document has paths");
-    paths.iter().map(|(path, item)| Operation { document, path, said: &item["post"] }).collect()
+    paths.iter().map(|(path, item)| Operation { document, path, spec: &item["post"] }).collect()
 }
 
-/// What HTTP itself brings, which documents do not list.
-const OF_HTTP: [&str; 4] = ["content-type", "content-length", "date", "connection"];
+/// Headers of HTTP itself, which documents do not list.
+const HTTP_HEADERS: [&str; 4] = ["content-type", "content-length", "date", "connection"];
 
 impl<'d> Operation<'d> {
     pub fn media(&self) -> (&'d str, &'d Value) {
-        let content = self.said["requestBody"]["content"].as_object().expect("it takes a body");
+        let content = self.spec["requestBody"]["content"].as_object().expect("it takes a body");
         let (media, of) = content.iter().next().expect("of some kind");
         (media, &of["schema"])
     }
 
-    /// A body that fits.
+    /// A random body that fits the request schema.
     pub fn body(&self, draw: &mut Draw) -> Vec<u8> {
         match self.media() {
             ("application/json", schema) => draw.value(schema).to_string().into_bytes(),
@@ -129,15 +129,15 @@
         }
     }
 
-    /// Calls it with parameters that fit: those that are required, and some of the others.
-    pub async fn call(&self, address: &str, draw: &mut Draw, body: &[u8]) -> Answered {
+    /// Calls the operation with valid parameters: the required ones and some optional ones.
+    pub async fn call(&self, address: &str, draw: &mut Draw, body: &[u8]) -> HttpResponse {
         let (mut path, mut headers) = (self.path.to_owned(), format!("content-type: {}\r\n", self.media().0));
-        for p in self.said["parameters"].as_array().into_iter().flatten() {
+        for p in self.spec["parameters"].as_array().into_iter().flatten() {
             let name = p["name"].as_str().expect("parameters have names");
             if p["required"] != true && draw.below(2) == 0 {
                 continue;
             }
-            let drawn = match draw.value(&p["schema"]) {
+            let value = match draw.value(&p["schema"]) {
                 Value::String(text) if p["in"] == "path" => format!("{text}ü/ {}", draw.below(9)),
                 Value::String(text) => text,
                 other => other.to_string(),
@@ -145,43 +145,43 @@
             if p["in"] == "path" {
                 path = path.replace(
                     &format!("{{{name}}}"),
-                    &utf8_percent_encode(&drawn, NON_ALPHANUMERIC).to_string(),
+                    &utf8_percent_encode(&value, NON_ALPHANUMERIC).to_string(),
                 );
             } else {
-                headers += &format!("{name}: {drawn}\r\n");
+                headers += &format!("{name}: {value}\r\n");
             }
         }
         send(address, "POST", &path, &headers, body).await
     }
 
     fn resolved(&self, schema: &Value) -> Value {
-        // References lead to the document's components only.
+        // References point only into the document itself.
         let mut schema = schema.clone();
         if let Some(all) = schema.get_mut("allOf").and_then(Value::as_array_mut) {
-            for one in all {
-                if let Some(at) = one["$ref"].as_str() {
-                    *one = self.document.pointer(&at[1..]).cloned().unwrap_or(json!(false));
+            for part in all {
+                if let Some(at) = part["$ref"].as_str() {
+                    *part = self.document.pointer(&at[1..]).cloned().unwrap_or(json!(false));
                 }
             }
         }
         schema
     }
 
-    /// Whether the document allows what came back: its status, content type, headers and body.
-    pub fn allows(&self, a: &Answered) -> Result<(), String> {
-        let response = &self.said["responses"][a.status.to_string()];
+    /// Whether the document allows the response's status, content type, headers and body.
+    pub fn allows(&self, a: &HttpResponse) -> Result<(), String> {
+        let response = &self.spec["responses"][a.status.to_string()];
         if !response.is_object() {
-            return Err(format!("{}: status {} is not described", self.path, a.status));
+            return Err(format!("{}: status {} is not documented", self.path, a.status));
         }
         let media = a.header("content-type").unwrap_or_default();
         let content = &response["content"][&media];
         if !content.is_object() {
-            return Err(format!("{}: {media} is not described for {}", self.path, a.status));
+            return Err(format!("{}: {media} is not documented for {}", self.path, a.status));
         }
-        for (name, value) in a.headers().filter(|(name, _)| !OF_HTTP.contains(&name.as_str())) {
+        for (name, value) in a.headers().filter(|(name, _)| !HTTP_HEADERS.contains(&name.as_str())) {
             let described = response["headers"].as_object().into_iter().flatten();
             let Some((_, of)) = described.into_iter().find(|(n, _)| n.eq_ignore_ascii_case(&name)) else {
-                return Err(format!("{}: header {name} is not described for {}", self.path, a.status));
+                return Err(format!("{}: header {name} is not documented for {}", self.path, a.status));
             };
             let value = if of["schema"]["type"] == "integer" {
                 json!(value.parse::<u64>().ok())
--- a/crates/curlewpoint-lab/tests/sockets/reload.rs
+++ b/crates/curlewpoint-lab/tests/sockets/reload.rs
@@ -139,7 +139,7 @@
             .unwrap()
     };
     let (ahead, behind) = (s.gateway.address.to_string(), behind.address.to_string());
-    let refused = |why: &str| CallOutcome::Refused(why.to_owned());
+    let refused = |reason: &str| CallOutcome::Refused(reason.to_owned());
     assert_eq!(call(behind.clone(), "issue-extracts").await, refused("no-such-method"));
     assert_eq!(call(ahead.clone(), "issue-extract").await, refused("withdrawn"));
     for (address, method) in [(ahead, "issue-extracts"), (behind, "issue-extract")] {
