--- a/crates/curlewpoint-journal/src/journal.rs
+++ b/crates/curlewpoint-journal/src/journal.rs
@@ -17,17 +17,18 @@
 
 const RECORDS: TableDefinition<(&str, &str), &[u8]> = TableDefinition::new("records");
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// Another form of records has another number; a journal of another form is refused.
-const FORM: u64 = 1;
+/// Version of the record format. A journal of another version is refused.
+const FORMAT_VERSION: u64 = 1;
 
+/// Limits of a journal.
 #[derive(Clone, Copy, Debug)]
 pub struct JournalLimits {
-    /// How long a commit waits for more to go with it, beside what waits already. Nought is the best where it was measured: what
-    /// comes during one commit goes together with the next.
+    /// Time that a commit waits for further writes, in addition to those already queued. Zero performs best, as the writes
+    /// that arrive during one commit share the next.
     pub commit_delay: Duration,
-    /// Bytes of records: beyond them no intent is taken, and answers are kept without being noted.
+    /// Maximum size of all records in bytes. Beyond it, intents are refused and answers are not recorded.
     pub max_bytes: u64,
-    /// A longer answer is not noted: after a crash its message ends aborted.
+    /// Maximum size of a recorded answer in bytes. The message of a longer answer is aborted after a crash.
     pub max_answer_bytes: usize,
 }
 
@@ -37,12 +38,13 @@
     }
 }
 
+/// Reasons why a journal cannot be opened.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// What it says cannot be trusted: nothing may be concluded from what it does not say.
+    /// The journal may lack records, so a missing record does not prove that nothing was sent.
     #[error("the journal is damaged: {0}")]
     Damaged(String),
-    #[error("the journal is of form {0}, this program writes form {FORM}")]
+    #[error("the journal has format version {0}, this program writes version {FORMAT_VERSION}")]
     UnsupportedFormat(u64),
     #[error("the journal cannot be opened: {0}")]
     Disk(String),
@@ -57,137 +59,141 @@
     }
 }
 
-/// What has been written, since the start.
+/// Counters since the start, and the current size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JournalStats {
     pub commits: u64,
     pub written: u64,
-    /// Intents that could not be written: their messages were not sent.
-    pub lost: u64,
+    /// Number of intents that could not be written; their messages were not sent.
+    pub failed_intents: u64,
     pub failed_commits: u64,
     pub records: u64,
     pub bytes: u64,
 }
 
-type Told = Box<dyn FnOnce(bool) + Send>;
+/// Receives whether an intent was written.
+type IntentCallback = Box<dyn FnOnce(bool) + Send>;
 
 enum Write {
-    Intent(MessageKey, Time, Told),
+    Intent(MessageKey, Time, IntentCallback),
     Answer(MessageKey, Vec<u8>),
-    Done(MessageKey),
+    Remove(MessageKey),
 }
 
-/// Opens the store, the first time and after a failure.
-type Open = Box<dyn Fn() -> Result<Database, DatabaseError> + Send>;
+/// Opens the store at the start and after a failure.
+type OpenStore = Box<dyn Fn() -> Result<Database, DatabaseError> + Send>;
 
-/// Notes what may have been sent. All calls return at once; a thread of its own writes.
+/// Records which messages may have been sent. All calls return at once; a separate thread writes.
 ///
-/// Guards against a crash that hides that a message may have been sent. What it also catches: a disk that is full, that can
-/// only be read, or that fails, as no intent counts as written before its commit. It harms where the disk is slow: messages
-/// that need an intent wait for it, and those whose time is up meanwhile are not sent.
+/// After a crash it is known which messages may have been sent. A full, read-only or failing disk is detected as well, as no
+/// intent counts as written before its commit. The cost: on a slow disk, messages that need an intent wait for it, and those
+/// that expire meanwhile are not sent.
 pub struct Journal {
-    writes: Option<SyncSender<Write>>,
-    figures: Arc<Mutex<JournalStats>>,
-    writing: Option<JoinHandle<()>>,
+    write_tx: Option<SyncSender<Write>>,
+    stats: Arc<Mutex<JournalStats>>,
+    writer_thread: Option<JoinHandle<()>>,
 }
 
-/// Writes that wait for the thread; beyond these no intent is taken.
-const WAITING: usize = 65_536;
-/// Writes of one commit.
-const MOST_AT_ONCE: usize = 4_096;
-/// After a failure the store is opened anew no sooner than this.
-const BACK_OFF: Duration = Duration::from_millis(100);
+/// Maximum number of writes queued for the thread. Beyond it, intents are refused.
+const MAX_QUEUED_WRITES: usize = 65_536;
+/// Maximum number of writes in one commit.
+const MAX_BATCH_WRITES: usize = 4_096;
+/// Minimum time between two attempts to reopen the store after a failure.
+const REOPEN_BACKOFF: Duration = Duration::from_millis(100);
 
 impl Journal {
-    /// Opens or creates a journal, checks all of its file, and tells what it holds.
+    /// Opens or creates a journal, checks the whole file and passes its records to the visitor.
     pub fn open(
-        path: &Path, limits: JournalLimits, reader: &mut impl RecordVisitor,
+        path: &Path, limits: JournalLimits, visitor: &mut impl RecordVisitor,
     ) -> Result<Journal, JournalError> {
         let path: PathBuf = path.to_owned();
         Journal::open_with(
             Box::new(move || Builder::new().set_check_integrity_on_open(true).create(&path)),
             limits,
-            reader,
+            visitor,
         )
     }
 
-    /// The same on whatever opens a store.
+    /// As `open`, with a function that opens the store.
     pub fn open_with(
-        open: Open, limits: JournalLimits, reader: &mut impl RecordVisitor,
+        open: OpenStore, limits: JournalLimits, visitor: &mut impl RecordVisitor,
     ) -> Result<Journal, JournalError> {
         let mut db = open()?;
-        let (records, bytes) = read(&db, reader)?;
+        let (records, bytes) = read_records(&db, visitor)?;
         if let Err(e) = db.compact() {
             info!("the journal was not compacted: {e}");
         }
-        let figures = Arc::new(Mutex::new(JournalStats { records, bytes, ..JournalStats::default() }));
-        let (writes, waiting) = sync_channel(WAITING);
+        let stats = Arc::new(Mutex::new(JournalStats { records, bytes, ..JournalStats::default() }));
+        let (write_tx, write_rx) = sync_channel(MAX_QUEUED_WRITES);
         let mut writer = Writer {
             open,
             db: Some(db),
             limits,
-            figures: Arc::clone(&figures),
+            stats: Arc::clone(&stats),
             bytes,
             records,
-            owed: VecDeque::new(),
+            unwritten: VecDeque::new(),
             failed: false,
-            opened: None,
+            reopened_at: None,
         };
         let thread = std::thread::Builder::new().name("journal".to_owned());
-        let writing =
-            thread.spawn(move || writer.run(&waiting)).map_err(|e| JournalError::Disk(e.to_string()))?;
-        Ok(Journal { writes: Some(writes), figures, writing: Some(writing) })
+        let writer_thread =
+            thread.spawn(move || writer.run(&write_rx)).map_err(|e| JournalError::Disk(e.to_string()))?;
+        Ok(Journal { write_tx: Some(write_tx), stats, writer_thread: Some(writer_thread) })
     }
 
-    /// Tells what a journal holds and changes nothing in it but for what a crash has left to mend.
-    pub fn inspect(path: &Path, reader: &mut impl RecordVisitor) -> Result<(u64, u64), JournalError> {
+    /// Passes the records of a journal to the visitor; returns their number and size in bytes. Changes nothing in the file
+    /// except for repairs after a crash.
+    pub fn inspect(path: &Path, visitor: &mut impl RecordVisitor) -> Result<(u64, u64), JournalError> {
         let db = Builder::new().set_check_integrity_on_open(true).open(path)?;
-        read(&db, reader)
+        read_records(&db, visitor)
     }
 
     fn send(&self, write: Write) {
-        let Some(writes) = &self.writes else { return };
-        match writes.try_send(write) {
+        let Some(write_tx) = &self.write_tx else { return };
+        match write_tx.try_send(write) {
             Ok(()) => {}
             Err(TrySendError::Full(write) | TrySendError::Disconnected(write)) => {
-                if let Write::Intent(_, _, told) = write {
-                    told(false);
+                if let Write::Intent(_, _, callback) = write {
+                    callback(false);
                 }
-                // An answer or an end that is not noted leaves the record before it: its message ends aborted.
+                // If an answer or a removal is not written, the earlier record stays, and the message is aborted after a crash.
             }
         }
     }
 
-    /// From this moment on its attempts may be sent, once `told` hears true. False: they must not be.
-    pub fn write_intent(&self, name: &MessageKey, at: Time, told: impl FnOnce(bool) + Send + 'static) {
-        self.send(Write::Intent(name.clone(), at, Box::new(told)));
+    /// Records that attempts may be sent from `at` on. They must not be sent before `callback` receives true, and not at all
+    /// if it receives false.
+    pub fn write_intent(&self, key: &MessageKey, at: Time, callback: impl FnOnce(bool) + Send + 'static) {
+        self.send(Write::Intent(key.clone(), at, Box::new(callback)));
     }
 
-    pub fn write_answer(&self, name: &MessageKey, at: Time, answer: &FinalAnswer) {
-        self.send(Write::Answer(name.clone(), record::of_answer(at, answer)));
+    /// Records the answer of a message in place of its intent.
+    pub fn write_answer(&self, key: &MessageKey, at: Time, answer: &FinalAnswer) {
+        self.send(Write::Answer(key.clone(), record::encode_answer(at, answer)));
     }
 
-    /// Its record need not be kept any more.
-    pub fn remove(&self, name: &MessageKey) {
-        self.send(Write::Done(name.clone()));
+    /// Removes the record of a message.
+    pub fn remove(&self, key: &MessageKey) {
+        self.send(Write::Remove(key.clone()));
     }
 
     pub fn stats(&self) -> JournalStats {
-        *self.figures.lock().unwrap_or_else(PoisonError::into_inner)
+        *self.stats.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Drop for Journal {
-    /// Writes what waits, and closes the file.
+    /// Writes what is queued and closes the file.
     fn drop(&mut self) {
-        self.writes = None;
-        if let Some(writing) = self.writing.take() {
-            let _ = writing.join();
+        self.write_tx = None;
+        if let Some(writer_thread) = self.writer_thread.take() {
+            let _ = writer_thread.join();
         }
     }
 }
 
-fn read(db: &Database, reader: &mut impl RecordVisitor) -> Result<(u64, u64), JournalError> {
+fn read_records(db: &Database, visitor: &mut impl RecordVisitor) -> Result<(u64, u64), JournalError> {
     let damaged = |e: String| JournalError::Damaged(e);
     let disk = |e: redb::Error| match e {
         redb::Error::Corrupted(what) => JournalError::Damaged(what),
@@ -198,9 +204,9 @@
         Err(redb::TableError::TableDoesNotExist(_)) => return Ok((0, 0)),
         Err(e) => return Err(disk(e.into())),
         Ok(meta) => {
-            let form = meta.get("form").map_err(|e| disk(e.into()))?.map_or(0, |form| form.value());
-            if form != FORM {
-                return Err(JournalError::UnsupportedFormat(form));
+            let version = meta.get("form").map_err(|e| disk(e.into()))?.map_or(0, |version| version.value());
+            if version != FORMAT_VERSION {
+                return Err(JournalError::UnsupportedFormat(version));
             }
         }
     }
@@ -210,101 +216,102 @@
     };
     let (mut records, mut bytes) = (0, 0);
     for row in table.iter().map_err(|e| disk(e.into()))? {
-        let (key, value) = row.map_err(|e| disk(e.into()))?;
-        let (id, reply_to) = key.value();
-        let name = MessageKey { id: id.to_owned(), reply_to: reply_to.to_owned() };
-        bytes += size(&name, value.value());
+        let (table_key, value) = row.map_err(|e| disk(e.into()))?;
+        let (id, reply_to) = table_key.value();
+        let message_key = MessageKey { id: id.to_owned(), reply_to: reply_to.to_owned() };
+        bytes += record_size(&message_key, value.value());
         records += 1;
-        record::read(name, value.value(), reader).map_err(|e| damaged(format!("record of '{id}': {e}")))?;
+        record::decode(message_key, value.value(), visitor)
+            .map_err(|e| damaged(format!("record of '{id}': {e}")))?;
     }
     Ok((records, bytes))
 }
 
-fn size(name: &MessageKey, record: &[u8]) -> u64 {
-    (name.id.len() + name.reply_to.len() + record.len()) as u64
+fn record_size(key: &MessageKey, record: &[u8]) -> u64 {
+    (key.id.len() + key.reply_to.len() + record.len()) as u64
 }
 
-/// Counts alone are wanted.
-struct Nobody;
+/// Ignores the records, where only their number and size are needed.
+struct IgnoreRecords;
 
-impl RecordVisitor for Nobody {
+impl RecordVisitor for IgnoreRecords {
     fn intent(&mut self, _: MessageKey, _: Time) {}
     fn answer(&mut self, _: MessageKey, _: Time, _: FinalAnswer) {}
 }
 
 struct Writer {
-    open: Open,
+    open: OpenStore,
     db: Option<Database>,
     limits: JournalLimits,
-    figures: Arc<Mutex<JournalStats>>,
+    stats: Arc<Mutex<JournalStats>>,
     bytes: u64,
     records: u64,
-    /// Answers and ends that a failed commit left: they go with the next one.
-    owed: VecDeque<Write>,
+    /// Answers and removals of failed commits, to be written with the next one.
+    unwritten: VecDeque<Write>,
     failed: bool,
-    /// When it was last opened anew, or tried to be.
-    opened: Option<Instant>,
+    /// Time of the last attempt to reopen the store.
+    reopened_at: Option<Instant>,
 }
 
 impl Writer {
-    fn run(&mut self, waiting: &Receiver<Write>) {
-        while let Ok(first) = waiting.recv() {
+    fn run(&mut self, write_rx: &Receiver<Write>) {
+        while let Ok(first) = write_rx.recv() {
             let mut batch = vec![first];
             let until = Instant::now() + self.limits.commit_delay;
-            while batch.len() < MOST_AT_ONCE {
-                // What waits already goes with it whatever the delay.
-                let left = until.saturating_duration_since(Instant::now());
-                match waiting.recv_timeout(left) {
+            while batch.len() < MAX_BATCH_WRITES {
+                // Writes already queued are included whatever the delay.
+                let time_left = until.saturating_duration_since(Instant::now());
+                match write_rx.recv_timeout(time_left) {
                     Ok(write) => batch.push(write),
                     Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => break,
                 }
             }
             self.commit(batch);
         }
-        if !self.owed.is_empty() {
+        if !self.unwritten.is_empty() {
             self.commit(Vec::new());
         }
     }
 
     fn commit(&mut self, batch: Vec<Write>) {
-        let written = batch.len() as u64;
-        // What is owed came before.
-        let owed = std::mem::take(&mut self.owed);
-        let all: Vec<Write> = owed.into_iter().chain(batch).collect();
-        let done = self.write(&all);
-        let mut figures = self.figures.lock().unwrap_or_else(PoisonError::into_inner);
-        match &done {
+        let batch_len = batch.len() as u64;
+        // Writes of failed commits come first.
+        let unwritten = std::mem::take(&mut self.unwritten);
+        let all: Vec<Write> = unwritten.into_iter().chain(batch).collect();
+        let result = self.write(&all);
+        let mut stats = self.stats.lock().unwrap_or_else(PoisonError::into_inner);
+        match &result {
             Ok((bytes, records, _)) => {
                 (self.bytes, self.records) = (*bytes, *records);
-                figures.commits += 1;
-                figures.written += written;
-                (figures.bytes, figures.records) = (*bytes, *records);
+                stats.commits += 1;
+                stats.written += batch_len;
+                (stats.bytes, stats.records) = (*bytes, *records);
             }
-            Err(_) => figures.failed_commits += 1,
+            Err(_) => stats.failed_commits += 1,
         }
-        drop(figures);
-        match done {
+        drop(stats);
+        match result {
             Ok((_, _, refused)) => {
                 if std::mem::take(&mut self.failed) {
-                    info!("the journal is written again");
+                    info!("the journal can be written again");
                 }
-                for (no, write) in all.into_iter().enumerate() {
-                    if let Write::Intent(_, _, told) = write {
-                        self.tell(told, !refused.contains(&no));
+                for (index, write) in all.into_iter().enumerate() {
+                    if let Write::Intent(_, _, callback) = write {
+                        self.report(callback, !refused.contains(&index));
                     }
                 }
             }
-            Err(why) => {
+            Err(reason) => {
                 if !self.failed {
-                    warn!("the journal cannot be written, messages that need it are not sent: {why}");
+                    warn!("the journal cannot be written, messages that need it are not sent: {reason}");
                 }
-                // After a failed commit the store's state in memory is void.
+                // After a failed commit the in-memory state of the store is not valid.
                 self.db = None;
                 self.failed = true;
                 for write in all {
                     match write {
-                        Write::Intent(_, _, told) => self.tell(told, false),
-                        other if self.owed.len() < WAITING => self.owed.push_back(other),
+                        Write::Intent(_, _, callback) => self.report(callback, false),
+                        other if self.unwritten.len() < MAX_QUEUED_WRITES => self.unwritten.push_back(other),
                         _ => {}
                     }
                 }
@@ -312,55 +319,56 @@
         }
     }
 
-    fn tell(&self, told: Told, written: bool) {
+    fn report(&self, callback: IntentCallback, written: bool) {
         if !written {
-            self.figures.lock().unwrap_or_else(PoisonError::into_inner).lost += 1;
+            self.stats.lock().unwrap_or_else(PoisonError::into_inner).failed_intents += 1;
         }
-        told(written);
+        callback(written);
     }
 
-    /// Writes all of it in one transaction; how much is held then, and which writes were refused for want of room.
+    /// Writes everything in one transaction. Returns the size in bytes, the number of records, and the indices of the writes
+    /// refused because of the limits.
     fn write(&mut self, all: &[Write]) -> Result<(u64, u64, BTreeSet<usize>), String> {
         if self.db.is_none() {
-            if self.opened.is_some_and(|at| at.elapsed() < BACK_OFF) {
-                return Err("it has just failed".to_owned());
+            if self.reopened_at.is_some_and(|at| at.elapsed() < REOPEN_BACKOFF) {
+                return Err("the last attempt has just failed".to_owned());
             }
-            self.opened = Some(Instant::now());
+            self.reopened_at = Some(Instant::now());
             let db = (self.open)().map_err(|e| e.to_string())?;
-            // A commit that failed may be there all the same.
-            (self.records, self.bytes) = read(&db, &mut Nobody).map_err(|e| e.to_string())?;
+            // A commit that was reported as failed may be on disk nevertheless.
+            (self.records, self.bytes) = read_records(&db, &mut IgnoreRecords).map_err(|e| e.to_string())?;
             self.db = Some(db);
         }
-        let db = self.db.as_ref().ok_or("it is not open")?;
+        let db = self.db.as_ref().ok_or("the journal is not open")?;
         let (mut bytes, mut records, mut refused) = (self.bytes, self.records, BTreeSet::new());
         let mut transaction = || -> Result<(), redb::Error> {
             let txn = db.begin_write()?;
             {
-                txn.open_table(META)?.insert("form", FORM)?;
+                txn.open_table(META)?.insert("form", FORMAT_VERSION)?;
                 let mut table = txn.open_table(RECORDS)?;
-                for (no, write) in all.iter().enumerate() {
-                    let (name, record) = match write {
-                        Write::Intent(name, at, _) => (name, Some(record::of_intent(*at))),
-                        Write::Answer(name, record) => (name, Some(record.clone())),
-                        Write::Done(name) => (name, None),
+                for (index, write) in all.iter().enumerate() {
+                    let (key, record) = match write {
+                        Write::Intent(key, at, _) => (key, Some(record::encode_intent(*at))),
+                        Write::Answer(key, record) => (key, Some(record.clone())),
+                        Write::Remove(key) => (key, None),
                     };
-                    let key = (name.id.as_str(), name.reply_to.as_str());
+                    let table_key = (key.id.as_str(), key.reply_to.as_str());
                     let Some(record) = record else {
-                        if let Some(old) = table.remove(key)? {
-                            bytes = bytes.saturating_sub(size(name, old.value()));
+                        if let Some(old) = table.remove(table_key)? {
+                            bytes = bytes.saturating_sub(record_size(key, old.value()));
                             records = records.saturating_sub(1);
                         }
                         continue;
                     };
-                    let answer = matches!(write, Write::Answer(..));
-                    let room = bytes + size(name, &record) <= self.limits.max_bytes;
-                    if !room || (answer && record.len() > self.limits.max_answer_bytes) {
-                        refused.insert(no);
+                    let is_answer = matches!(write, Write::Answer(..));
+                    let fits = bytes + record_size(key, &record) <= self.limits.max_bytes;
+                    if !fits || (is_answer && record.len() > self.limits.max_answer_bytes) {
+                        refused.insert(index);
                         continue;
                     }
-                    bytes += size(name, &record);
-                    match table.insert(key, record.as_slice())? {
-                        Some(old) => bytes = bytes.saturating_sub(size(name, old.value())),
+                    bytes += record_size(key, &record);
+                    match table.insert(table_key, record.as_slice())? {
+                        Some(old) => bytes = bytes.saturating_sub(record_size(key, old.value())),
                         None => records += 1,
                     }
                 }
--- a/crates/curlewpoint-journal/src/lib.rs
+++ b/crates/curlewpoint-journal/src/lib.rs
@@ -1,7 +1,7 @@
-//! The journal: which messages may have been sent, and what was answered, on disk and through crashes.
+//! The journal records on disk which messages may have been sent and what was answered, so that both are known after a crash.
 //!
-//! [`Journal`] groups what is noted and commits it from a thread of its own; [`RecordVisitor`] is told what a run before this one
-//! has left. Records stand in an embedded store (redb), which keeps its file whole through a crash at any write.
+//! [`Journal`] groups writes and commits them on its own thread. A [`RecordVisitor`] receives the records that a previous run
+//! has left. Records are kept in an embedded store (redb), whose file stays consistent through a crash at any write.
 
 mod journal;
 mod record;
--- a/crates/curlewpoint-journal/src/record.rs
+++ b/crates/curlewpoint-journal/src/record.rs
@@ -4,37 +4,38 @@
 use minicbor::decode::{Decoder, Error};
 use minicbor::encode::Encoder;
 
-/// Who is told what the records say. Moments are those of the clock that the writer went by.
+/// Receives the records of a journal. Times are those of the clock of the writing process.
 pub trait RecordVisitor {
-    /// Attempts may have been sent for it from this moment on.
-    fn intent(&mut self, name: MessageKey, at: Time);
-    /// It was answered; the broker may have the answer.
-    fn answer(&mut self, name: MessageKey, at: Time, answer: FinalAnswer);
+    /// Attempts for this message may have been sent since `at`.
+    fn intent(&mut self, key: MessageKey, at: Time);
+    /// The message was answered at `at`. The broker may have the answer.
+    fn answer(&mut self, key: MessageKey, at: Time, answer: FinalAnswer);
 }
 
 const INTENT: u8 = 1;
 const ANSWER: u8 = 2;
-const ENDS: [AnswerKind; 3] = [AnswerKind::Ok, AnswerKind::Denied, AnswerKind::Aborted];
+/// Encoded as their index; the order is part of the file format.
+const ANSWER_KINDS: [AnswerKind; 3] = [AnswerKind::Ok, AnswerKind::Denied, AnswerKind::Aborted];
 
-fn encoded(write: impl FnOnce(&mut Encoder<&mut Vec<u8>>) -> Option<()>) -> Vec<u8> {
+fn encode(write: impl FnOnce(&mut Encoder<&mut Vec<u8>>) -> Option<()>) -> Vec<u8> {
     let mut out = Vec::new();
     // Writing to memory does not fail.
     let _ = write(&mut Encoder::new(&mut out));
     out
 }
 
-pub(crate) fn of_intent(at: Time) -> Vec<u8> {
-    encoded(|e| e.u8(INTENT).ok()?.u64(at.0).ok().map(drop))
+pub(crate) fn encode_intent(at: Time) -> Vec<u8> {
+    encode(|e| e.u8(INTENT).ok()?.u64(at.0).ok().map(drop))
 }
 
-pub(crate) fn of_answer(at: Time, answer: &FinalAnswer) -> Vec<u8> {
-    let end = ENDS.iter().position(|e| *e == answer.kind).unwrap_or(2) as u8;
-    encoded(|e| {
+pub(crate) fn encode_answer(at: Time, answer: &FinalAnswer) -> Vec<u8> {
+    let kind_index = ANSWER_KINDS.iter().position(|e| *e == answer.kind).unwrap_or(2) as u8;
+    encode(|e| {
         e.u8(ANSWER)
             .ok()?
             .u64(at.0)
             .ok()?
-            .u8(end)
+            .u8(kind_index)
             .ok()?
             .str(&answer.reason)
             .ok()?
@@ -44,18 +45,20 @@
     })
 }
 
-pub(crate) fn read(name: MessageKey, record: &[u8], reader: &mut impl RecordVisitor) -> Result<(), Error> {
+pub(crate) fn decode(key: MessageKey, record: &[u8], visitor: &mut impl RecordVisitor) -> Result<(), Error> {
     let mut d = Decoder::new(record);
-    let (kind, at) = (d.u8()?, Time(d.u64()?));
-    match kind {
-        INTENT => reader.intent(name, at),
+    let (record_kind, at) = (d.u8()?, Time(d.u64()?));
+    match record_kind {
+        INTENT => visitor.intent(key, at),
         ANSWER => {
-            let end = d.u8()?;
-            let end = *ENDS.get(usize::from(end)).ok_or_else(|| Error::message("no such end"))?;
-            let (why, body) = (d.str()?.to_owned(), Bytes::copy_from_slice(d.bytes()?));
-            reader.answer(name, at, FinalAnswer { kind: end, reason: why, body });
+            let kind_index = d.u8()?;
+            let kind = *ANSWER_KINDS
+                .get(usize::from(kind_index))
+                .ok_or_else(|| Error::message("unknown kind of answer"))?;
+            let (reason, body) = (d.str()?.to_owned(), Bytes::copy_from_slice(d.bytes()?));
+            visitor.answer(key, at, FinalAnswer { kind, reason, body });
         }
-        _ => return Err(Error::message("no such record")),
+        _ => return Err(Error::message("unknown kind of record")),
     }
     Ok(())
 }
--- a/crates/curlewpoint-journal/tests/disk.rs
+++ b/crates/curlewpoint-journal/tests/disk.rs
@@ -1,4 +1,4 @@
-//! The journal on a disk that crashes, tears writes, flips bytes, is full, read-only or slow.
+//! The journal on a simulated disk that loses power, tears writes, corrupts bytes, is full, read-only or slow.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::mpsc::channel;
@@ -14,47 +14,50 @@
 use redb::{Builder, Database, DatabaseError, StorageBackend};
 use test_case::test_case;
 
+/// Contents and faults of a simulated disk.
 #[derive(Debug, Default)]
-struct Platter {
-    /// What a crash leaves, and what was written since the last sync.
+struct DiskState {
+    /// Contents as of the last sync, which survive a crash.
     durable: Vec<u8>,
-    now: Vec<u8>,
-    since: Vec<(u64, Vec<u8>)>,
-    /// Writes and syncs that still succeed; none: all do.
-    budget: Option<u64>,
+    /// Contents including unsynced writes.
+    current: Vec<u8>,
+    /// Writes since the last sync, with their offsets.
+    unsynced: Vec<(u64, Vec<u8>)>,
+    /// Number of writes and syncs that still succeed. None: number limit.
+    write_budget: Option<u64>,
     read_only: bool,
     syncs: u64,
-    /// How long a sync takes.
-    slow: Duration,
+    /// Duration of a sync.
+    sync_time: Duration,
 }
 
-/// A disk in memory; clones are the same one.
+/// A disk in memory. Clones share its state.
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Platter>>);
+struct Disk(Arc<Mutex<DiskState>>);
 
 impl Disk {
-    fn with<T>(&self, work: impl FnOnce(&mut Platter) -> T) -> T {
+    fn with<T>(&self, work: impl FnOnce(&mut DiskState) -> T) -> T {
         work(&mut self.0.lock().unwrap())
     }
 
-    fn spend(p: &mut Platter) -> std::io::Result<()> {
+    fn use_budget(p: &mut DiskState) -> std::io::Result<()> {
         if p.read_only {
             return Err(std::io::ErrorKind::ReadOnlyFilesystem.into());
         }
-        match &mut p.budget {
+        match &mut p.write_budget {
             Some(0) => Err(std::io::ErrorKind::StorageFull.into()),
-            Some(left) => {
-                *left -= 1;
+            Some(writes_left) => {
+                *writes_left -= 1;
                 Ok(())
             }
             None => Ok(()),
         }
     }
 
-    /// The machine loses its power: of what was not synced any part may be there, each write perhaps cut short.
+    /// Simulates a power loss: each unsynced write is kept, lost or truncated at random.
     fn crash(&self, rng: &mut Rand64) {
         self.with(|p| {
-            for (offset, data) in std::mem::take(&mut p.since) {
+            for (offset, data) in std::mem::take(&mut p.unsynced) {
                 let kept = match rng.rand_range(0..3) {
                     0 => 0,
                     1 => data.len(),
@@ -66,8 +69,8 @@
                 }
                 p.durable[offset as usize..end].copy_from_slice(&data[..kept]);
             }
-            p.now = p.durable.clone();
-            (p.budget, p.read_only) = (None, false);
+            p.current = p.durable.clone();
+            (p.write_budget, p.read_only) = (None, false);
         });
     }
 
@@ -84,67 +87,67 @@
 
 impl StorageBackend for Disk {
     fn len(&self) -> std::io::Result<u64> {
-        Ok(self.with(|p| p.now.len() as u64))
+        Ok(self.with(|p| p.current.len() as u64))
     }
     fn read(&self, offset: u64, out: &mut [u8]) -> std::io::Result<()> {
         self.with(|p| {
             let from = offset as usize;
-            let found = p.now.get(from..from + out.len());
+            let found = p.current.get(from..from + out.len());
             out.copy_from_slice(found.ok_or(std::io::ErrorKind::UnexpectedEof)?);
             Ok(())
         })
     }
     fn set_len(&self, len: u64) -> std::io::Result<()> {
         self.with(|p| {
-            Disk::spend(p)?;
-            p.now.resize(len as usize, 0);
-            // A file's length is as durable as the system makes it: here at once, which makes room for torn writes.
+            Disk::use_budget(p)?;
+            p.current.resize(len as usize, 0);
+            // The file's length is durable at once, so that torn writes can be applied after a crash.
             p.durable.resize(len as usize, 0);
-            p.since.retain(|(offset, data)| offset + data.len() as u64 <= len);
+            p.unsynced.retain(|(offset, data)| offset + data.len() as u64 <= len);
             Ok(())
         })
     }
     fn sync_data(&self) -> std::io::Result<()> {
         self.with(|p| {
-            Disk::spend(p)?;
-            std::thread::sleep(p.slow);
+            Disk::use_budget(p)?;
+            std::thread::sleep(p.sync_time);
             p.syncs += 1;
-            p.since.clear();
-            p.durable = p.now.clone();
+            p.unsynced.clear();
+            p.durable = p.current.clone();
             Ok(())
         })
     }
     fn write(&self, offset: u64, data: &[u8]) -> std::io::Result<()> {
         self.with(|p| {
-            Disk::spend(p)?;
+            Disk::use_budget(p)?;
             let end = offset as usize + data.len();
-            if p.now.len() < end {
-                p.now.resize(end, 0);
+            if p.current.len() < end {
+                p.current.resize(end, 0);
             }
-            p.now[offset as usize..end].copy_from_slice(data);
-            p.since.push((offset, data.to_vec()));
+            p.current[offset as usize..end].copy_from_slice(data);
+            p.unsynced.push((offset, data.to_vec()));
             Ok(())
         })
     }
 }
 
-/// What a journal holds.
+/// The records of a journal.
 #[derive(Debug, Default, PartialEq)]
-struct Held {
+struct Records {
     intents: BTreeMap<String, Time>,
     answers: BTreeMap<String, FinalAnswer>,
 }
 
-impl RecordVisitor for Held {
-    fn intent(&mut self, name: MessageKey, at: Time) {
-        assert!(self.intents.insert(name.id, at).is_none());
+impl RecordVisitor for Records {
+    fn intent(&mut self, key: MessageKey, at: Time) {
+        assert!(self.intents.insert(key.id, at).is_none());
     }
-    fn answer(&mut self, name: MessageKey, _: Time, answer: FinalAnswer) {
-        assert!(self.answers.insert(name.id, answer).is_none());
+    fn answer(&mut self, key: MessageKey, _: Time, answer: FinalAnswer) {
+        assert!(self.answers.insert(key.id, answer).is_none());
     }
 }
 
-fn name(id: &str) -> MessageKey {
+fn key(id: &str) -> MessageKey {
     MessageKey { id: id.to_owned(), reply_to: "office".to_owned() }
 }
 
@@ -152,216 +155,219 @@
     FinalAnswer { kind: AnswerKind::Ok, reason: "done".to_owned(), body: Bytes::from_static(b"%PDF") }
 }
 
-fn open(disk: &Disk) -> (Journal, Held) {
-    let mut held = Held::default();
+fn open(disk: &Disk) -> (Journal, Records) {
+    let mut records = Records::default();
     let limits = JournalLimits { commit_delay: Duration::ZERO, ..JournalLimits::default() };
-    let journal = Journal::open_with(disk.open(), limits, &mut held).unwrap();
-    (journal, held)
+    let journal = Journal::open_with(disk.open(), limits, &mut records).unwrap();
+    (journal, records)
 }
 
-/// Notes an intent and waits for its word.
-fn intend(journal: &Journal, id: &str) -> bool {
-    let (tell, told) = channel();
-    journal.write_intent(&name(id), Time(7), move |written| tell.send(written).unwrap());
-    told.recv().unwrap()
+/// Writes an intent and waits for the result.
+fn write_intent(journal: &Journal, id: &str) -> bool {
+    let (result_tx, result_rx) = channel();
+    journal.write_intent(&key(id), Time(7), move |written| result_tx.send(written).unwrap());
+    result_rx.recv().unwrap()
 }
 
 #[test]
-fn what_was_noted_is_told_to_the_next_run() {
+fn the_next_run_reads_the_records() {
     let disk = Disk::default();
-    let (journal, held) = open(&disk);
-    assert_eq!(held, Held::default());
-    assert!(["a", "b", "c"].iter().all(|id| intend(&journal, id)));
-    journal.write_answer(&name("b"), Time(9), &ok());
-    journal.remove(&name("c"));
+    let (journal, records) = open(&disk);
+    assert_eq!(records, Records::default());
+    assert!(["a", "b", "c"].iter().all(|id| write_intent(&journal, id)));
+    journal.write_answer(&key("b"), Time(9), &ok());
+    journal.remove(&key("c"));
     drop(journal);
-    let (journal, held) = open(&disk);
-    assert_eq!(held.intents, BTreeMap::from([("a".to_owned(), Time(7))]));
-    assert_eq!(held.answers, BTreeMap::from([("b".to_owned(), ok())]));
+    let (journal, records) = open(&disk);
+    assert_eq!(records.intents, BTreeMap::from([("a".to_owned(), Time(7))]));
+    assert_eq!(records.answers, BTreeMap::from([("b".to_owned(), ok())]));
     assert_eq!(journal.stats().records, 2);
 }
 
 #[test]
-fn a_full_disk_sends_nothing_and_is_written_again_when_there_is_room() {
+fn a_full_disk_refuses_intents_until_there_is_space_again() {
     let disk = Disk::default();
     let (journal, _) = open(&disk);
-    assert!(intend(&journal, "a"));
-    disk.with(|p| p.budget = Some(1));
-    assert!(!intend(&journal, "b"));
-    journal.remove(&name("a"));
-    assert!(!intend(&journal, "c"), "it is still full");
-    disk.with(|p| p.budget = None);
-    // The store is opened anew after a while, not at once.
+    assert!(write_intent(&journal, "a"));
+    disk.with(|p| p.write_budget = Some(1));
+    assert!(!write_intent(&journal, "b"));
+    journal.remove(&key("a"));
+    assert!(!write_intent(&journal, "c"), "the disk is still full");
+    disk.with(|p| p.write_budget = None);
+    // The store is reopened after the backoff, not at once.
     let began = std::time::Instant::now();
-    while !intend(&journal, "d") {
-        assert!(began.elapsed() < Duration::from_secs(20), "it is never written again");
+    while !write_intent(&journal, "d") {
+        assert!(began.elapsed() < Duration::from_secs(20), "the journal is never written again");
     }
-    let f = journal.stats();
-    assert!(f.failed_commits >= 2 && f.lost >= 2, "{f:?}");
+    let stats = journal.stats();
+    assert!(stats.failed_commits >= 2 && stats.failed_intents >= 2, "{stats:?}");
     drop(journal);
-    let held = open(&disk).1;
+    let records = open(&disk).1;
     assert!(
-        held.intents.contains_key("d") && !held.intents.contains_key("a"),
-        "what was owed is made good: {held:?}"
+        records.intents.contains_key("d") && !records.intents.contains_key("a"),
+        "writes of failed commits are made up for: {records:?}"
     );
 }
 
-/// What comes while a slow sync is under way goes with the next one: the wait does not grow with the number.
+/// Intents that arrive during a slow sync share the next one, so that the wait does not grow with their number.
 #[test]
-fn a_slow_disk_is_waited_for_by_all_at_once() {
+fn intents_share_the_syncs_of_a_slow_disk() {
     let disk = Disk::default();
     let (journal, _) = open(&disk);
-    disk.with(|p| (p.slow, p.syncs) = (Duration::from_millis(20), 0));
-    let (tell, told) = channel();
-    for no in 0..500 {
-        let tell = tell.clone();
-        journal.write_intent(&name(&format!("m{no}")), Time(1), move |written| tell.send(written).unwrap());
+    disk.with(|p| (p.sync_time, p.syncs) = (Duration::from_millis(20), 0));
+    let (result_tx, result_rx) = channel();
+    for number in 0..500 {
+        let result_tx = result_tx.clone();
+        journal.write_intent(&key(&format!("m{number}")), Time(1), move |written| {
+            result_tx.send(written).unwrap()
+        });
     }
-    assert!((0..500).all(|_| told.recv().unwrap()));
+    assert!((0..500).all(|_| result_rx.recv().unwrap()));
     let syncs = disk.with(|p| p.syncs);
     assert!(syncs < 50, "{syncs} syncs for 500 intents");
 }
 
 #[test]
-fn a_read_only_disk_is_told_at_the_start_or_at_the_first_intent() {
+fn a_read_only_disk_is_reported_at_the_start_or_at_the_first_intent() {
     let disk = Disk::default();
     let (journal, _) = open(&disk);
     disk.with(|p| p.read_only = true);
-    assert!(!intend(&journal, "a"));
+    assert!(!write_intent(&journal, "a"));
     drop(journal);
     let new = Disk::default();
     new.with(|p| p.read_only = true);
-    let told = Journal::open_with(new.open(), JournalLimits::default(), &mut Held::default());
-    assert!(matches!(told, Err(JournalError::Disk(_))));
+    let result = Journal::open_with(new.open(), JournalLimits::default(), &mut Records::default());
+    assert!(matches!(result, Err(JournalError::Disk(_))));
 }
 
 #[test]
-fn room_is_bounded_and_a_long_answer_leaves_its_intent() {
+fn the_size_is_limited_and_a_long_answer_leaves_its_intent() {
     let disk = Disk::default();
     let limits = JournalLimits { commit_delay: Duration::ZERO, max_bytes: 200, max_answer_bytes: 64 };
-    let journal = Journal::open_with(disk.open(), limits, &mut Held::default()).unwrap();
-    let taken = (0..40).filter(|no| intend(&journal, &format!("m{no}"))).count();
-    assert!((5..30).contains(&taken), "{taken}");
-    journal.write_answer(&name("m0"), Time(9), &FinalAnswer { body: vec![7; 100].into(), ..ok() });
-    (1..taken).for_each(|no| journal.remove(&name(&format!("m{no}"))));
-    assert!(intend(&journal, "n"), "what is done makes room");
+    let journal = Journal::open_with(disk.open(), limits, &mut Records::default()).unwrap();
+    let accepted = (0..40).filter(|number| write_intent(&journal, &format!("m{number}"))).count();
+    assert!((5..30).contains(&accepted), "{accepted}");
+    journal.write_answer(&key("m0"), Time(9), &FinalAnswer { body: vec![7; 100].into(), ..ok() });
+    (1..accepted).for_each(|number| journal.remove(&key(&format!("m{number}"))));
+    assert!(write_intent(&journal, "n"), "removed records free space");
     drop(journal);
-    let held = open(&disk).1;
-    assert_eq!(held.intents.keys().collect::<Vec<_>>(), ["m0", "n"]);
-    assert!(held.answers.is_empty());
+    let records = open(&disk).1;
+    assert_eq!(records.intents.keys().collect::<Vec<_>>(), ["m0", "n"]);
+    assert!(records.answers.is_empty());
 }
 
-/// Bytes flipped where the journal has data: it is refused, or says the same as before; it never says less in silence.
+/// A journal with a flipped bit must not lose records unnoticed: it is refused, or it holds the same records as before.
 #[test]
-fn a_flipped_byte_is_found() {
+fn a_flipped_bit_is_detected_or_harmless() {
     let disk = Disk::default();
     let (journal, _) = open(&disk);
-    assert!((0..50).all(|no| intend(&journal, &format!("m{no}"))));
+    assert!((0..50).all(|number| write_intent(&journal, &format!("m{number}"))));
     drop(journal);
-    let (whole, before) = (disk.with(|p| p.now.clone()), open(&disk).1);
+    let (intact, before) = (disk.with(|p| p.current.clone()), open(&disk).1);
     let (mut rng, mut refused) = (Rand64::new(3), 0);
     for _ in 0..200 {
-        let at = rng.rand_range(0..whole.len() as u64) as usize;
-        let mut flipped = whole.clone();
+        let at = rng.rand_range(0..intact.len() as u64) as usize;
+        let mut flipped = intact.clone();
         flipped[at] ^= 1 << rng.rand_range(0..8);
         let copy = Disk::default();
-        copy.with(|p| (p.now, p.durable) = (flipped.clone(), flipped));
-        let mut held = Held::default();
-        match Journal::open_with(copy.open(), JournalLimits::default(), &mut held) {
-            Ok(_) => assert_eq!(held, before, "byte {at}"),
+        copy.with(|p| (p.current, p.durable) = (flipped.clone(), flipped));
+        let mut records = Records::default();
+        match Journal::open_with(copy.open(), JournalLimits::default(), &mut records) {
+            Ok(_) => assert_eq!(records, before, "byte {at}"),
             Err(_) => refused += 1,
         }
     }
-    assert!(refused > 0, "none of the flips was where data is");
+    assert!(refused > 0, "number flip hit data");
 }
 
-#[test_case(0, 100..=300 ; "without a delay what queues up during a commit goes together")]
-#[test_case(20, 1..=20 ; "with one they go together")]
-fn many_at_once_share_their_commits(delay: u64, commits: std::ops::RangeInclusive<u64>) {
+#[test_case(0, 100..=300 ; "without a delay single intents are committed one by one")]
+#[test_case(20, 1..=20 ; "with a delay intents share commits")]
+fn the_commit_delay_determines_the_number_of_commits(delay: u64, commits: std::ops::RangeInclusive<u64>) {
     let disk = Disk::default();
     let limits = JournalLimits { commit_delay: Duration::from_millis(delay), ..JournalLimits::default() };
-    let journal = Journal::open_with(disk.open(), limits, &mut Held::default()).unwrap();
-    let (tell, told) = channel();
+    let journal = Journal::open_with(disk.open(), limits, &mut Records::default()).unwrap();
+    let (result_tx, result_rx) = channel();
     if delay == 0 {
-        // One after the other: each is a commit of its own.
-        assert!((0..100).all(|no| intend(&journal, &format!("m{no}"))));
+        // Each intent is awaited before the next one is written, so each has its own commit.
+        assert!((0..100).all(|number| write_intent(&journal, &format!("m{number}"))));
     } else {
-        for no in 0..1_000 {
-            let tell = tell.clone();
-            journal
-                .write_intent(&name(&format!("m{no}")), Time(1), move |written| tell.send(written).unwrap());
+        for number in 0..1_000 {
+            let result_tx = result_tx.clone();
+            journal.write_intent(&key(&format!("m{number}")), Time(1), move |written| {
+                result_tx.send(written).unwrap()
+            });
         }
-        assert!((0..1_000).all(|_| told.recv().unwrap()));
+        assert!((0..1_000).all(|_| result_rx.recv().unwrap()));
     }
     assert!(commits.contains(&journal.stats().commits), "{:?}", journal.stats());
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Intend(u8),
-    Answer(u8),
-    Done(u8),
-    /// The process ends in order, or its machine loses power.
-    End(bool),
-    /// The disk takes so many more writes.
-    Budget(u8),
+    WriteIntent(u8),
+    WriteAnswer(u8),
+    Remove(u8),
+    /// The process exits normally (true), or its machine loses power.
+    Restart(bool),
+    /// The disk fails after this number of further writes.
+    WriteBudget(u8),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        6 => (0u8..12).prop_map(Step::Intend),
-        3 => (0u8..12).prop_map(Step::Answer),
-        3 => (0u8..12).prop_map(Step::Done),
-        2 => any::<bool>().prop_map(Step::End),
-        1 => (0u8..20).prop_map(Step::Budget),
+        6 => (0u8..12).prop_map(Step::WriteIntent),
+        3 => (0u8..12).prop_map(Step::WriteAnswer),
+        3 => (0u8..12).prop_map(Step::Remove),
+        2 => any::<bool>().prop_map(Step::Restart),
+        1 => (0u8..20).prop_map(Step::WriteBudget),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
-    /// Whatever a crash leaves of the last writes: an intent that was told as written, and not ended since, is there.
+    /// An intent that was reported as written and not removed since survives every crash, whatever it leaves of the last writes.
     #[test]
-    fn no_crash_takes_an_intent_that_was_told(steps in proptest::collection::vec(step(), 1..40), seed in any::<u64>()) {
+    fn a_crash_loses_no_intent_that_was_reported_as_written(steps in proptest::collection::vec(step(), 1..40), seed in any::<u64>()) {
         let (disk, mut rng) = (Disk::default(), Rand64::new(u128::from(seed)));
         let mut journal = open(&disk).0;
-        let mut owed: BTreeSet<u8> = BTreeSet::new();
+        let mut written: BTreeSet<u8> = BTreeSet::new();
         for step in steps {
             match step {
-                Step::Intend(no) => {
-                    if intend(&journal, &no.to_string()) {
-                        owed.insert(no);
+                Step::WriteIntent(number) => {
+                    if write_intent(&journal, &number.to_string()) {
+                        written.insert(number);
                     }
                 }
-                Step::Answer(no) if owed.contains(&no) => journal.write_answer(&name(&no.to_string()), Time(8), &ok()),
-                Step::Done(no) => {
-                    owed.remove(&no);
-                    journal.remove(&name(&no.to_string()));
+                Step::WriteAnswer(number) if written.contains(&number) => journal.write_answer(&key(&number.to_string()), Time(8), &ok()),
+                Step::Remove(number) => {
+                    written.remove(&number);
+                    journal.remove(&key(&number.to_string()));
                 }
-                Step::Answer(_) => {}
-                Step::Budget(left) => disk.with(|p| p.budget = Some(u64::from(left))),
-                Step::End(in_order) => {
-                    if in_order {
-                        disk.with(|p| p.budget = None);
+                Step::WriteAnswer(_) => {}
+                Step::WriteBudget(writes) => disk.with(|p| p.write_budget = Some(u64::from(writes))),
+                Step::Restart(exits_normally) => {
+                    if exits_normally {
+                        disk.with(|p| p.write_budget = None);
                         drop(journal);
                     } else {
-                        // The power goes while the writer may be at work: what it does afterwards reaches no platter.
-                        let dead = Disk::default();
-                        dead.with(|d| disk.with(|p| {
-                            (d.durable, d.now, d.since) = (p.durable.clone(), p.now.clone(), p.since.clone());
-                            p.budget = Some(0);
+                        // The power fails while the writer may be at work: its later writes do not reach the disk.
+                        let after_crash = Disk::default();
+                        after_crash.with(|d| disk.with(|p| {
+                            (d.durable, d.current, d.unsynced) = (p.durable.clone(), p.current.clone(), p.unsynced.clone());
+                            p.write_budget = Some(0);
                         }));
                         drop(journal);
-                        dead.crash(&mut rng);
-                        disk.with(|p| dead.with(|d| {
-                            (p.durable, p.now) = (d.durable.clone(), d.now.clone());
-                            (p.since, p.budget) = (Vec::new(), None);
+                        after_crash.crash(&mut rng);
+                        disk.with(|p| after_crash.with(|d| {
+                            (p.durable, p.current) = (d.durable.clone(), d.current.clone());
+                            (p.unsynced, p.write_budget) = (Vec::new(), None);
                         }));
                     }
-                    let (next, held) = open(&disk);
+                    let (next, records) = open(&disk);
                     journal = next;
-                    for no in &owed {
-                        let id = no.to_string();
-                        prop_assert!(held.intents.contains_key(&id) || held.answers.contains_key(&id), "{} is lost", no);
+                    for number in &written {
+                        let id = number.to_string();
+                        prop_assert!(records.intents.contains_key(&id) || records.answers.contains_key(&id), "intent {} is lost", number);
                     }
                 }
             }
--- a/crates/curlewpoint-trigger/tests/model.rs
+++ b/crates/curlewpoint-trigger/tests/model.rs
@@ -97,7 +97,7 @@
     minor_faults: u8,
 }
 
-/// The protocol, or a way in position it is weakened.
+/// The protocol, or a way in which it is weakened.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Variant {
     Correct,
