--- a/crates/curlewpoint-gateway/src/driver.rs
+++ b/crates/curlewpoint-gateway/src/driver.rs
@@ -315,8 +315,8 @@
         self.pool.worker_gone(now, &mut self.sockets, worker);
     }
 
-    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64) {
-        self.observations.push((worker, function, hint, held_rpcs));
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64) {
+        self.observations.push((worker, function, hint, rpcs_held));
     }
 
     fn function_requested(&mut self, function: FunctionId) {
@@ -324,13 +324,13 @@
     }
 
     fn rpc_accepted(&mut self, rpc: RpcId) {
-        let release = self.releases.taken();
+        let release = self.releases.accept_rpc();
         self.rpc_releases.insert(rpc, release);
     }
 
     fn rpc_forgotten(&mut self, rpc: RpcId) {
         if let Some(release) = self.rpc_releases.remove(&rpc) {
-            self.releases.ended(release);
+            self.releases.end_rpc(release);
         }
     }
 
