--- a/crates/curlewpoint-amqp/src/codec.rs
+++ b/crates/curlewpoint-amqp/src/codec.rs
@@ -5,83 +5,83 @@
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// No peer may negotiate less.
+/// Lower limit of the negotiated frame size in bytes, from the specification.
 pub const MIN_FRAME_SIZE: u32 = 4096;
-/// The bytes around a payload: type, channel and size before it, the end after it.
-const AROUND: usize = 8;
-const END: u8 = 0xCE;
-/// The longest payload of a method or a header: their tables are built whole.
-const MOST_HEAD: usize = 64 << 10;
-/// Tables within tables beyond this are refused before they are parsed.
-const DEEPEST: usize = 16;
+/// Bytes of a frame besides its payload: type, channel and size before it, the end byte after it.
+const FRAME_OVERHEAD: usize = 8;
+const FRAME_END: u8 = 0xCE;
+/// Maximum payload of a method or header frame in bytes, as their tables are built in memory as a whole.
+const MAX_METHOD_OR_HEADER: usize = 64 << 10;
+/// Maximum nesting depth of tables. Deeper ones are rejected before they are parsed.
+const MAX_TABLE_DEPTH: usize = 16;
 
-/// Why a connection cannot go on. All but `Io` are the peer's fault; a connection that has one is closed.
+/// Reasons why a connection is closed. All but `Io` and `Unwritable` are protocol errors of the peer.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    #[error("the peer speaks another version: {0:?}")]
+    #[error("the peer uses another version: {0:?}")]
     Version([u8; 8]),
     #[error("frame of type {0}")]
     Kind(u8),
-    #[error("frame on channel {0}, {1} is the last one")]
+    #[error("frame on channel {0}, the maximum is {1}")]
     Channel(u16, u16),
-    #[error("frame of {0} bytes, {1} were agreed on")]
+    #[error("frame of {0} bytes exceeds the negotiated {1} bytes")]
     TooLong(usize, u32),
-    #[error("a method or header of {0} bytes")]
-    HeadTooLong(usize),
-    #[error("tables nested deeper than {DEEPEST}")]
+    #[error("method or header frame of {0} bytes exceeds the maximum")]
+    MethodOrHeaderTooLong(usize),
+    #[error("tables nested deeper than {MAX_TABLE_DEPTH}")]
     TooDeep,
-    #[error("a frame that does not end where it should")]
-    NoEnd,
-    #[error("a frame that cannot be read")]
+    #[error("frame without an end byte after its payload")]
+    MissingEnd,
+    #[error("malformed frame")]
     Malformed,
-    #[error("a frame that cannot be written: {0}")]
+    #[error("frame cannot be written: {0}")]
     Unwritable(String),
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Frames of a connection, within what was agreed on.
+/// Reads and writes the frames of a connection within the negotiated limits.
 ///
-/// Guards against a peer that names sizes it does not send, sizes beyond what was agreed on, channels that there cannot be, and
-/// tables nested so deep that reading them would exhaust the stack. It harms where a peer's method or header is honestly
-/// longer than 64 KiB.
+/// Protects against frame sizes and channels beyond the negotiated limits, sizes that are announced but not sent, and tables
+/// nested so deeply that parsing them would exhaust the stack. The cost: a legitimate method or header frame longer than 64
+/// KiB is rejected.
 #[derive(Debug)]
 pub struct Codec {
     frame_max: u32,
     channel_max: u16,
-    room: Vec<u8>,
+    write_buffer: Vec<u8>,
 }
 
 impl Default for Codec {
-    /// As it is until the peers have agreed.
+    /// The limits until the peers have negotiated others.
     fn default() -> Self {
-        Codec { frame_max: MIN_FRAME_SIZE, channel_max: 0, room: Vec::new() }
+        Codec { frame_max: MIN_FRAME_SIZE, channel_max: 0, write_buffer: Vec::new() }
     }
 }
 
 impl Codec {
-    /// What was agreed on; nought stands for no limit in the protocol, and for ours here.
+    /// Sets the negotiated limits. Zero means no limit in the protocol; here it selects 1 MiB and 65535 channels.
     pub fn set_limits(&mut self, frame_max: u32, channel_max: u16) {
         self.frame_max = if frame_max == 0 { 1 << 20 } else { frame_max.max(MIN_FRAME_SIZE) };
         self.channel_max = if channel_max == 0 { u16::MAX } else { channel_max };
     }
 
-    /// The longest body that one frame takes.
+    /// Maximum body of one frame in bytes.
     pub fn max_body(&self) -> usize {
-        self.frame_max as usize - AROUND
+        self.frame_max as usize - FRAME_OVERHEAD
     }
 }
 
-/// Whether tables or arrays may be nested beyond the bound. Each opens with its type and its length; whatever else looks
-/// the same is counted with them, so that none is missed.
-fn too_deep(payload: &[u8]) -> bool {
-    let mut open: Vec<usize> = Vec::new();
+/// Whether tables or arrays may be nested deeper than `MAX_TABLE_DEPTH`. Each begins with its type and length; other bytes
+/// that look like such a beginning are counted too, so that none is missed.
+fn may_be_too_deep(payload: &[u8]) -> bool {
+    let mut open_ends: Vec<usize> = Vec::new();
     for (at, window) in payload.windows(5).enumerate() {
-        open.retain(|end| *end > at);
+        open_ends.retain(|end| *end > at);
         let length = u32::from_be_bytes([window[1], window[2], window[3], window[4]]) as usize;
         if matches!(window[0], b'F' | b'A') && length <= payload.len() - at - 5 {
-            open.push(at + 5 + length);
-            if open.len() > DEEPEST {
+            open_ends.push(at + 5 + length);
+            if open_ends.len() > MAX_TABLE_DEPTH {
                 return true;
             }
         }
@@ -96,9 +96,9 @@
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<AMQPFrame>, FrameError> {
         let Some(&kind) = src.first() else { return Ok(None) };
         if kind == b'A' {
-            let Some(head) = src.first_chunk::<8>().copied() else { return Ok(None) };
-            if &head != b"AMQP\x00\x00\x09\x01" {
-                return Err(FrameError::Version(head));
+            let Some(header) = src.first_chunk::<8>().copied() else { return Ok(None) };
+            if &header != b"AMQP\x00\x00\x09\x01" {
+                return Err(FrameError::Version(header));
             }
             src.advance(8);
             return Ok(Some(AMQPFrame::ProtocolHeader(ProtocolVersion::amqp_0_9_1())));
@@ -112,28 +112,28 @@
             return Err(FrameError::Channel(channel, self.channel_max));
         }
         let size = u32::from_be_bytes([s0, s1, s2, s3]) as usize;
-        let whole = size.saturating_add(AROUND);
-        if whole > self.frame_max as usize {
-            return Err(FrameError::TooLong(whole, self.frame_max));
+        let frame_len = size.saturating_add(FRAME_OVERHEAD);
+        if frame_len > self.frame_max as usize {
+            return Err(FrameError::TooLong(frame_len, self.frame_max));
         }
-        if kind != 3 && size > MOST_HEAD {
-            return Err(FrameError::HeadTooLong(size));
+        if kind != 3 && size > MAX_METHOD_OR_HEADER {
+            return Err(FrameError::MethodOrHeaderTooLong(size));
         }
-        if src.len() < whole {
-            src.reserve(whole - src.len());
+        if src.len() < frame_len {
+            src.reserve(frame_len - src.len());
             return Ok(None);
         }
-        if src[whole - 1] != END {
-            return Err(FrameError::NoEnd);
+        if src[frame_len - 1] != FRAME_END {
+            return Err(FrameError::MissingEnd);
         }
-        if kind != 3 && too_deep(&src[7..whole - 1]) {
+        if kind != 3 && may_be_too_deep(&src[7..frame_len - 1]) {
             return Err(FrameError::TooDeep);
         }
-        let frame = match parse_frame(&src[..whole]) {
+        let frame = match parse_frame(&src[..frame_len]) {
             Ok(([], frame)) => frame,
             _ => return Err(FrameError::Malformed),
         };
-        src.advance(whole);
+        src.advance(frame_len);
         Ok(Some(frame))
     }
 }
@@ -142,12 +142,12 @@
     type Error = FrameError;
 
     fn encode(&mut self, frame: AMQPFrame, dst: &mut BytesMut) -> Result<(), FrameError> {
-        // The library writes into room that is there: what does not fit is longer than was agreed on.
-        self.room.resize(self.frame_max as usize, 0);
-        let out = Cursor::new(&mut self.room[..]);
+        // The library writes into a buffer of fixed size, so a frame beyond the negotiated size does not fit.
+        self.write_buffer.resize(self.frame_max as usize, 0);
+        let out = Cursor::new(&mut self.write_buffer[..]);
         let written = gen_frame(&frame)(out.into()).map_err(|e| FrameError::Unwritable(e.to_string()))?;
         let length = written.into_inner().1 as usize;
-        dst.extend_from_slice(&self.room[..length]);
+        dst.extend_from_slice(&self.write_buffer[..length]);
         Ok(())
     }
 }
--- a/crates/curlewpoint-amqp/src/content.rs
+++ b/crates/curlewpoint-amqp/src/content.rs
@@ -5,7 +5,7 @@
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-/// A method that carries content, with all of it.
+/// A method with its complete content.
 #[derive(Debug, PartialEq)]
 pub struct Content<M> {
     pub method: M,
@@ -13,7 +13,7 @@
     pub body: Bytes,
 }
 
-/// A frame that may not stand where it does: the specification ends the connection for it (501, 505).
+/// A content frame that is not allowed at its position. The specification requires closing the connection (501, 505).
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum ContentError {
     #[error("content on channel {0} that nothing announced")]
@@ -26,79 +26,82 @@
     OverLimit(u64, u16),
 }
 
-enum Part<M> {
+/// Content that is not complete yet.
+enum Partial<M> {
     Method(M),
-    Body { method: M, properties: Box<AMQPProperties>, body: BytesMut, left: usize },
+    Body { method: M, properties: Box<AMQPProperties>, body: BytesMut, bytes_left: usize },
 }
 
-/// Puts contents together: on each channel a method, its header, and bodies up to the size that the header names. Contents of
-/// several channels may come mixed.
+/// Assembles contents: on each channel a method, its header, and body frames up to the size stated in the header. Frames of
+/// several channels may be interleaved.
 pub struct ContentAssembler<M> {
-    parts: BTreeMap<u16, Part<M>>,
-    most: u64,
+    partials: BTreeMap<u16, Partial<M>>,
+    max_size: u64,
 }
 
 impl<M> ContentAssembler<M> {
-    /// No content may be longer than this.
-    pub fn new(most: u64) -> ContentAssembler<M> {
-        ContentAssembler { parts: BTreeMap::new(), most }
+    /// `max_size` is the maximum size of a content in bytes.
+    pub fn new(max_size: u64) -> ContentAssembler<M> {
+        ContentAssembler { partials: BTreeMap::new(), max_size }
     }
 
-    /// A method that carries content.
+    /// Begins a content with its method.
     pub fn start(&mut self, channel: u16, method: M) -> Result<(), ContentError> {
         self.check_idle(channel)?;
-        self.parts.insert(channel, Part::Method(method));
+        self.partials.insert(channel, Partial::Method(method));
         Ok(())
     }
 
-    /// A method that carries none: it may not stand within a content.
+    /// Checks that no content is open on the channel, as a method without content may not interrupt one.
     pub fn check_idle(&self, channel: u16) -> Result<(), ContentError> {
-        if self.parts.contains_key(&channel) {
+        if self.partials.contains_key(&channel) {
             return Err(ContentError::Interrupted(channel));
         }
         Ok(())
     }
 
+    /// Handles a content header. Returns the content if it has no body.
     pub fn header(
         &mut self, channel: u16, header: AMQPContentHeader,
     ) -> Result<Option<Content<M>>, ContentError> {
-        let method = match self.parts.remove(&channel) {
-            Some(Part::Method(method)) => method,
-            Some(Part::Body { .. }) => return Err(ContentError::Interrupted(channel)),
+        let method = match self.partials.remove(&channel) {
+            Some(Partial::Method(method)) => method,
+            Some(Partial::Body { .. }) => return Err(ContentError::Interrupted(channel)),
             None => return Err(ContentError::Unexpected(channel)),
         };
         let (size, properties) = (header.body_size, header.properties);
-        if size > self.most {
+        if size > self.max_size {
             return Err(ContentError::OverLimit(size, channel));
         }
         if size == 0 {
             return Ok(Some(Content { method, properties, body: Bytes::new() }));
         }
-        // What a header promises is not believed before it comes.
-        let (left, body, properties) = (size as usize, BytesMut::new(), Box::new(properties));
-        self.parts.insert(channel, Part::Body { method, properties, body, left });
+        // No memory is reserved for the stated size before the body arrives.
+        let (bytes_left, body, properties) = (size as usize, BytesMut::new(), Box::new(properties));
+        self.partials.insert(channel, Partial::Body { method, properties, body, bytes_left });
         Ok(None)
     }
 
+    /// Handles a body frame. Returns the content once it is complete.
     pub fn body(&mut self, channel: u16, data: &[u8]) -> Result<Option<Content<M>>, ContentError> {
-        let Some(Part::Body { body, left, .. }) = self.parts.get_mut(&channel) else {
+        let Some(Partial::Body { body, bytes_left, .. }) = self.partials.get_mut(&channel) else {
             return Err(ContentError::Unexpected(channel));
         };
-        *left = left.checked_sub(data.len()).ok_or(ContentError::TooLong(channel))?;
+        *bytes_left = bytes_left.checked_sub(data.len()).ok_or(ContentError::TooLong(channel))?;
         body.extend_from_slice(data);
-        if *left > 0 {
+        if *bytes_left > 0 {
             return Ok(None);
         }
-        match self.parts.remove(&channel) {
-            Some(Part::Body { method, properties, body, .. }) => {
+        match self.partials.remove(&channel) {
+            Some(Partial::Body { method, properties, body, .. }) => {
                 Ok(Some(Content { method, properties: *properties, body: body.freeze() }))
             }
             _ => Err(ContentError::Unexpected(channel)),
         }
     }
 
-    /// A channel has ended: what was under way on it is void.
+    /// Discards an incomplete content, as its channel was closed.
     pub fn channel_closed(&mut self, channel: u16) {
-        self.parts.remove(&channel);
+        self.partials.remove(&channel);
     }
 }
--- a/crates/curlewpoint-amqp/src/lib.rs
+++ b/crates/curlewpoint-amqp/src/lib.rs
@@ -1,5 +1,5 @@
-//! AMQP 0-9-1 from its public specification: a codec of frames with bounds, and contents put together from them. The frames'
-//! own types are those of the `amq-protocol` library.
+//! AMQP 0-9-1 according to its public specification: a frame codec with limits, the assembly of content frames, and a client
+//! session without I/O. The frame types are those of the `amq-protocol` library.
 
 mod codec;
 mod content;
--- a/crates/curlewpoint-journal/tests/disk.rs
+++ b/crates/curlewpoint-journal/tests/disk.rs
@@ -23,7 +23,7 @@
     current: Vec<u8>,
     /// Writes since the last sync, with their offsets.
     unsynced: Vec<(u64, Vec<u8>)>,
-    /// Number of writes and syncs that still succeed. None: number limit.
+    /// Number of writes and syncs that still succeed. None: no limit.
     write_budget: Option<u64>,
     read_only: bool,
     syncs: u64,
