--- a/crates/curlewpoint-cli/src/commands/check.rs
+++ b/crates/curlewpoint-cli/src/commands/check.rs
@@ -4,39 +4,39 @@
 use curlewpoint_catalogue::Catalogue;
 use curlewpoint_config::{Config, ValueKind, BLOCKS};
 
-use super::{fail, AT_FAULT, DONE};
+use super::{fail, BAD_INPUT, SUCCESS};
 
-/// Checks a configuration and starts nothing.
+/// Checks a configuration without starting anything.
 #[derive(Args)]
 pub struct Check {
     /// The configuration file.
     #[arg(required_unless_present = "directives")]
     config: Option<PathBuf>,
-    /// Print the settings that the decision module is handed, as JSON.
+    /// Print the settings passed to the decision module, as JSON.
     #[arg(long)]
     settings: bool,
-    /// Print every directive with its default, as a page.
+    /// Print every directive with its default, as a Markdown page.
     #[arg(long)]
     directives: bool,
 }
 
-/// A configuration and its methods' schemas, checked as a whole; the faults as they are to be printed.
+/// Loads a configuration with its methods' schemas. The error holds all messages, ready to print.
 pub fn load(path: &Path) -> Result<(Config, Catalogue), String> {
     let config =
-        curlewpoint_config::load(path).map_err(|faults| format!("{} faults\n{faults}", faults.count))?;
+        curlewpoint_config::load(path).map_err(|errors| format!("{} faults\n{errors}", errors.count))?;
     match Catalogue::from_config(&config) {
         Ok(catalogue) => Ok((config, catalogue)),
-        Err(faults) => {
-            let lines: Vec<String> = faults.iter().map(|f| format!("error: {f}")).collect();
-            Err(format!("{} faults\n{}", faults.len(), lines.join("\n")))
+        Err(errors) => {
+            let lines: Vec<String> = errors.iter().map(|f| format!("error: {f}")).collect();
+            Err(format!("{} faults\n{}", errors.len(), lines.join("\n")))
         }
     }
 }
 
-fn holds(of: ValueKind) -> String {
-    let words =
+fn value_description(kind: ValueKind) -> String {
+    let quoted =
         |all: &[(&str, &str)]| all.iter().map(|w| format!("`{}`", w.0)).collect::<Vec<_>>().join(", ");
-    match of {
+    match kind {
         ValueKind::Text => "a text".into(),
         ValueKind::Addresses => "one or more addresses".into(),
         ValueKind::Address => "an address, `127.0.0.1:7000`".into(),
@@ -46,12 +46,12 @@
         ValueKind::Share => "a share: `25%` or `0.25`".into(),
         ValueKind::Date => "a day in UTC, `2027-03-01`".into(),
         ValueKind::YesNo => "`yes` or `no`".into(),
-        ValueKind::OneOf(all) => format!("one of {}", words(all)),
-        ValueKind::AnyOf(all) => format!("any of {}", words(all)),
+        ValueKind::OneOf(all) => format!("one of {}", quoted(all)),
+        ValueKind::AnyOf(all) => format!("any of {}", quoted(all)),
     }
 }
 
-fn page() -> String {
+fn directives_page() -> String {
     let mut out = String::new();
     for block in BLOCKS {
         let name = if block.name.is_empty() { "At the top" } else { block.name };
@@ -61,7 +61,12 @@
         );
         for d in block.directives {
             let default = if d.default.is_empty() { "-".to_owned() } else { format!("`{}`", d.default) };
-            out += &format!("| `{}` | {} | {default} | {} |\n", d.name, holds(d.value_kind), d.about);
+            out += &format!(
+                "| `{}` | {} | {default} | {} |\n",
+                d.name,
+                value_description(d.value_kind),
+                d.about
+            );
         }
         out += "\n";
     }
@@ -71,14 +76,14 @@
 impl Check {
     pub fn run(self) -> u8 {
         if self.directives {
-            print!("{}", page());
-            return DONE;
+            print!("{}", directives_page());
+            return SUCCESS;
         }
         let path = self.config.unwrap_or_default();
         match load(&path) {
             Ok((config, _)) if self.settings => {
                 println!("{:#}", serde_json::Value::Object(config.settings()));
-                DONE
+                SUCCESS
             }
             Ok((config, _)) => {
                 println!(
@@ -87,9 +92,9 @@
                     config.methods().len(),
                     config.tenants().len()
                 );
-                DONE
+                SUCCESS
             }
-            Err(faults) => fail(AT_FAULT, &faults),
+            Err(errors) => fail(BAD_INPUT, &errors),
         }
     }
 }
--- a/crates/curlewpoint-cli/src/commands/completions.rs
+++ b/crates/curlewpoint-cli/src/commands/completions.rs
@@ -1,11 +1,12 @@
 use clap::{Args, CommandFactory};
 use clap_complete::Shell;
 
-use super::DONE;
+use super::SUCCESS;
 
-/// Prints completions for a shell.
+/// Prints a completion script for a shell.
 #[derive(Args)]
 pub struct Completions {
+    /// The shell to generate the script for.
     shell: Shell,
 }
 
@@ -17,6 +18,6 @@
             "curlewpoint",
             &mut std::io::stdout(),
         );
-        DONE
+        SUCCESS
     }
 }
--- a/crates/curlewpoint-cli/src/commands/describe.rs
+++ b/crates/curlewpoint-cli/src/commands/describe.rs
@@ -4,23 +4,22 @@
 use curlewpoint_catalogue::{asyncapi, openapi, render, Catalogue};
 use serde_json::Value;
 
-use super::{fail, AT_FAULT, DONE, FAILED};
+use super::{fail, BAD_INPUT, FAILED, SUCCESS};
 
-/// Prints what clients may call, as a document, or compares two configurations.
+/// Prints the methods of a configuration as an API document, or compares two configurations.
 #[derive(Args)]
 pub struct Describe {
     #[command(subcommand)]
-    what: What,
+    command: DescribeCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Prints the OpenAPI 3.1 document that the HTTP door serves.
+enum DescribeCommand {
+    /// Prints the OpenAPI 3.1 document that the HTTP listener serves.
     Openapi { config: PathBuf },
     /// Prints the AsyncAPI 3.0 document of the AMQP channels.
     Asyncapi { config: PathBuf },
-    /// Sorts what has changed from one configuration to another into compatible and breaking; exit code 1 if anything
-    /// breaks.
+    /// Lists the changes from one configuration to another as compatible or breaking; exit code 1 if any is breaking.
     Diff { old: PathBuf, new: PathBuf },
 }
 
@@ -28,18 +27,18 @@
     match super::check::load(config) {
         Ok((_, catalogue)) => {
             print!("{}", render(&document(&catalogue)));
-            DONE
+            SUCCESS
         }
-        Err(faults) => fail(AT_FAULT, &faults),
+        Err(errors) => fail(BAD_INPUT, &errors),
     }
 }
 
 impl Describe {
     pub fn run(self) -> u8 {
-        let (old, new) = match self.what {
-            What::Diff { old, new } => (old, new),
-            What::Openapi { config } => return print(&config, openapi),
-            What::Asyncapi { config } => return print(&config, asyncapi),
+        let (old, new) = match self.command {
+            DescribeCommand::Diff { old, new } => (old, new),
+            DescribeCommand::Openapi { config } => return print(&config, openapi),
+            DescribeCommand::Asyncapi { config } => return print(&config, asyncapi),
         };
         match (super::check::load(&old), super::check::load(&new)) {
             (Ok((_, old)), Ok((_, new))) => {
@@ -57,11 +56,11 @@
                 if breaking > 0 {
                     FAILED
                 } else {
-                    DONE
+                    SUCCESS
                 }
             }
-            (Err(faults), _) => fail(AT_FAULT, &format!("{}: {faults}", old.display())),
-            (_, Err(faults)) => fail(AT_FAULT, &format!("{}: {faults}", new.display())),
+            (Err(errors), _) => fail(BAD_INPUT, &format!("{}: {errors}", old.display())),
+            (_, Err(errors)) => fail(BAD_INPUT, &format!("{}: {errors}", new.display())),
         }
     }
 }
--- a/crates/curlewpoint-cli/src/commands/journal.rs
+++ b/crates/curlewpoint-cli/src/commands/journal.rs
@@ -6,51 +6,52 @@
 use curlewpoint_journal::{Journal, RecordVisitor};
 use curlewpoint_trigger::{FinalAnswer, MessageKey};
 
-use super::{fail, DONE, FAILED};
+use super::{fail, FAILED, SUCCESS};
 
-/// Looks into the journal of a scheduler that does not run.
+/// Inspects the journal of a stopped scheduler.
 #[derive(Args)]
-pub struct LookInto {
+pub struct InspectJournal {
     #[command(subcommand)]
-    what: What,
+    command: JournalCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Prints every record, oldest first, with what the next start would do when its message comes again.
+enum JournalCommand {
+    /// Prints every record, oldest first, with the action that the next start takes on redelivery of its message.
     List { journal: PathBuf },
     /// Checks the whole file; exit code 1 if it is damaged.
     Verify { journal: PathBuf },
 }
 
-/// Lines by moment.
+/// Output lines with their times.
 #[derive(Default)]
 struct Lines(Vec<(Time, String)>);
 
-fn since(at: Time) -> String {
+fn time_ago(at: Time) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let ago = now.saturating_sub(Duration::from_micros(at.0.saturating_mul(100)));
     format!("{:.1} s ago", ago.as_secs_f64())
 }
 
 impl RecordVisitor for Lines {
-    fn intent(&mut self, name: MessageKey, at: Time) {
-        let what = "may have been sent; comes again: aborted, or repeated by its token within its span";
-        self.0.push((at, format!("{}  {}  {}  {what}", name.id, name.reply_to, since(at))));
+    fn intent(&mut self, key: MessageKey, at: Time) {
+        let description =
+            "may have been sent; on redelivery: aborted, or repeated with its token within the memory span";
+        self.0.push((at, format!("{}  {}  {}  {description}", key.id, key.reply_to, time_ago(at))));
     }
 
-    fn answer(&mut self, name: MessageKey, at: Time, answer: FinalAnswer) {
-        let (end, length) = (answer.kind, answer.body.len());
-        let what = format!("answered {end:?}, {length} bytes; comes again: this answer");
-        self.0.push((at, format!("{}  {}  {}  {what}", name.id, name.reply_to, since(at))));
+    fn answer(&mut self, key: MessageKey, at: Time, answer: FinalAnswer) {
+        let (kind, length) = (answer.kind, answer.body.len());
+        let description = format!("answered {kind:?}, {length} bytes; on redelivery: this answer");
+        self.0.push((at, format!("{}  {}  {}  {description}", key.id, key.reply_to, time_ago(at))));
     }
 }
 
-impl LookInto {
+impl InspectJournal {
     pub fn run(self) -> u8 {
-        let (path, list) = match self.what {
-            What::List { journal } => (journal, true),
-            What::Verify { journal } => (journal, false),
+        let (path, list) = match self.command {
+            JournalCommand::List { journal } => (journal, true),
+            JournalCommand::Verify { journal } => (journal, false),
         };
         let mut lines = Lines::default();
         match Journal::inspect(&path, &mut lines) {
@@ -59,10 +60,10 @@
                 if list {
                     lines.0.iter().for_each(|(_, line)| println!("{line}"));
                 }
-                println!("{}: whole, {records} records, {bytes} bytes", path.display());
-                DONE
+                println!("{}: intact, {records} records, {bytes} bytes", path.display());
+                SUCCESS
             }
-            Err(why) => fail(FAILED, &format!("{}: {why}", path.display())),
+            Err(error) => fail(FAILED, &format!("{}: {error}", path.display())),
         }
     }
 }
--- a/crates/curlewpoint-cli/src/commands/node.rs
+++ b/crates/curlewpoint-cli/src/commands/node.rs
@@ -8,74 +8,76 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tracing::{debug, warn};
 
-use super::{fail, AT_FAULT, DONE, FAILED};
+use super::{fail, BAD_INPUT, FAILED, SUCCESS};
 
-/// Runs a scheduler as the platform starts it, until it is told to stop.
+/// Runs a scheduler as the platform starts it, until it receives a stop signal.
 ///
-/// SIGTERM or SIGINT: it goes on serving what still comes, and exits with 0 once nothing is open and nothing more can
-/// come, or just before the platform would kill it. SIGHUP: the directory's address is read anew from the file. SIGUSR1: its
-/// figures are logged.
+/// SIGTERM or SIGINT: the scheduler keeps serving requests that still arrive and exits with 0 once none is open and
+/// none can arrive any more, or just before the platform would kill it. SIGHUP: the discovery address is read again
+/// from the file. SIGUSR1: the counters are logged.
 #[derive(Args)]
 pub struct Node {
-    /// What the platform tells it at the start, as JSON.
-    #[arg(env = "ROUTER_CONFIG")]
-    told: PathBuf,
+    /// The startup configuration from the platform, as JSON.
+    #[arg(env = "ROUTER_CONFIG", value_name = "TOLD")]
+    startup_config: PathBuf,
+    /// The lowest level of log lines: error, warn, info, debug or trace.
     #[arg(long, default_value = "info")]
     log_level: String,
 }
 
-fn read(path: &Path) -> Result<startup::StartupConfig, String> {
+fn read_startup_config(path: &Path) -> Result<startup::StartupConfig, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     startup::parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// A file that cannot be read at a SIGHUP may be half written: so often, and after so long, it is read again.
-const AGAIN: (u32, Duration) = (20, Duration::from_millis(100));
+// The file may be half written when SIGHUP arrives, so a failed read is retried.
+const MAX_READ_RETRIES: u32 = 20;
+const READ_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The directory's address by the file as it is, or as it is a little later.
-async fn resolver(path: &Path) -> Result<SocketAddr, String> {
-    let mut tried = 0;
+/// Reads the discovery address from the startup configuration, retrying while the file cannot be parsed.
+async fn read_discovery_address(path: &Path) -> Result<SocketAddr, String> {
+    let mut retries = 0;
     loop {
-        match read(path) {
-            Err(why) if tried < AGAIN.0 => {
-                tried += 1;
-                debug!("read again in a moment: {why}");
+        match read_startup_config(path) {
+            Err(reason) if retries < MAX_READ_RETRIES => {
+                retries += 1;
+                debug!("cannot read the startup configuration yet, retrying: {reason}");
             }
-            told => return told.map(|told| told.resolver),
+            config => return config.map(|config| config.resolver),
         }
-        tokio::time::sleep(AGAIN.1).await;
+        tokio::time::sleep(READ_RETRY_DELAY).await;
     }
 }
 
 impl Node {
     pub fn run(self) -> u8 {
-        // One core: more threads would only wake each other.
+        // The process has one core: more threads would only wake each other.
         match tokio::runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime.block_on(self.serve()),
-            Err(e) => fail(FAILED, &format!("no runtime: {e}")),
+            Err(e) => fail(FAILED, &format!("cannot start the async runtime: {e}")),
         }
     }
 
     async fn serve(self) -> u8 {
-        // Before anything else: a signal that comes before the start is over is not lost, and ends nothing unasked.
-        let kinds = [
+        // Installed before anything else: a signal during startup is handled, not lost, and does not kill the process.
+        let signals = [
             SignalKind::terminate(),
             SignalKind::interrupt(),
             SignalKind::hangup(),
             SignalKind::user_defined1(),
         ];
-        let [Ok(mut term), Ok(mut int), Ok(mut hup), Ok(mut usr1)] = kinds.map(signal) else {
-            return fail(FAILED, "signals cannot be watched");
+        let [Ok(mut term), Ok(mut int), Ok(mut hup), Ok(mut usr1)] = signals.map(signal) else {
+            return fail(FAILED, "cannot install signal handlers");
         };
-        let told = match read(&self.told) {
-            Ok(told) => told,
-            Err(why) => return fail(AT_FAULT, &format!("nothing was started: {why}")),
+        let startup_config = match read_startup_config(&self.startup_config) {
+            Ok(config) => config,
+            Err(reason) => return fail(BAD_INPUT, &format!("nothing was started: {reason}")),
         };
         crate::logging::start(&self.log_level, false);
-        let SchedulerHandle { address, control, resolver: moves, stopped } =
-            match curlewpoint_node::start(told).await {
-                Ok(running) => running,
-                Err(why) => return fail(FAILED, &why.to_string()),
+        let SchedulerHandle { address, control, resolver: discovery_addresses, stopped } =
+            match curlewpoint_node::start(startup_config).await {
+                Ok(handle) => handle,
+                Err(error) => return fail(FAILED, &error.to_string()),
             };
         println!("serving on {address}");
         let stop = || {
@@ -84,8 +86,8 @@
                 async move { control.stop().await }
             })
         };
-        // The file is read for the newest SIGHUP alone; a stop and an end wait for nothing.
-        let (mut moving, reading) = (false, resolver(&self.told));
+        // Only the latest SIGHUP's read is kept. Stopping and exiting do not wait for it.
+        let (mut is_reading, reading) = (false, read_discovery_address(&self.startup_config));
         tokio::pin!(stopped, reading);
         loop {
             tokio::select! {
@@ -94,17 +96,17 @@
                 _ = int.recv() => drop(stop()),
                 _ = usr1.recv() => control.log_counters().await,
                 _ = hup.recv() => {
-                    moving = true;
-                    reading.set(resolver(&self.told));
+                    is_reading = true;
+                    reading.set(read_discovery_address(&self.startup_config));
                 }
-                told = &mut reading, if moving => {
-                    moving = false;
-                    match told {
-                        Ok(told) => drop(moves.send(told)),
-                        Err(why) => warn!("the directory's address stays as it is: {why}"),
+                address = &mut reading, if is_reading => {
+                    is_reading = false;
+                    match address {
+                        Ok(address) => drop(discovery_addresses.send(address)),
+                        Err(reason) => warn!("keeping the current discovery address: {reason}"),
                     }
                 }
-                ended = &mut stopped => return if ended.is_ok() { DONE } else { FAILED },
+                result = &mut stopped => return if result.is_ok() { SUCCESS } else { FAILED },
             }
         }
     }
--- a/crates/curlewpoint-cli/src/commands/day.rs
+++ b/crates/curlewpoint-cli/src/commands/scenario.rs
@@ -4,37 +4,38 @@
 use curlewpoint_config::Config;
 use curlewpoint_lab::{play, Entrance, Script, BAD_DAY, CONFIG};
 
-use super::{block_on, fail, AT_FAULT, DONE, FAILED};
+use super::{block_on, fail, BAD_INPUT, FAILED, SUCCESS};
 
-/// Plays a scripted day against real sockets on loopback, and judges the five rules.
+/// Runs a scripted fault scenario over real sockets on loopback and checks the five rules.
 #[derive(Args)]
-pub struct PlayDay {
-    /// The day's script.
+pub struct RunScenario {
+    /// The scenario script.
     script: PathBuf,
-    /// The schedulers' configuration; absent: the rehearsal's.
+    /// The schedulers' configuration. Default: that of `rehearse`.
     #[arg(long)]
     config: Option<PathBuf>,
-    /// Another seed than the script's.
+    /// The seed, instead of the one in the script.
     #[arg(long)]
     seed: Option<u64>,
-    /// Let the clients come by the HTTP door (HTTP/2), not by the native one.
+    /// Connect the clients to the HTTP listener (HTTP/2) instead of the native one.
     #[arg(long)]
     http: bool,
-    /// Log the schedulers' lines too.
+    /// Include the schedulers' log lines.
     #[arg(long)]
     log: bool,
 }
 
-/// Sets up all that is needed on loopback, plays a short bad day, and shows answers, latencies and the five rules.
+/// Starts schedulers and test servers on loopback, runs a short fault scenario and prints answers, latencies and the
+/// results of the five rules.
 #[derive(Args)]
 pub struct Rehearse {
-    /// Another seed than the day's.
+    /// The seed, instead of the one in the script.
     #[arg(long)]
     seed: Option<u64>,
-    /// Let the clients come by the HTTP door (HTTP/2), not by the native one.
+    /// Connect the clients to the HTTP listener (HTTP/2) instead of the native one.
     #[arg(long)]
     http: bool,
-    /// Log the schedulers' lines too.
+    /// Include the schedulers' log lines.
     #[arg(long)]
     log: bool,
 }
@@ -51,28 +52,28 @@
         let kind = curlewpoint_lab::Kind::ALL.iter().find(|k| k.1 == e.kind);
         println!("  at {:>6.1} s: {}", e.at.ms() / 1000.0, kind.map_or("", |k| k.2));
     }
-    let by = if http { Entrance::Http } else { Entrance::Native };
+    let entrance = if http { Entrance::Http } else { Entrance::Native };
     block_on(async {
-        match play(&config, &script, by).await {
-            Ok(day) => {
-                println!("\n{}", day.drawn);
-                if day.verdict.kept() {
+        match play(&config, &script, entrance).await {
+            Ok(outcome) => {
+                println!("\n{}", outcome.drawn);
+                if outcome.verdict.kept() {
                     println!("all five rules kept");
-                    DONE
+                    SUCCESS
                 } else {
                     fail(FAILED, "a rule was broken")
                 }
             }
-            Err(e) => fail(FAILED, &format!("the day could not be played: {e}")),
+            Err(e) => fail(FAILED, &format!("the scenario could not be run: {e}")),
         }
     })
 }
 
-impl PlayDay {
+impl RunScenario {
     pub fn run(self) -> u8 {
         let text = match std::fs::read_to_string(&self.script) {
             Ok(text) => text,
-            Err(e) => return fail(AT_FAULT, &format!("{}: {e}", self.script.display())),
+            Err(e) => return fail(BAD_INPUT, &format!("{}: {e}", self.script.display())),
         };
         let config = match &self.config {
             Some(path) => curlewpoint_config::load(path),
@@ -80,7 +81,7 @@
         };
         match (config, Script::parse(&self.script.display().to_string(), &text)) {
             (Ok(config), Ok(script)) => run(config, script, self.seed, self.http, self.log),
-            (Err(faults), _) | (_, Err(faults)) => fail(AT_FAULT, &format!("nothing was started\n{faults}")),
+            (Err(errors), _) | (_, Err(errors)) => fail(BAD_INPUT, &format!("nothing was started\n{errors}")),
         }
     }
 }
@@ -89,7 +90,7 @@
     pub fn run(self) -> u8 {
         match (curlewpoint_config::parse("rehearsal.conf", CONFIG), Script::parse("bad.day", BAD_DAY)) {
             (Ok(config), Ok(script)) => run(config, script, self.seed, self.http, self.log),
-            (Err(faults), _) | (_, Err(faults)) => fail(AT_FAULT, &faults.to_string()),
+            (Err(errors), _) | (_, Err(errors)) => fail(BAD_INPUT, &errors.to_string()),
         }
     }
 }
--- a/crates/curlewpoint-cli/src/commands/soak.rs
+++ b/crates/curlewpoint-cli/src/commands/soak.rs
@@ -5,35 +5,38 @@
 use clap::Args;
 use curlewpoint_soak::{run, Plan, Program, Report, Rule};
 
-use super::{block_on, fail, AT_FAULT, DONE, FAILED};
+use super::{block_on, fail, BAD_INPUT, FAILED, SUCCESS};
 
-/// Processes of `node` under failing system calls, signals in series, drains, restarts and a directory that moves, with clients
-/// that go on until each process is killed. Exits with 1 where a rule was broken.
+/// Runs `node` processes under failing system calls, series of signals, drains, restarts and changes of the discovery
+/// address, with clients that keep calling until each process is killed. Exits with 1 if a rule was broken.
 #[derive(Args)]
 pub struct Soak {
+    /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, one after the other, from the first on.
+    /// The number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
+    /// The length of the run of each seed, in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// At most.
+    /// The maximum number of processes.
     #[arg(long, default_value_t = 4)]
     processes: usize,
-    /// The library that fails system calls, as `cargo build --package curlewpoint-faults` builds it; without it none fail.
+    /// The library that makes system calls fail, built by `cargo build --package curlewpoint-faults`. Without it no call
+    /// fails.
     #[arg(long)]
     faults: Option<PathBuf>,
-    /// Another build of the program, whose processes are to be run.
+    /// The program to run, instead of this one.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Keep what processes were told, and their logs, in this folder.
+    /// Keep startup configurations and logs in this folder.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
-/// Breaks that are printed with their whole way.
-const MOST_PRINTED: usize = 3;
+/// Violations printed with the full sequence of events that led to them.
+const MAX_PRINTED_VIOLATIONS: usize = 3;
 
 fn print(plan: &Plan, report: &Report) {
     let Report { verdict, requests, served, starts, .. } = report;
@@ -55,25 +58,25 @@
         return;
     }
     let mut by_rule = BTreeMap::<Rule, usize>::new();
-    verdict.violations.iter().for_each(|one| *by_rule.entry(one.rule).or_default() += 1);
+    verdict.violations.iter().for_each(|violation| *by_rule.entry(violation.rule).or_default() += 1);
     println!("  {} violations, {by_rule:?}; logs in {}", verdict.violations.len(), report.folder.display());
-    for one in verdict.violations.iter().take(MOST_PRINTED) {
-        println!("  {:?}: {}", one.rule, one.history);
+    for violation in verdict.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!("  {:?}: {}", violation.rule, violation.history);
     }
     let (seed, seconds) = (plan.seed, plan.duration.as_secs());
     println!(
-        "  again: curlewpoint fleet soak --seed {seed} --seconds {seconds} --processes N --faults LIBRARY"
+        "  to run it again: curlewpoint fleet soak --seed {seed} --seconds {seconds} --processes N --faults LIBRARY"
     );
 }
 
 impl Soak {
     pub fn run(self) -> u8 {
-        let own = || std::env::current_exe().ok();
-        let Some(node) = self.program.clone().or_else(own) else {
-            return fail(FAILED, "this program is not found");
+        let current_program = || std::env::current_exe().ok();
+        let Some(node) = self.program.clone().or_else(current_program) else {
+            return fail(FAILED, "cannot locate this executable");
         };
         if let Some(library) = self.faults.as_ref().filter(|library| !library.is_file()) {
-            return fail(AT_FAULT, &format!("no such library: {}", library.display()));
+            return fail(BAD_INPUT, &format!("no such library: {}", library.display()));
         }
         let base = self
             .keep
@@ -86,7 +89,7 @@
                 let plan = Plan::generate(seed, Duration::from_secs(self.seconds), self.processes);
                 let report = match run(&plan, &program, &base.join(format!("seed-{seed}"))).await {
                     Ok(report) => report,
-                    Err(why) => return fail(FAILED, &format!("seed {seed} was not run: {why}")),
+                    Err(error) => return fail(FAILED, &format!("seed {seed} was not run: {error}")),
                 };
                 print(&plan, &report);
                 let counts = report.harness_errors.is_empty();
@@ -97,7 +100,7 @@
             if broken > 0 {
                 FAILED
             } else {
-                DONE
+                SUCCESS
             }
         })
     }
--- a/crates/curlewpoint-cli/src/commands/stand.rs
+++ b/crates/curlewpoint-cli/src/commands/test_servers.rs
@@ -7,55 +7,58 @@
 use curlewpoint_lab::stand::{BrokerStand, ListStand, StoreStand, WorkerStand};
 use curlewpoint_lab::{Record, Script, BAD_DAY};
 
-use super::{block_on, fail, AT_FAULT, DONE, FAILED};
+use super::{block_on, fail, BAD_INPUT, FAILED, SUCCESS};
 
-fn script(path: &Option<PathBuf>) -> Result<Script, String> {
+fn load_script(path: &Option<PathBuf>) -> Result<Script, String> {
     let read = |path: &PathBuf| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     match path {
         None => Script::parse("bad.day", BAD_DAY),
         Some(path) => Script::parse(&path.display().to_string(), &read(path)?),
     }
-    .map_err(|faults| faults.to_string())
+    .map_err(|errors| errors.to_string())
 }
 
-async fn until_stopped(address: SocketAddr) -> u8 {
+/// Prints the listening address and waits for SIGINT.
+async fn run_until_interrupted(address: SocketAddr) -> u8 {
     println!("listening on {address}");
     match tokio::signal::ctrl_c().await {
-        Ok(()) => DONE,
+        Ok(()) => SUCCESS,
         Err(e) => fail(FAILED, &e.to_string()),
     }
 }
 
-/// Runs a stand-in worker.
+/// Runs a test worker.
 #[derive(Args)]
 pub struct Worker {
-    /// Where it listens.
+    /// The address to listen on.
     listen: String,
-    /// The stand-in store that it fetches from.
+    /// The address of the test store to fetch models from.
     #[arg(long)]
     store: SocketAddr,
+    /// The name of the worker.
     #[arg(long, default_value = "w-0")]
     name: String,
-    /// A day's script, for what the worker is and what methods cost; absent: the rehearsal's.
+    /// The scenario script that gives the worker's properties and the cost of methods. Default: that of `rehearse`.
     #[arg(long)]
     script: Option<PathBuf>,
+    /// The seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
 impl Worker {
     pub fn run(self) -> u8 {
-        let s = match script(&self.script) {
-            Ok(s) => s,
-            Err(why) => return fail(AT_FAULT, &why),
+        let script = match load_script(&self.script) {
+            Ok(script) => script,
+            Err(reason) => return fail(BAD_INPUT, &reason),
         };
         let spec = WorkerSpec {
-            cores: s.cores,
+            cores: script.cores,
             speed: 1.0,
-            slots: s.slots,
-            queue: s.queue,
-            memory_mb: s.memory_mb,
-            loads_at_once: s.loads_at_once,
+            slots: script.slots,
+            queue: script.queue,
+            memory_mb: script.memory_mb,
+            loads_at_once: script.loads_at_once,
             keep: Time(80_000),
             cold_from: 1.0,
             cold_for: Time(1),
@@ -64,28 +67,28 @@
             adds_copies: true,
             answers_miss: false,
         };
-        let trades = s.trades();
+        let trades = script.trades();
         block_on(async {
             let record = Record::default();
             match WorkerStand::start(&self.listen, &self.name, &record, spec, trades, self.store, self.seed)
                 .await
             {
-                Ok(stand) => until_stopped(stand.address).await,
+                Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
         })
     }
 }
 
-/// Runs a stand-in model store.
+/// Runs a test model store.
 #[derive(Args)]
 pub struct Store {
-    /// Where it listens.
+    /// The address to listen on.
     listen: String,
-    /// Fetches at full pace at a time; more share it.
+    /// Concurrent fetches served at full rate; more than that share the bandwidth.
     #[arg(long, default_value_t = 8.0)]
     lines: f64,
-    /// Fetches in hand beyond which it turns one away.
+    /// Concurrent fetches above which further ones are refused.
     #[arg(long, default_value_t = 40)]
     most: usize,
 }
@@ -95,17 +98,17 @@
         block_on(async {
             let spec = StoreSpec { lines: self.lines, thrash: 0.1, most: self.most };
             match StoreStand::start(&self.listen, &Record::default(), spec).await {
-                Ok(stand) => until_stopped(stand.address).await,
+                Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
         })
     }
 }
 
-/// Runs a stand-in list service that names these workers as ready.
+/// Runs a test list service that lists these workers as ready.
 #[derive(Args)]
 pub struct List {
-    /// Where it listens.
+    /// The address to listen on.
     listen: String,
     /// A worker: NAME=ADDRESS, or NAME=ADDRESS,ZONE,CELL.
     #[arg(long = "worker", required = true)]
@@ -116,28 +119,31 @@
     pub fn run(self) -> u8 {
         let mut rows = Vec::new();
         for text in &self.workers {
-            let read = text.split_once('=').and_then(|(name, rest)| {
+            let parsed = text.split_once('=').and_then(|(name, rest)| {
                 let mut parts = rest.split(',');
                 let address = parts.next()?.parse::<SocketAddr>().ok()?.to_string();
-                let mut word = || parts.next().unwrap_or("").to_owned();
-                let (zone, cell) = (word(), word());
+                let mut next_part = || parts.next().unwrap_or("").to_owned();
+                let (zone, cell) = (next_part(), next_part());
                 Some((
                     name,
                     Row { address, standing: Lifecycle::Ready, start: 1, since: None, zone, cell, size: 1.0 },
                 ))
             });
-            match read {
+            match parsed {
                 Some(row) => rows.push(row),
                 None => {
-                    return fail(AT_FAULT, &format!("'{text}' is not NAME=ADDRESS or NAME=ADDRESS,ZONE,CELL"))
+                    return fail(
+                        BAD_INPUT,
+                        &format!("'{text}' is not NAME=ADDRESS or NAME=ADDRESS,ZONE,CELL"),
+                    )
                 }
             }
         }
         block_on(async {
             match ListStand::start(&self.listen, &Record::default(), Time(0)).await {
-                Ok(stand) => {
-                    rows.into_iter().for_each(|(name, row)| stand.set(name, row));
-                    until_stopped(stand.address).await
+                Ok(server) => {
+                    rows.into_iter().for_each(|(name, row)| server.set(name, row));
+                    run_until_interrupted(server.address).await
                 }
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
@@ -145,12 +151,12 @@
     }
 }
 
-/// Runs a stand-in broker (AMQP 0-9-1) with these queues.
+/// Runs a test broker (AMQP 0-9-1) with these queues.
 #[derive(Args)]
 pub struct Broker {
-    /// Where it listens.
+    /// The address to listen on.
     listen: String,
-    /// A queue; a gateway wants curlewpoint.METHOD for each method, and curlewpoint.dead.
+    /// A queue. A gateway needs curlewpoint.METHOD for each method, and curlewpoint.dead.
     #[arg(long = "queue", required = true)]
     queues: Vec<String>,
 }
@@ -160,7 +166,7 @@
         let queues: Vec<&str> = self.queues.iter().map(String::as_str).collect();
         block_on(async {
             match BrokerStand::start(&self.listen, &queues).await {
-                Ok(stand) => until_stopped(stand.address).await,
+                Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
         })
--- a/crates/curlewpoint-cli/src/commands/trigger.rs
+++ b/crates/curlewpoint-cli/src/commands/trigger.rs
@@ -6,63 +6,65 @@
 use curlewpoint::types::Time;
 use curlewpoint_lab::{trigger, Ask};
 
-use super::call::{block_on_value, ABORTED, DENIED, NOTHING};
-use super::{fail, AT_FAULT, DONE};
+use super::call::{block_on_value, ABORTED, DENIED, NO_ANSWER};
+use super::{fail, BAD_INPUT, SUCCESS};
 
-/// Puts one message into a method's queue at a broker, and prints its answer.
+/// Publishes one message to a method's queue at a broker and prints the answer.
 #[derive(Args)]
 pub struct Trigger {
-    /// The broker's address, as 127.0.0.1:5672.
+    /// The broker's address, for example 127.0.0.1:5672.
     address: String,
-    /// The method; its queue is curlewpoint.METHOD.
+    /// The method to call; its queue is curlewpoint.METHOD.
     method: String,
-    /// The model that it runs on.
+    /// The model that the method runs on.
     model: String,
-    /// The queue for the answer; it has to be there.
+    /// The queue for the answer; it must exist.
     #[arg(long)]
     reply_to: String,
-    /// What the message is known by; absent: drawn from the clock.
+    /// The message id; generated from the clock if absent.
     #[arg(long)]
     id: Option<String>,
     /// The time left for the answer.
-    #[arg(long, default_value = "5s")]
-    left: String,
-    /// The tenant that asks.
+    #[arg(long = "left", value_name = "LEFT", default_value = "5s")]
+    time_left: String,
+    /// The calling tenant.
     #[arg(long, default_value = "")]
     tenant: String,
+    /// The user name at the broker.
     #[arg(long, default_value = "guest")]
     user: String,
+    /// The password at the broker.
     #[arg(long, default_value = "guest")]
     password: String,
-    /// The body.
+    /// The message body.
     #[arg(long, default_value = "")]
     body: String,
 }
 
 impl Trigger {
     pub fn run(self) -> u8 {
-        let left = match curlewpoint_config::milliseconds(&self.left) {
+        let time_left = match curlewpoint_config::milliseconds(&self.time_left) {
             Ok(ms) => Time::from_ms(ms),
-            Err(why) => return fail(AT_FAULT, &why),
+            Err(reason) => return fail(BAD_INPUT, &reason),
         };
-        let drawn = || {
+        let generated_id = || {
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             format!("{:x}-{:x}", now.as_nanos(), std::process::id())
         };
-        let (id, body) = (self.id.unwrap_or_else(drawn), Bytes::from(self.body));
+        let (id, body) = (self.id.unwrap_or_else(generated_id), Bytes::from(self.body));
         let (method, model, tenant, reply_to) = (self.method, self.model, self.tenant, self.reply_to);
-        let ask = Ask { method, model, tenant, id, reply_to, left, body };
-        match block_on_value(trigger(&self.address, &self.user, &self.password, &ask)) {
-            Ok(Some(told)) if told.answer == "ok" => {
-                let _ = std::io::stdout().write_all(&told.body);
-                DONE
+        let request = Ask { method, model, tenant, id, reply_to, left: time_left, body };
+        match block_on_value(trigger(&self.address, &self.user, &self.password, &request)) {
+            Ok(Some(reply)) if reply.answer == "ok" => {
+                let _ = std::io::stdout().write_all(&reply.body);
+                SUCCESS
             }
-            Ok(Some(told)) => {
-                let code = if told.answer == "denied" { DENIED } else { ABORTED };
-                fail(code, &format!("{} ({}): {}", told.answer, ask.id, told.why))
+            Ok(Some(reply)) => {
+                let code = if reply.answer == "denied" { DENIED } else { ABORTED };
+                fail(code, &format!("{} ({}): {}", reply.answer, request.id, reply.why))
             }
-            Ok(None) => fail(NOTHING, "no answer came"),
-            Err(why) => fail(NOTHING, &why.to_string()),
+            Ok(None) => fail(NO_ANSWER, "no answer received"),
+            Err(error) => fail(NO_ANSWER, &error.to_string()),
         }
     }
 }
--- a/crates/curlewpoint-cli/src/main.rs
+++ b/crates/curlewpoint-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program. A sub-command a file; each returns its exit code.
+//! The `curlewpoint` command line. Each sub-command has a file in `commands` and returns its exit code.
 
 mod commands;
 mod logging;
@@ -9,8 +9,8 @@
 
 /// A gateway that runs calls on workers which load functions or models on demand.
 ///
-/// Exit codes: 0 done; 1 it failed, or a rule was broken; 2 the command line, a configuration or a script is at fault
-/// and nothing was started; 3 the RPC ended denied; 4 it ended aborted; 5 it was refused, or no answer came.
+/// Exit codes: 0 success; 1 failure, or a rule was broken; 2 invalid command line, configuration or script, nothing was
+/// started; 3 the RPC ended denied; 4 the RPC ended aborted; 5 the RPC was refused, or no answer was received.
 #[derive(Parser)]
 #[command(name = "curlewpoint", version)]
 struct Program {
@@ -24,16 +24,16 @@
     Node(commands::node::Node),
     Check(commands::check::Check),
     Call(commands::call::Call),
-    Worker(commands::stand::Worker),
-    Store(commands::stand::Store),
-    List(commands::stand::List),
-    Day(commands::day::PlayDay),
-    Rehearse(commands::day::Rehearse),
+    Worker(commands::test_servers::Worker),
+    Store(commands::test_servers::Store),
+    List(commands::test_servers::List),
+    Day(commands::scenario::RunScenario),
+    Rehearse(commands::scenario::Rehearse),
     Fleet(commands::fleet::Fleet),
     Describe(commands::describe::Describe),
-    Broker(commands::stand::Broker),
+    Broker(commands::test_servers::Broker),
     Trigger(commands::trigger::Trigger),
-    Journal(commands::journal::LookInto),
+    Journal(commands::journal::InspectJournal),
     Completions(commands::completions::Completions),
 }
 
--- a/crates/curlewpoint-cli/tests/processes.rs
+++ b/crates/curlewpoint-cli/tests/processes.rs
@@ -257,7 +257,7 @@
     let lines: Vec<&str> = listed.lines().collect();
     assert!(lines[0].starts_with("sent  office") && lines[0].contains("may have been sent"), "{listed}");
     assert!(lines[1].starts_with("told  office") && lines[1].contains("answered Aborted"), "{listed}");
-    assert!(lines[2].contains("whole, 2 records"), "{listed}");
+    assert!(lines[2].contains("intact, 2 records"), "{listed}");
     let mut bytes = std::fs::read(&path).expect("it is there");
     // The first half of the file holds the store's own pages, all of them checked.
     bytes.iter_mut().skip(64).step_by(97).for_each(|b| *b ^= 0x55);
@@ -317,14 +317,14 @@
     let mut node = Process::start(&["node", &file.display().to_string()]);
     std::fs::write(&file, "{ half a fi").unwrap();
     node.signal("HUP");
-    node.logs("the directory's address stays as it is");
+    node.logs("keeping the current discovery address");
     std::fs::write(&file, told("127.0.0.1:10")).unwrap();
     node.signal("HUP");
     node.logs("the discovery address is now 127.0.0.1:10");
     // One that was half written at the signal is read again once it is whole.
     std::fs::write(&file, "{ half a fi").unwrap();
     node.signal("HUP");
-    node.logs("read again in a moment");
+    node.logs("cannot read the startup configuration yet");
     std::fs::write(&file, told("127.0.0.1:11")).unwrap();
     node.logs("the discovery address is now 127.0.0.1:11");
     std::net::TcpStream::connect(&node.address).expect("it still serves");
--- a/crates/curlewpoint-cli/tests/scale.rs
+++ b/crates/curlewpoint-cli/tests/scale.rs
@@ -12,15 +12,15 @@
         .expect("it runs")
 }
 
-#[test_case(&["--sizes", "15"], "--sizes: '15' is no number from 16 to 4000"; "too small")]
-#[test_case(&["--sizes", "100,4001"], "--sizes: '4001' is no number from 16 to 4000"; "too large")]
-#[test_case(&["--sizes", "many"], "--sizes: 'many' is no number from 16 to 4000"; "no number")]
-#[test_case(&["--sizes", ""], "--sizes: '' is no number from 16 to 4000"; "none")]
-#[test_case(&["--sizes", "100,100"], "--sizes: 100 stands behind 100, and sizes rise"; "not rising")]
-#[test_case(&["--parts", "steady,herd"], "--parts: 'herd' is none of steady, module, start, faults, worker"; "no part")]
-#[test_case(&["--seed", "-1"], "--seed: '-1' is no whole number"; "no seed")]
-#[test_case(&["--pace", "999"], "--pace: '999' is no number from 1000 to 1000000000"; "too slow")]
-#[test_case(&["--directory", "no"], "--directory: 'no' is no number from 100 to 1000000"; "no budget")]
+#[test_case(&["--sizes", "15"], "--sizes: '15' is not a number from 16 to 4000"; "too small")]
+#[test_case(&["--sizes", "100,4001"], "--sizes: '4001' is not a number from 16 to 4000"; "too large")]
+#[test_case(&["--sizes", "many"], "--sizes: 'many' is not a number from 16 to 4000"; "no number")]
+#[test_case(&["--sizes", ""], "--sizes: '' is not a number from 16 to 4000"; "none")]
+#[test_case(&["--sizes", "100,100"], "--sizes: 100 follows 100, but sizes must be ascending"; "not rising")]
+#[test_case(&["--parts", "steady,herd"], "--parts: 'herd' is not one of steady, module, start, faults, worker"; "no part")]
+#[test_case(&["--seed", "-1"], "--seed: '-1' is not a whole number"; "no seed")]
+#[test_case(&["--pace", "999"], "--pace: '999' is not a number from 1000 to 1000000000"; "too slow")]
+#[test_case(&["--directory", "no"], "--directory: 'no' is not a number from 100 to 1000000"; "no budget")]
 #[test_case(&["--json", "/nowhere/figures.json"], "--json: /nowhere/figures.json: No such file"; "no folder")]
 fn bad_input_ends_in_one_line_that_names_it(args: &[&str], told: &str) {
     // A value that begins with a dash is one all the same.
