--- a/crates/curlewpoint-catalogue/benches/checks.rs
+++ b/crates/curlewpoint-catalogue/benches/checks.rs
@@ -1,5 +1,5 @@
-//! What a body's check costs by its size, beside reading it as JSON and nothing else; and how long the documents of a
-//! large catalogue take.
+//! Measures body validation by body size, compared with parsing JSON only, and the generation of the documents of a large
+//! catalogue.
 
 use std::hint::black_box;
 
@@ -15,33 +15,34 @@
 }"#;
 
 fn payload() -> Payload {
-    Payload::json("fields.json", SCHEMA).expect("it compiles")
+    Payload::json("fields.json", SCHEMA).expect("a valid schema")
 }
 
 fn check(c: &mut Criterion) {
     let payload = payload();
     let mut group = c.benchmark_group("a body's check");
     for fields in [6, 100, 2_500, 25_000] {
-        let all: Vec<Value> =
-            (0..fields).map(|no| json!({"name": "surname", "sure": f64::from(no % 8) / 8.0})).collect();
-        let body = json!({"fields": all}).to_string().into_bytes();
+        let entries: Vec<Value> = (0..fields)
+            .map(|number| json!({"name": "surname", "sure": f64::from(number % 8) / 8.0}))
+            .collect();
+        let body = json!({"fields": entries}).to_string().into_bytes();
         group.throughput(Throughput::Bytes(body.len() as u64));
         let size = format!("{} bytes", body.len());
         group.bench_with_input(BenchmarkId::new("checked", &size), &body, |b, body| {
-            b.iter(|| payload.check(black_box(body)).expect("it fits"))
+            b.iter(|| payload.check(black_box(body)).expect("a valid body"))
         });
         group.bench_with_input(BenchmarkId::new("read as JSON only", &size), &body, |b, body| {
-            b.iter(|| serde_json::from_slice::<Value>(black_box(body)).expect("it is JSON"))
+            b.iter(|| serde_json::from_slice::<Value>(black_box(body)).expect("valid JSON"))
         });
     }
     group.finish();
 }
 
 fn documents(c: &mut Criterion) {
-    let method = |no: usize| Method {
-        name: format!("read-fields-{no}"),
+    let method = |number: usize| Method {
+        name: format!("read-fields-{number}"),
         summary: "Reads the fields of a certificate.".to_owned(),
-        effect: if no.is_multiple_of(3) { Effect::Tokened } else { Effect::Idempotent },
+        effect: if number.is_multiple_of(3) { Effect::Tokened } else { Effect::Idempotent },
         soft_deadline: 600.0,
         deadline: 5000.0,
         request: payload(),
@@ -52,7 +53,8 @@
         deprecated: None,
         sunset: None,
     };
-    let catalogue = Catalogue::new("Registers", "1", (0..1_000).map(method).collect()).expect("it is sound");
+    let catalogue =
+        Catalogue::new("Registers", "1", (0..1_000).map(method).collect()).expect("a valid catalogue");
     let mut group = c.benchmark_group("documents of 1000 methods");
     group.sample_size(10);
     group.bench_function("compiling the schemas", |b| {
--- a/crates/curlewpoint-catalogue/benches/routes.rs
+++ b/crates/curlewpoint-catalogue/benches/routes.rs
@@ -1,4 +1,4 @@
-//! Finding a method among 10,000: the trie beside a plain list of patterns and beside a map of exact names.
+//! Measures the lookup of one method among 10,000: the trie, a list of patterns and a map of exact names.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -12,11 +12,11 @@
     let mut routes = Routes::new('/');
     let mut plain = Vec::new();
     let mut exact = BTreeMap::new();
-    for no in 0..METHODS {
-        let name = format!("read-fields-{no}");
-        routes.add(&format!("v1/{name}/*"), no).expect("one of each");
-        plain.push((vec!["v1".to_owned(), name.clone(), "*".to_owned()], no));
-        exact.insert(name, no);
+    for number in 0..METHODS {
+        let name = format!("read-fields-{number}");
+        routes.add(&format!("v1/{name}/*"), number).expect("a unique pattern");
+        plain.push((vec!["v1".to_owned(), name.clone(), "*".to_owned()], number));
+        exact.insert(name, number);
     }
     let keys: Vec<String> = (0..100).map(|i| format!("v1/read-fields-{}/births", i * 97 % METHODS)).collect();
     let mut group = c.benchmark_group("find one of 10000 methods");
@@ -29,10 +29,10 @@
     group.bench_function("list of patterns", |b| {
         b.iter(|| {
             let segments: Vec<&str> = key().split('/').collect();
-            let fits = |p: &[String]| {
+            let matches = |p: &[String]| {
                 p.len() == segments.len() && p.iter().zip(&segments).all(|(p, s)| p == "*" || p == s)
             };
-            black_box(plain.iter().find(|(p, _)| fits(p)).map(|f| f.1))
+            black_box(plain.iter().find(|(p, _)| matches(p)).map(|f| f.1))
         })
     });
     group.bench_function("map of names, path cut by hand", |b| {
--- a/crates/curlewpoint-catalogue/src/catalogue.rs
+++ b/crates/curlewpoint-catalogue/src/catalogue.rs
@@ -7,7 +7,7 @@
 
 use crate::strict;
 
-/// Whether a repeat is harmless.
+/// Whether a method may be run again for the same request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
@@ -25,7 +25,7 @@
     }
 }
 
-/// What a body holds.
+/// The format of a request or answer body.
 pub enum Payload {
     /// Any bytes.
     Binary,
@@ -50,28 +50,28 @@
         }
     }
 
-    /// Checks a body; the fault says where in it and why.
+    /// Checks a body against the schema. The error gives the position in the body and the reason.
     pub fn check(&self, body: &[u8]) -> Result<(), BodyError> {
         let Payload::Json { validator, .. } = self else { return Ok(()) };
-        let value = strict::read(body)?;
+        let value = strict::parse(body)?;
         let Some(violation) = validator.iter_errors(&value).next() else { return Ok(()) };
         let at = violation.instance_path().to_string();
         Err(BodyError::SchemaMismatch(format!("at '{}': {violation}", if at.is_empty() { "/" } else { &at })))
     }
 }
 
-/// Why a body is not taken.
+/// The reason why a body is rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum BodyError {
-    /// It is no JSON.
+    /// The body is not valid JSON.
     #[error("{0}")]
     Malformed(String),
-    /// It is not what its schema says, or two readers might not agree on what it says.
+    /// The body does not match its schema, or its JSON is ambiguous (for example a duplicate key).
     #[error("{0}")]
     SchemaMismatch(String),
 }
 
-/// What is wrong with a catalogue, and in which of its files.
+/// An error in a catalogue, with the file or the part of the method that it is in.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CatalogueError {
     pub location: String,
@@ -84,34 +84,34 @@
     }
 }
 
-/// A method as clients know it.
+/// A method as described to clients.
 pub struct Method {
     pub name: String,
     pub summary: String,
     pub effect: Effect,
-    /// Milliseconds.
+    /// In milliseconds, as is `deadline`.
     pub soft_deadline: f64,
     pub deadline: f64,
     pub request: Payload,
     pub answer: Payload,
     pub examples: Vec<Value>,
-    /// The release in which it came, and the one in which it goes, where that is known.
+    /// The release that added the method, and the one that removes it if known.
     pub since: String,
     pub until: Option<String>,
-    /// The days, in seconds since 1970, from which it should not be used and on which it goes.
+    /// The dates of deprecation and removal, in seconds since 1970.
     pub deprecated: Option<u64>,
     pub sunset: Option<u64>,
 }
 
-/// All methods of one release.
+/// The methods of one release.
 pub struct Catalogue {
     pub title: String,
     pub release: String,
     methods: BTreeMap<String, Method>,
 }
 
-/// The longest regular expression of a schema, in bytes. The library's engine runs in time linear in the text, so
-/// that no text makes one costly; its size is bounded so that compiling is not.
+/// The maximum length of a regular expression in a schema, in bytes. The regex engine matches in time linear in the
+/// text, so only the cost of compiling a pattern needs a limit.
 const MAX_PATTERN_BYTES: usize = 1000;
 
 fn collect_patterns(schema: &Value, patterns: &mut Vec<String>) {
@@ -129,14 +129,17 @@
 }
 
 impl Payload {
-    /// A JSON payload from the text of its schema.
+    /// Compiles a JSON payload from the text of its schema.
     pub fn json(location: &str, text: &str) -> Result<Payload, CatalogueError> {
         let error = |message: String| CatalogueError { location: location.to_owned(), message };
         let schema: Value = serde_json::from_str(text).map_err(|e| error(e.to_string()))?;
         let mut patterns = Vec::new();
         collect_patterns(&schema, &mut patterns);
         if let Some(long) = patterns.iter().find(|p| p.len() > MAX_PATTERN_BYTES) {
-            return Err(error(format!("a pattern of {} bytes is over {MAX_PATTERN_BYTES}", long.len())));
+            return Err(error(format!(
+                "a pattern of {} bytes exceeds the limit of {MAX_PATTERN_BYTES}",
+                long.len()
+            )));
         }
         let options = jsonschema::options().with_draft(jsonschema::Draft::Draft202012);
         let options = options.with_pattern_options(jsonschema::PatternOptions::regex().size_limit(1 << 20));
@@ -149,7 +152,7 @@
 }
 
 impl Catalogue {
-    /// Puts methods together; each example must fit its method's request.
+    /// Builds a catalogue from methods. Each example must match the request schema of its method.
     pub fn new(title: &str, release: &str, methods: Vec<Method>) -> Result<Catalogue, Vec<CatalogueError>> {
         let mut errors = Vec::new();
         let mut all = BTreeMap::new();
@@ -167,7 +170,7 @@
             if all.contains_key(&method.name) {
                 errors.push(CatalogueError {
                     location: location("name"),
-                    message: "it stands twice".to_owned(),
+                    message: "duplicate name".to_owned(),
                 });
             }
             all.insert(method.name.clone(), method);
@@ -179,38 +182,39 @@
         }
     }
 
-    /// The catalogue of a configuration; all errors of its schemas and examples are told at once.
+    /// Builds the catalogue of a configuration. Returns all errors of its schemas and examples together.
     pub fn from_config(config: &Config) -> Result<Catalogue, Vec<CatalogueError>> {
         let mut errors = Vec::new();
         let mut methods = Vec::new();
         for name in config.methods() {
-            let word = |directive| Some(config.method_value(name, directive)).filter(|w| !w.is_empty());
+            let non_empty = |directive| Some(config.method_value(name, directive)).filter(|w| !w.is_empty());
             let ms = |directive| {
                 curlewpoint_config::milliseconds(config.method_value(name, directive)).unwrap_or(0.0)
             };
             let mut payload = |directive| {
-                let Some(file) = word(directive) else { return Payload::Binary };
+                let Some(file) = non_empty(directive) else { return Payload::Binary };
                 let error = |message| CatalogueError { location: file.to_owned(), message };
-                let read = config.read_file(file).map_err(error).and_then(|text| Payload::json(file, &text));
-                read.unwrap_or_else(|error| {
+                let payload =
+                    config.read_file(file).map_err(error).and_then(|text| Payload::json(file, &text));
+                payload.unwrap_or_else(|error| {
                     errors.push(error);
                     Payload::Binary
                 })
             };
             let (request, answer) = (payload("request-schema"), payload("answer-schema"));
-            let examples = word("example").map_or(Ok(Vec::new()), |file| {
+            let examples = non_empty("example").map_or(Ok(Vec::new()), |file| {
                 let error = |message| CatalogueError { location: file.to_owned(), message };
                 let text = config.read_file(file).map_err(error)?;
                 serde_json::from_str(&text).map_err(|e| error(format!("not an array of requests: {e}")))
             });
-            let effect = match word("effect") {
+            let effect = match non_empty("effect") {
                 Some("idempotent") => Effect::Idempotent,
                 Some("tokened") => Effect::Tokened,
                 _ => Effect::SideEffecting,
             };
             methods.push(Method {
                 name: name.clone(),
-                summary: word("about").unwrap_or(name).to_owned(),
+                summary: non_empty("about").unwrap_or(name).to_owned(),
                 effect,
                 soft_deadline: ms("soft-deadline"),
                 deadline: ms("deadline"),
@@ -220,8 +224,8 @@
                     errors.push(error);
                     Vec::new()
                 }),
-                since: word("since").unwrap_or("").to_owned(),
-                until: word("until").map(str::to_owned),
+                since: non_empty("since").unwrap_or("").to_owned(),
+                until: non_empty("until").map(str::to_owned),
                 deprecated: config.method_date(name, "deprecated"),
                 sunset: config.method_date(name, "sunset"),
             });
@@ -241,7 +245,7 @@
         self.methods.get(name)
     }
 
-    /// In the order of their names.
+    /// Returns the methods ordered by name.
     pub fn methods(&self) -> impl Iterator<Item = &Method> {
         self.methods.values()
     }
--- a/crates/curlewpoint-catalogue/src/documents.rs
+++ b/crates/curlewpoint-catalogue/src/documents.rs
@@ -1,28 +1,28 @@
-//! The OpenAPI 3.1 and the AsyncAPI 3.0 document of a catalogue.
+//! Generates the OpenAPI 3.1 and AsyncAPI 3.0 documents of a catalogue.
 
 use serde_json::{json, Map, Value};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::catalogue::{Catalogue, Effect, Method, Payload};
 
-/// The path of a method, for a named model.
+/// The path template of a method, with the model as a parameter.
 pub fn method_path(method: &str) -> String {
     format!("/v1/{method}/{{model}}")
 }
 
-/// The method that a path names, whether or not it is served.
+/// The method named by a path, whether or not the catalogue has it.
 pub fn method_from_path(path: &str) -> Option<&str> {
     path.strip_prefix("/v1/")?.split('/').next().filter(|name| !name.is_empty())
 }
 
-/// A document as it is served: the same bytes for the same catalogue.
+/// Renders a document. The same catalogue always gives the same bytes.
 pub fn render(document: &Value) -> String {
     let mut text = serde_json::to_string_pretty(document).unwrap_or_default();
     text.push('\n');
     text
 }
 
-/// A strong entity tag of a rendered document.
+/// Returns the strong entity tag of a rendered document.
 pub fn etag(text: &str) -> String {
     format!("\"{:016x}\"", xxh3_64(text.as_bytes()))
 }
@@ -34,14 +34,16 @@
 fn content(payload: &Payload, examples: &[Value]) -> Value {
     let mut media = json!({"schema": schema_of(payload)});
     if !examples.is_empty() {
-        let named =
-            examples.iter().enumerate().map(|(no, e)| (format!("example-{}", no + 1), json!({"value": e})));
-        media["examples"] = Value::Object(named.collect());
+        let numbered = examples
+            .iter()
+            .enumerate()
+            .map(|(index, e)| (format!("example-{}", index + 1), json!({"value": e})));
+        media["examples"] = Value::Object(numbered.collect());
     }
     json!({payload.media_type(): media})
 }
 
-/// What clients may read from a problem's `type`, and the only status each comes with.
+/// The problem types, each as HTTP status, name in the `type` URI and description.
 const PROBLEMS: [(&str, &str, &str); 11] = [
     (
         "503",
@@ -74,9 +76,9 @@
     })
 }
 
-/// The headers that every answer of a method that goes has.
-fn notices(m: &Method) -> Map<String, Value> {
-    let header = |about: &str| json!({"description": about, "schema": {"type": "string"}});
+/// The deprecation and sunset headers that each answer of the method has.
+fn lifecycle_headers(m: &Method) -> Map<String, Value> {
+    let header = |description: &str| json!({"description": description, "schema": {"type": "string"}});
     let mut all = Map::new();
     if m.deprecated.is_some() {
         all.insert(
@@ -90,15 +92,15 @@
     all
 }
 
-fn problem(status: &str, name: &str, about: &str, notices: &Map<String, Value>) -> Value {
-    let kind = format!("/problems/{name}");
+fn problem(status: &str, name: &str, description: &str, lifecycle_headers: &Map<String, Value>) -> Value {
+    let type_uri = format!("/problems/{name}");
     let mut response = json!({
-        "description": about,
+        "description": description,
         "content": {"application/problem+json": {"schema": {
-            "allOf": [{"$ref": "#/components/schemas/Problem"}, {"properties": {"type": {"const": kind}, "status": {"const": status.parse::<u16>().unwrap_or(0)}}}],
+            "allOf": [{"$ref": "#/components/schemas/Problem"}, {"properties": {"type": {"const": type_uri}, "status": {"const": status.parse::<u16>().unwrap_or(0)}}}],
         }}},
     });
-    let mut headers = notices.clone();
+    let mut headers = lifecycle_headers.clone();
     if matches!(name, "denied" | "full") {
         headers.insert(
             "Retry-After".into(),
@@ -121,7 +123,7 @@
 }
 
 fn parameters(method: &Method) -> Value {
-    let header = |name: &str, required: bool, about: &str, schema: Value| json!({"name": name, "in": "header", "required": required, "description": about, "schema": schema});
+    let header = |name: &str, required: bool, description: &str, schema: Value| json!({"name": name, "in": "header", "required": required, "description": description, "schema": schema});
     let mut all = vec![
         json!({"name": "model", "in": "path", "required": true, "schema": {"type": "string", "minLength": 1, "maxLength": 1024}}),
         header(
@@ -133,11 +135,11 @@
         header("Curlewpoint-Tenant", false, "Who asks.", json!({"type": "string", "maxLength": 1024})),
     ];
     if method.effect == Effect::Tokened {
-        let about = "The mark by which a repeat is known.";
+        let description = "The mark by which a repeat is known.";
         all.push(header(
             "Idempotency-Key",
             true,
-            about,
+            description,
             json!({"type": "string", "minLength": 1, "maxLength": 1024}),
         ));
     }
@@ -145,14 +147,14 @@
 }
 
 fn operation(m: &Method) -> Value {
-    let (mut responses, notices) = (Map::new(), notices(m));
+    let (mut responses, lifecycle_headers) = (Map::new(), lifecycle_headers(m));
     let mut ok = json!({"description": "Ok: the answer.", "content": content(&m.answer, &[])});
-    if !notices.is_empty() {
-        ok["headers"] = Value::Object(notices.clone());
+    if !lifecycle_headers.is_empty() {
+        ok["headers"] = Value::Object(lifecycle_headers.clone());
     }
     responses.insert("200".into(), ok);
-    for (status, name, about) in PROBLEMS {
-        responses.insert(status.into(), problem(status, name, about, &notices));
+    for (status, name, description) in PROBLEMS {
+        responses.insert(status.into(), problem(status, name, description, &lifecycle_headers));
     }
     let mut operation = json!({
         "operationId": m.name,
@@ -189,7 +191,7 @@
 pub fn asyncapi(catalogue: &Catalogue) -> Value {
     let (mut channels, mut operations) = (Map::new(), Map::new());
     for m in catalogue.methods() {
-        let message = |payload: &Payload, about: &str, headers: Value, properties: Value| json!({"contentType": payload.media_type(), "summary": about, "payload": schema_of(payload), "headers": headers, "x-amqp-properties": properties});
+        let message = |payload: &Payload, description: &str, headers: Value, properties: Value| json!({"contentType": payload.media_type(), "summary": description, "payload": schema_of(payload), "headers": headers, "x-amqp-properties": properties});
         let asks = json!({
             "message_id": "Required. Names the message; a repeat has the same one.",
             "reply_to": "Required. The queue for the answer.",
--- a/crates/curlewpoint-catalogue/src/lib.rs
+++ b/crates/curlewpoint-catalogue/src/lib.rs
@@ -1,8 +1,8 @@
-//! The methods that a gateway serves. One [`Catalogue`] gives the checks of what comes and goes, the OpenAPI and the
-//! AsyncAPI document and the comparison of releases, so that none can drift from the others.
+//! The methods that a gateway serves. Validation of requests and answers, the OpenAPI and AsyncAPI documents and the
+//! comparison of releases all derive from one [`Catalogue`], so that they cannot diverge.
 //!
-//! [`Routes`] finds the method of a path or a routing key; [`Releases`] knows which catalogue an RPC was taken under.
-//! Nothing here does I/O: files are read by whoever builds a catalogue, and time is handed in.
+//! [`Routes`] maps a path or routing key to its method. [`Releases`] records under which catalogue an RPC was accepted.
+//! Only [`Catalogue::from_config`] reads files, through the configuration; time is passed in by the caller.
 
 mod catalogue;
 mod compare;
--- a/crates/curlewpoint-catalogue/src/releases.rs
+++ b/crates/curlewpoint-catalogue/src/releases.rs
@@ -5,22 +5,22 @@
 
 use crate::catalogue::Catalogue;
 
-/// One catalogue that came into force here, counted.
+/// The sequence number of a catalogue that was activated in this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Release(pub u64);
 
-/// How a method stands now.
+/// The current status of a method.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum MethodStatus {
     Served,
-    /// It was withdrawn so long ago; RPCs of it that are open go on.
+    /// The method was withdrawn this long ago. Its open RPCs continue.
     Withdrawn {
         ago: Time,
     },
     Unknown,
 }
 
-/// So many catalogues still have RPCs open that no other can come into force.
+/// Too many catalogues have open RPCs to activate another. Holds their number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TooManyReleases(pub usize);
 
@@ -29,14 +29,14 @@
     open_rpcs: u64,
 }
 
-/// Methods that were withdrawn of late. Doors have a copy of it.
+/// Recently withdrawn methods. The listeners hold copies.
 #[derive(Clone, Debug)]
 pub struct WithdrawnMethods {
     notice_period: Time,
     since: BTreeMap<String, Time>,
 }
 
-/// Names of withdrawn methods that are kept, the latest.
+/// The maximum number of withdrawn methods kept; the oldest are dropped first.
 const MAX_WITHDRAWN: usize = 10_000;
 
 impl WithdrawnMethods {
@@ -44,7 +44,7 @@
         WithdrawnMethods { notice_period, since: BTreeMap::new() }
     }
 
-    /// How long ago it was withdrawn; none: never, or longer ago than is told.
+    /// The time since the method was withdrawn; none if it never was or the notice period is over.
     pub fn time_since(&self, now: Time, method: &str) -> Option<Time> {
         let since = *self.since.get(method)?;
         (since + self.notice_period > now).then_some(now - since)
@@ -53,7 +53,7 @@
     fn update(&mut self, now: Time, before: &Catalogue, after: &Catalogue) {
         let removed = before.methods().filter(|m| after.method(&m.name).is_none());
         self.since.extend(removed.map(|m| (m.name.clone(), now)));
-        // What comes back is withdrawn no more.
+        // A method that is served again is no longer withdrawn.
         let notice_period = self.notice_period;
         self.since.retain(|name, since| after.method(name).is_none() && *since + notice_period > now);
         while self.since.len() > MAX_WITHDRAWN {
@@ -63,9 +63,9 @@
     }
 }
 
-/// Which catalogue an RPC was taken under: it ends under that one, whatever has come into force since. Earlier catalogues
-/// are held while RPCs of theirs are open, up to a number; then a further one is refused, rather than an RPC's schema
-/// let go. A method withdrawn is known as such for a stated time.
+/// Records the catalogue under which each RPC was accepted. The RPC also ends under that catalogue, whichever has been
+/// activated since. Earlier catalogues are held while they have open RPCs. At the maximum number, a reload is refused
+/// rather than the schema of an open RPC dropped. A withdrawn method is reported as withdrawn for the notice period.
 pub struct Releases {
     held: BTreeMap<Release, HeldCatalogue>,
     in_force: Release,
@@ -89,7 +89,7 @@
         self.in_force
     }
 
-    /// A catalogue that is in force or still held.
+    /// Returns a catalogue that is active or still held.
     pub fn catalogue(&self, release: Release) -> Option<&Arc<Catalogue>> {
         Some(&self.held.get(&release)?.catalogue)
     }
@@ -98,13 +98,13 @@
         &self.withdrawn
     }
 
-    /// An RPC is taken: it ends under the catalogue in force now.
+    /// Records that an RPC was accepted under the active catalogue.
     pub fn accept_rpc(&mut self) -> Release {
         self.held.entry(self.in_force).and_modify(|held| held.open_rpcs += 1);
         self.in_force
     }
 
-    /// An RPC has ended; a catalogue not in force goes with its last one.
+    /// Records that an RPC has ended. An inactive catalogue is dropped with its last RPC.
     pub fn end_rpc(&mut self, release: Release) {
         let Some(held) = self.held.get_mut(&release) else { return };
         held.open_rpcs = held.open_rpcs.saturating_sub(1);
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether another catalogue may come into force now.
+    /// Checks whether another catalogue can be activated now.
     pub fn check_capacity(&self) -> Result<(), TooManyReleases> {
         let is_idle = self.held[&self.in_force].open_rpcs == 0;
         let remaining = self.held.len() - usize::from(is_idle);
@@ -123,7 +123,7 @@
         Ok(())
     }
 
-    /// Another catalogue comes into force.
+    /// Activates another catalogue.
     pub fn reload(&mut self, now: Time, catalogue: Arc<Catalogue>) -> Result<Release, TooManyReleases> {
         self.check_capacity()?;
         let before = &self.held[&self.in_force];
@@ -145,7 +145,7 @@
             .map_or(MethodStatus::Unknown, |ago| MethodStatus::Withdrawn { ago })
     }
 
-    /// How many catalogues are held, the one in force included.
+    /// The number of catalogues held, including the active one.
     pub fn held_count(&self) -> usize {
         self.held.len()
     }
--- a/crates/curlewpoint-catalogue/src/strict.rs
+++ b/crates/curlewpoint-catalogue/src/strict.rs
@@ -6,11 +6,11 @@
 
 use crate::catalogue::BodyError;
 
-/// Nesting beyond this is refused before it is built: JSON has no bound of its own.
+/// The maximum nesting depth. Deeper input is rejected while it is parsed, as JSON itself has no limit.
 const MAX_DEPTH: usize = 64;
 
-/// Reads JSON as the documents allow it, in one pass: valid UTF-8, no key twice in an object, no nesting beyond a bound.
-pub(crate) fn read(body: &[u8]) -> Result<Value, BodyError> {
+/// Parses JSON in one pass with stricter rules: valid UTF-8, no duplicate keys in an object, bounded nesting.
+pub(crate) fn parse(body: &[u8]) -> Result<Value, BodyError> {
     let text = std::str::from_utf8(body)
         .map_err(|e| BodyError::Malformed(format!("byte {}: not UTF-8", e.valid_up_to())))?;
     let mut reader = serde_json::Deserializer::from_str(text);
@@ -21,7 +21,7 @@
     })
 }
 
-/// A value at this depth of brackets.
+/// Deserializes a value at this nesting depth.
 #[derive(Clone, Copy)]
 struct Strict {
     depth: usize,
