--- a/crates/curlewpoint-cli/src/commands/call.rs
+++ b/crates/curlewpoint-cli/src/commands/call.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use curlewpoint::types::Time;
 use curlewpoint_engine::Answer;
-use curlewpoint_lab::{call, Called};
+use curlewpoint_lab::{call, CallOutcome};
 
 use super::{block_on, fail, BAD_INPUT, SUCCESS};
 
@@ -59,11 +59,11 @@
             Bytes::from(body),
         ));
         match outcome {
-            Ok(Called::Final { answer: Answer::Ok, body, .. }) => {
+            Ok(CallOutcome::Final { answer: Answer::Ok, body, .. }) => {
                 let _ = std::io::stdout().write_all(&body);
                 SUCCESS
             }
-            Ok(Called::Final { answer, rpc, why: reason, retry_after, .. }) => {
+            Ok(CallOutcome::Final { answer, rpc, reason, retry_after, .. }) => {
                 let retry_hint = if retry_after > Time(0) {
                     format!(", retry in {} ms", retry_after.ms())
                 } else {
@@ -72,10 +72,10 @@
                 let code = if answer == Answer::Denied { DENIED } else { ABORTED };
                 fail(code, &format!("{answer:?} ({rpc}): {reason}{retry_hint}"))
             }
-            Ok(Called::Refused(reason)) => {
+            Ok(CallOutcome::Refused(reason)) => {
                 fail(NO_ANSWER, &format!("refused before it was accepted: {reason}"))
             }
-            Ok(Called::Nothing) => fail(NO_ANSWER, "no answer received"),
+            Ok(CallOutcome::NoAnswer) => fail(NO_ANSWER, "no answer received"),
             Err(error) => fail(NO_ANSWER, &error.to_string()),
         }
     }
--- a/crates/curlewpoint-cli/src/commands/fleet.rs
+++ b/crates/curlewpoint-cli/src/commands/fleet.rs
@@ -304,7 +304,7 @@
             print!("{}", outcome.verdict);
             outcome.missed.iter().for_each(|m| println!("  missed: {m}"));
             // The expectations apply to the full setup only; the rules apply to all.
-            passed &= outcome.verdict.kept() && (kind.is_some() || outcome.missed.is_empty());
+            passed &= outcome.verdict.passed() && (kind.is_some() || outcome.missed.is_empty());
             columns.push((name.to_owned(), outcome.figures));
         }
         print!("\n{}", Figures::draw(&columns));
--- a/crates/curlewpoint-cli/src/commands/test_servers.rs
+++ b/crates/curlewpoint-cli/src/commands/test_servers.rs
@@ -3,9 +3,9 @@
 
 use clap::Args;
 use curlewpoint::types::{Lifecycle, Time};
-use curlewpoint_emulator::{Row, StoreSpec, WorkerSpec};
-use curlewpoint_lab::stand::{BrokerStand, ListStand, StoreStand, WorkerStand};
-use curlewpoint_lab::{Record, Script, BAD_DAY};
+use curlewpoint_emulator::{ListEntry, StoreSpec, WorkerSpec};
+use curlewpoint_lab::test_servers::{TestBroker, TestListService, TestStore, TestWorker};
+use curlewpoint_lab::{Script, Transcript, BAD_DAY};
 
 use super::{block_on, fail, BAD_INPUT, FAILED, SUCCESS};
 
@@ -59,19 +59,27 @@
             queue: script.queue,
             memory_mb: script.memory_mb,
             loads_at_once: script.loads_at_once,
-            keep: Time(80_000),
-            cold_from: 1.0,
-            cold_for: Time(1),
+            keep_alive: Time(80_000),
+            start_capacity: 1.0,
+            warm_within: Time(1),
             fall_multiple: f64::MAX,
-            fall: Time(20_000),
+            fall_window: Time(20_000),
             adds_copies: true,
             answers_miss: false,
         };
-        let trades = script.trades();
+        let method_costs = script.method_costs();
         block_on(async {
-            let record = Record::default();
-            match WorkerStand::start(&self.listen, &self.name, &record, spec, trades, self.store, self.seed)
-                .await
+            let transcript = Transcript::default();
+            match TestWorker::start(
+                &self.listen,
+                &self.name,
+                &transcript,
+                spec,
+                method_costs,
+                self.store,
+                self.seed,
+            )
+            .await
             {
                 Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
@@ -86,18 +94,22 @@
     /// The address to listen on.
     listen: String,
     /// Concurrent fetches served at full rate; more than that share the bandwidth.
-    #[arg(long, default_value_t = 8.0)]
-    lines: f64,
+    #[arg(long = "lines", value_name = "LINES", default_value_t = 8.0)]
+    parallel_fetches: f64,
     /// Concurrent fetches above which further ones are refused.
-    #[arg(long, default_value_t = 40)]
-    most: usize,
+    #[arg(long = "most", value_name = "MOST", default_value_t = 40)]
+    max_fetches: usize,
 }
 
 impl Store {
     pub fn run(self) -> u8 {
         block_on(async {
-            let spec = StoreSpec { lines: self.lines, thrash: 0.1, most: self.most };
-            match StoreStand::start(&self.listen, &Record::default(), spec).await {
+            let spec = StoreSpec {
+                parallel_fetches: self.parallel_fetches,
+                overload_penalty: 0.1,
+                max_fetches: self.max_fetches,
+            };
+            match TestStore::start(&self.listen, &Transcript::default(), spec).await {
                 Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
@@ -117,7 +129,7 @@
 
 impl List {
     pub fn run(self) -> u8 {
-        let mut rows = Vec::new();
+        let mut entries = Vec::new();
         for text in &self.workers {
             let parsed = text.split_once('=').and_then(|(name, rest)| {
                 let mut parts = rest.split(',');
@@ -126,11 +138,19 @@
                 let (zone, cell) = (next_part(), next_part());
                 Some((
                     name,
-                    Row { address, standing: Lifecycle::Ready, start: 1, since: None, zone, cell, size: 1.0 },
+                    ListEntry {
+                        address,
+                        lifecycle: Lifecycle::Ready,
+                        start_id: 1,
+                        started_at: None,
+                        zone,
+                        cell,
+                        size: 1.0,
+                    },
                 ))
             });
             match parsed {
-                Some(row) => rows.push(row),
+                Some(entry) => entries.push(entry),
                 None => {
                     return fail(
                         BAD_INPUT,
@@ -140,9 +160,9 @@
             }
         }
         block_on(async {
-            match ListStand::start(&self.listen, &Record::default(), Time(0)).await {
+            match TestListService::start(&self.listen, &Transcript::default(), Time(0)).await {
                 Ok(server) => {
-                    rows.into_iter().for_each(|(name, row)| server.set(name, row));
+                    entries.into_iter().for_each(|(name, entry)| server.set_entry(name, entry));
                     run_until_interrupted(server.address).await
                 }
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
@@ -165,7 +185,7 @@
     pub fn run(self) -> u8 {
         let queues: Vec<&str> = self.queues.iter().map(String::as_str).collect();
         block_on(async {
-            match BrokerStand::start(&self.listen, &queues).await {
+            match TestBroker::start(&self.listen, &queues).await {
                 Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
--- a/crates/curlewpoint-cli/src/commands/trigger.rs
+++ b/crates/curlewpoint-cli/src/commands/trigger.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use clap::Args;
 use curlewpoint::types::Time;
-use curlewpoint_lab::{trigger, Ask};
+use curlewpoint_lab::{trigger, TriggerRequest};
 
 use super::call::{block_on_value, ABORTED, DENIED, NO_ANSWER};
 use super::{fail, BAD_INPUT, SUCCESS};
@@ -53,7 +53,7 @@
         };
         let (id, body) = (self.id.unwrap_or_else(generated_id), Bytes::from(self.body));
         let (method, model, tenant, reply_to) = (self.method, self.model, self.tenant, self.reply_to);
-        let request = Ask { method, model, tenant, id, reply_to, left: time_left, body };
+        let request = TriggerRequest { method, model, tenant, id, reply_to, time_left, body };
         match block_on_value(trigger(&self.address, &self.user, &self.password, &request)) {
             Ok(Some(reply)) if reply.answer == "ok" => {
                 let _ = std::io::stdout().write_all(&reply.body);
@@ -61,7 +61,7 @@
             }
             Ok(Some(reply)) => {
                 let code = if reply.answer == "denied" { DENIED } else { ABORTED };
-                fail(code, &format!("{} ({}): {}", reply.answer, request.id, reply.why))
+                fail(code, &format!("{} ({}): {}", reply.answer, request.id, reply.reason))
             }
             Ok(None) => fail(NO_ANSWER, "no answer received"),
             Err(error) => fail(NO_ANSWER, &error.to_string()),
