--- a/crates/curlewpoint-cli/tests/nodes.rs
+++ b/crates/curlewpoint-cli/tests/nodes.rs
@@ -1,7 +1,7 @@
 //! Nodes as processes of their own, on loopback, at moments that cross. What clients wrote and read, and what workers
 //! heard and said, is judged by the checker that the tests on sockets use.
 
-mod node_stand;
+mod test_servers;
 
 use std::fs::File;
 use std::io::{Read, Write};
@@ -11,8 +11,8 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use node_stand::transcript::ConnState;
-use node_stand::*;
+use test_servers::transcript::ConnState;
+use test_servers::*;
 use serde_json::{json, Value};
 
 /// Guards against a stop that ends a node by the signal itself, which counts as a crash: here it comes while the node
--- a/crates/curlewpoint-cli/tests/soak.rs
+++ b/crates/curlewpoint-cli/tests/soak.rs
@@ -1,6 +1,6 @@
 //! A minute of the soak, its seeds the same each time.
 
-mod node_stand;
+mod test_servers;
 
 use std::process::Command;
 
@@ -21,7 +21,7 @@
 /// Guards all that the soak judges: final answers, effects, drains, load orders, goings, budgets, crashes.
 #[test]
 fn a_minute_of_the_soak_keeps_the_rules() {
-    let library = node_stand::faults_library();
+    let library = test_servers::faults_library();
     let library = library.to_str().expect("a path of text");
     let mut counted = 0;
     for seeds in SEEDS.chunks(AT_A_TIME) {
@@ -46,7 +46,7 @@
 #[test]
 fn a_script_that_cannot_be_read_starts_nothing() {
     let mut node = Command::new(env!("CARGO_BIN_EXE_curlewpoint"));
-    node.args(["node", "/nonexistent"]).env("LD_PRELOAD", node_stand::faults_library());
+    node.args(["node", "/nonexistent"]).env("LD_PRELOAD", test_servers::faults_library());
     let done = node.env("CURLEWPOINT_FAULTS", "seed 1; send tcp EINT 5%").output().expect("it runs");
     let told = String::from_utf8_lossy(&done.stderr).into_owned();
     assert!(!done.status.success());
--- a/crates/curlewpoint-cli/tests/system_calls.rs
+++ b/crates/curlewpoint-cli/tests/system_calls.rs
@@ -1,6 +1,6 @@
 //! Nodes as processes of their own whose system calls fail or are cut short, as Linux documents, by a preloaded library.
 
-mod node_stand;
+mod test_servers;
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,7 +8,7 @@
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::Instant;
 
-use node_stand::*;
+use test_servers::*;
 use serde_json::{json, Value};
 
 /// The functions whose calls a scripted worker holds, and answers with a miss; it serves all others.
