--- a/crates/curlewpoint-cli/src/commands/stand.rs
+++ b/crates/curlewpoint-cli/src/commands/test_servers.rs
@@ -7,55 +7,58 @@
 use curlewpoint_lab::test_servers::{TestBroker, TestListService, TestStore, TestWorker};
 use curlewpoint_lab::{Script, Transcript, BAD_DAY};
 
-use super::{block_on, fail, AT_FAULT, DONE, FAILED};
+use super::{block_on, fail, BAD_INPUT, FAILED, SUCCESS};
 
-fn script(path: &Option<PathBuf>) -> Result<Script, String> {
+fn load_script(path: &Option<PathBuf>) -> Result<Script, String> {
     let read = |path: &PathBuf| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     match path {
         None => Script::parse("bad.day", BAD_DAY),
         Some(path) => Script::parse(&path.display().to_string(), &read(path)?),
     }
-    .map_err(|faults| faults.to_string())
+    .map_err(|errors| errors.to_string())
 }
 
-async fn until_stopped(address: SocketAddr) -> u8 {
+/// Prints the listening address and waits for SIGINT.
+async fn run_until_interrupted(address: SocketAddr) -> u8 {
     println!("listening on {address}");
     match tokio::signal::ctrl_c().await {
-        Ok(()) => DONE,
+        Ok(()) => SUCCESS,
         Err(e) => fail(FAILED, &e.to_string()),
     }
 }
 
-/// Runs a stand-in worker.
+/// Runs a test worker.
 #[derive(Args)]
 pub struct Worker {
-    /// Where it listens.
+    /// The address to listen on.
     listen: String,
-    /// The stand-in store that it fetches from.
+    /// The address of the test store to fetch models from.
     #[arg(long)]
     store: SocketAddr,
+    /// The name of the worker.
     #[arg(long, default_value = "w-0")]
     name: String,
-    /// A day's script, for what the worker is and what methods cost; absent: the rehearsal's.
+    /// The scenario script that gives the worker's properties and the cost of methods. Default: that of `rehearse`.
     #[arg(long)]
     script: Option<PathBuf>,
+    /// The seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
 impl Worker {
     pub fn run(self) -> u8 {
-        let s = match script(&self.script) {
-            Ok(s) => s,
-            Err(why) => return fail(AT_FAULT, &why),
+        let script = match load_script(&self.script) {
+            Ok(script) => script,
+            Err(reason) => return fail(BAD_INPUT, &reason),
         };
         let spec = WorkerSpec {
-            cores: s.cores,
+            cores: script.cores,
             speed: 1.0,
-            slots: s.slots,
-            queue: s.queue,
-            memory_mb: s.memory_mb,
-            loads_at_once: s.loads_at_once,
+            slots: script.slots,
+            queue: script.queue,
+            memory_mb: script.memory_mb,
+            loads_at_once: script.loads_at_once,
             keep_alive: Time(80_000),
             start_capacity: 1.0,
             warm_within: Time(1),
@@ -64,49 +67,60 @@
             adds_copies: true,
             answers_miss: false,
         };
-        let trades = s.method_costs();
+        let method_costs = script.method_costs();
         block_on(async {
-            let record = Transcript::default();
-            match TestWorker::start(&self.listen, &self.name, &record, spec, trades, self.store, self.seed)
-                .await
+            let transcript = Transcript::default();
+            match TestWorker::start(
+                &self.listen,
+                &self.name,
+                &transcript,
+                spec,
+                method_costs,
+                self.store,
+                self.seed,
+            )
+            .await
             {
-                Ok(stand) => until_stopped(stand.address).await,
+                Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
         })
     }
 }
 
-/// Runs a stand-in model store.
+/// Runs a test model store.
 #[derive(Args)]
 pub struct Store {
-    /// Where it listens.
+    /// The address to listen on.
     listen: String,
-    /// Fetches at full pace at a time; more share it.
-    #[arg(long, default_value_t = 8.0)]
-    lines: f64,
-    /// Fetches in hand beyond which it turns one away.
-    #[arg(long, default_value_t = 40)]
-    most: usize,
+    /// Concurrent fetches served at full rate; more than that share the bandwidth.
+    #[arg(long = "lines", value_name = "LINES", default_value_t = 8.0)]
+    parallel_fetches: f64,
+    /// Concurrent fetches above which further ones are refused.
+    #[arg(long = "most", value_name = "MOST", default_value_t = 40)]
+    max_fetches: usize,
 }
 
 impl Store {
     pub fn run(self) -> u8 {
         block_on(async {
-            let spec =
-                StoreSpec { parallel_fetches: self.lines, overload_penalty: 0.1, max_fetches: self.most };
+            let spec = StoreSpec {
+                parallel_fetches: self.parallel_fetches,
+                overload_penalty: 0.1,
+                max_fetches: self.max_fetches,
+            };
             match TestStore::start(&self.listen, &Transcript::default(), spec).await {
-                Ok(stand) => until_stopped(stand.address).await,
+                Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
         })
     }
 }
 
-/// Runs a stand-in list service that names these workers as ready.
+/// Runs a test list service that lists these workers as ready.
 #[derive(Args)]
 pub struct List {
-    /// Where it listens.
+    /// The address to listen on.
     listen: String,
     /// A worker: NAME=ADDRESS, or NAME=ADDRESS,ZONE,CELL.
     #[arg(long = "worker", required = true)]
@@ -115,13 +129,13 @@
 
 impl List {
     pub fn run(self) -> u8 {
-        let mut rows = Vec::new();
+        let mut entries = Vec::new();
         for text in &self.workers {
-            let read = text.split_once('=').and_then(|(name, rest)| {
+            let parsed = text.split_once('=').and_then(|(name, rest)| {
                 let mut parts = rest.split(',');
                 let address = parts.next()?.parse::<SocketAddr>().ok()?.to_string();
-                let mut word = || parts.next().unwrap_or("").to_owned();
-                let (zone, cell) = (word(), word());
+                let mut next_part = || parts.next().unwrap_or("").to_owned();
+                let (zone, cell) = (next_part(), next_part());
                 Some((
                     name,
                     ListEntry {
@@ -135,18 +149,21 @@
                     },
                 ))
             });
-            match read {
-                Some(row) => rows.push(row),
+            match parsed {
+                Some(entry) => entries.push(entry),
                 None => {
-                    return fail(AT_FAULT, &format!("'{text}' is not NAME=ADDRESS or NAME=ADDRESS,ZONE,CELL"))
+                    return fail(
+                        BAD_INPUT,
+                        &format!("'{text}' is not NAME=ADDRESS or NAME=ADDRESS,ZONE,CELL"),
+                    )
                 }
             }
         }
         block_on(async {
             match TestListService::start(&self.listen, &Transcript::default(), Time(0)).await {
-                Ok(stand) => {
-                    rows.into_iter().for_each(|(name, row)| stand.set_entry(name, row));
-                    until_stopped(stand.address).await
+                Ok(server) => {
+                    entries.into_iter().for_each(|(name, entry)| server.set_entry(name, entry));
+                    run_until_interrupted(server.address).await
                 }
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
@@ -154,12 +171,12 @@
     }
 }
 
-/// Runs a stand-in broker (AMQP 0-9-1) with these queues.
+/// Runs a test broker (AMQP 0-9-1) with these queues.
 #[derive(Args)]
 pub struct Broker {
-    /// Where it listens.
+    /// The address to listen on.
     listen: String,
-    /// A queue; a gateway wants curlewpoint.METHOD for each method, and curlewpoint.dead.
+    /// A queue. A gateway needs curlewpoint.METHOD for each method, and curlewpoint.dead.
     #[arg(long = "queue", required = true)]
     queues: Vec<String>,
 }
@@ -169,7 +186,7 @@
         let queues: Vec<&str> = self.queues.iter().map(String::as_str).collect();
         block_on(async {
             match TestBroker::start(&self.listen, &queues).await {
-                Ok(stand) => until_stopped(stand.address).await,
+                Ok(server) => run_until_interrupted(server.address).await,
                 Err(e) => fail(FAILED, &format!("{}: {e}", self.listen)),
             }
         })
