--- a/crates/curlewpoint-cli/tests/nodes.rs
+++ b/crates/curlewpoint-cli/tests/nodes.rs
@@ -11,9 +11,9 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
+use serde_json::{json, Value};
 use test_servers::transcript::ConnState;
 use test_servers::*;
-use serde_json::{json, Value};
 
 /// Guards against a stop that ends a node by the signal itself, which counts as a crash: here it comes while the node
 /// reads what it is told, before it serves.
--- a/crates/curlewpoint-cli/tests/system_calls.rs
+++ b/crates/curlewpoint-cli/tests/system_calls.rs
@@ -8,8 +8,8 @@
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::Instant;
 
-use test_servers::*;
 use serde_json::{json, Value};
+use test_servers::*;
 
 /// The functions whose calls a scripted worker holds, and answers with a miss; it serves all others.
 const HELD: u64 = 1;
--- a/crates/curlewpoint-soak/src/directory.rs
+++ b/crates/curlewpoint-soak/src/directory.rs
@@ -1,4 +1,4 @@
-//! The directory: what it holds of the workers, and a UDP server for each process, whose answers fare as the plan draws.
+//! The simulated directory: its list of workers, and a UDP server for each process with the faults of the plan.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,16 +15,16 @@
 use crate::ledger::{Ledger, RunId};
 use crate::plan::DirectoryFaults;
 
-/// One worker as the directory tells it.
+/// The directory's record of one worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Row {
     pub name: String,
     pub worker: usize,
-    pub drains: bool,
+    pub draining: bool,
     pub started_ms: u64,
 }
 
-/// A list of workers, with its number.
+/// A version of the list of workers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct List {
     pub version: u32,
@@ -34,36 +34,37 @@
 #[derive(Default)]
 struct State {
     list: List,
-    before: List,
-    ever: BTreeSet<String>,
-    /// The first list in which a worker drains, or is not named any more.
+    previous: List,
+    /// Names of all workers that were ever listed.
+    all_names: BTreeSet<String>,
+    /// First list version in which a worker drains or is missing.
     ended: BTreeMap<String, u32>,
     silent_until: Option<Instant>,
 }
 
-/// What the directory holds, for all processes.
+/// State of the directory, shared by the servers of all processes.
 #[derive(Default)]
-pub(crate) struct Board(Mutex<State>);
+pub(crate) struct Directory(Mutex<State>);
 
 pub(crate) fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
-impl Board {
+impl Directory {
     fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the list, under the next number.
-    pub fn change(&self, how: impl FnOnce(&mut Vec<Row>)) {
+    /// Changes the list and increments its version.
+    pub fn change(&self, update: impl FnOnce(&mut Vec<Row>)) {
         let mut state = self.state();
-        state.before = state.list.clone();
+        state.previous = state.list.clone();
         state.list.version += 1;
-        how(&mut state.list.rows);
-        let State { list, ever, ended, .. } = &mut *state;
-        ever.extend(list.rows.iter().map(|row| row.name.clone()));
-        let serves = |name: &String| list.rows.iter().any(|row| row.name == *name && !row.drains);
-        for name in ever.iter().filter(|name| !serves(name)) {
+        update(&mut state.list.rows);
+        let State { list, all_names, ended, .. } = &mut *state;
+        all_names.extend(list.rows.iter().map(|row| row.name.clone()));
+        let is_serving = |name: &String| list.rows.iter().any(|row| row.name == *name && !row.draining);
+        for name in all_names.iter().filter(|name| !is_serving(name)) {
             ended.entry(name.clone()).or_insert(list.version);
         }
     }
@@ -72,11 +73,13 @@
         self.state().list.clone()
     }
 
-    pub fn ready(&self) -> usize {
-        self.state().list.rows.iter().filter(|row| !row.drains).count()
+    /// Number of workers that do not drain.
+    pub fn ready_count(&self) -> usize {
+        self.state().list.rows.iter().filter(|row| !row.draining).count()
     }
 
-    pub fn falls_silent(&self, span: Duration) {
+    /// Stops answering for a time.
+    pub fn silence(&self, span: Duration) {
         self.state().silent_until = Some(Instant::now() + span);
     }
 
@@ -84,8 +87,8 @@
         self.state().silent_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Notes that a process was told this list: what drains in it, and what it does not name any more.
-    pub fn tells(&self, ledger: &Ledger, life: RunId, list: &List) {
+    /// Records that a process run was sent this list, for each worker that drains in it or is missing.
+    pub fn record_notified(&self, ledger: &Ledger, run: RunId, list: &List) {
         let ended: Vec<String> = self
             .state()
             .ended
@@ -95,24 +98,25 @@
             .collect();
         let (mut state, now) = (ledger.lock(), Instant::now());
         for name in ended {
-            state.told.entry((life, name)).or_insert(now);
+            state.notified.entry((run, name)).or_insert(now);
         }
     }
 }
 
 impl List {
-    /// As the file of a start holds it, with the workers' addresses for one process.
-    pub fn as_known(&self, addresses: &[SocketAddr]) -> Value {
+    /// The list in the form of the startup configuration, with the addresses of the workers for one process.
+    pub fn to_startup_json(&self, addresses: &[SocketAddr]) -> Value {
         let row = |row: &Row| {
             json!({"instanceId": row.name, "hostPort": addresses[row.worker].to_string(), "zone": "z", "cell": 0, "weight": 4,
-                "lifecycle": if row.drains { "Terminating" } else { "Ready" }, "startedAtMs": row.started_ms})
+                "lifecycle": if row.draining { "Terminating" } else { "Ready" }, "startedAtMs": row.started_ms})
         };
         let rows: Vec<Value> = self.rows.iter().map(row).collect();
         json!({"cursor": self.version, "cmds": [
             {"cursor": self.version, "nodes": {"generation": self.version, "reset": true, "instances": rows}}]})
     }
 
-    fn as_answer(&self, query: &[u8], addresses: &[SocketAddr]) -> Option<Message> {
+    /// The DNS answer to a query.
+    fn to_dns_answer(&self, query: &[u8], addresses: &[SocketAddr]) -> Option<Message> {
         let name = |text: &str| Name::from_ascii(text).ok();
         let mut message = Message::from_vec(query).ok()?;
         message.set_message_type(MessageType::Response);
@@ -121,7 +125,7 @@
         message.add_name_server(Record::from_rdata(list.clone(), 0, RData::SOA(soa)));
         for row in &self.rows {
             let target = name(&format!("{}.z.hosts.", row.name))?;
-            let srv = SRV::new(u16::from(row.drains), 40, addresses[row.worker].port(), target.clone());
+            let srv = SRV::new(u16::from(row.draining), 40, addresses[row.worker].port(), target.clone());
             message.add_answer(Record::from_rdata(list.clone(), 0, RData::SRV(srv)));
             message.add_additional(Record::from_rdata(target.clone(), 0, RData::A(A(Ipv4Addr::LOCALHOST))));
             let text =
@@ -132,21 +136,21 @@
     }
 }
 
-/// What one process's server needs.
-pub(crate) struct Server {
-    pub board: Arc<Board>,
+/// The DNS server for one process.
+pub(crate) struct DirectoryServer {
+    pub directory: Arc<Directory>,
     pub ledger: Arc<Ledger>,
-    pub life: RunId,
+    pub run: RunId,
     pub addresses: Vec<SocketAddr>,
     pub faults: DirectoryFaults,
     pub rng: Rand64,
 }
 
-/// The longest time that an answer is late.
-const LATEST: f64 = 150.0;
+/// Maximum delay of a late answer in milliseconds.
+const MAX_DELAY_MS: f64 = 150.0;
 
-impl Server {
-    /// Answers on this socket until it is ended.
+impl DirectoryServer {
+    /// Answers queries on the socket until the task is aborted.
     pub async fn serve(mut self, socket: UdpSocket) {
         let (socket, mut query) = (Arc::new(socket), [0; 512]);
         while let Ok((n, from)) = socket.recv_from(&mut query).await {
@@ -154,30 +158,30 @@
             let [lost, late, failed, doubled, outdated] =
                 [faults.lost, faults.late, faults.failed, faults.doubled, faults.outdated]
                     .map(|share| self.rng.rand_float() < share);
-            if lost || self.board.is_silent() {
+            if lost || self.directory.is_silent() {
                 continue;
             }
-            let list = if outdated { self.board.state().before.clone() } else { self.board.list() };
+            let list = if outdated { self.directory.state().previous.clone() } else { self.directory.list() };
             if list.version == 0 {
                 continue;
             }
-            let Some(mut message) = list.as_answer(&query[..n], &self.addresses) else { continue };
+            let Some(mut message) = list.to_dns_answer(&query[..n], &self.addresses) else { continue };
             if failed {
                 message.set_response_code(ResponseCode::ServFail);
             }
             let Ok(bytes) = message.to_vec() else { continue };
-            let wait = if late {
-                Duration::from_millis((self.rng.rand_float() * LATEST) as u64)
+            let delay = if late {
+                Duration::from_millis((self.rng.rand_float() * MAX_DELAY_MS) as u64)
             } else {
                 Duration::ZERO
             };
-            let (board, ledger, life, socket) =
-                (Arc::clone(&self.board), Arc::clone(&self.ledger), self.life, Arc::clone(&socket));
+            let (directory, ledger, run, socket) =
+                (Arc::clone(&self.directory), Arc::clone(&self.ledger), self.run, Arc::clone(&socket));
             tokio::spawn(async move {
-                tokio::time::sleep(wait).await;
+                tokio::time::sleep(delay).await;
                 for _ in 0..1 + usize::from(doubled) {
                     if socket.send_to(&bytes, from).await.is_ok() && !failed {
-                        board.tells(&ledger, life, &list);
+                        directory.record_notified(&ledger, run, &list);
                     }
                 }
             });
--- a/crates/curlewpoint-soak/src/ledger.rs
+++ b/crates/curlewpoint-soak/src/ledger.rs
@@ -1,16 +1,16 @@
-//! What passed on the stand-ins' sockets, with its moments.
+//! Record of the traffic on the sockets of the test servers, with timestamps.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The id that a client gives a request.
+/// The id assigned to a request by its client.
 pub type RequestId = u64;
 
-/// One start of one process: the process, and which start of it.
+/// Identifies one run of a process: the index of the process and the number of the start.
 pub type RunId = (usize, usize);
 
-/// The word of an answer.
+/// The kind of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     Good,
@@ -18,59 +18,60 @@
     Failed,
 }
 
-/// A request that was written whole.
+/// A request that was written completely.
 #[derive(Clone, Debug)]
 pub struct Request {
     pub node: usize,
     pub is_side_effecting: bool,
     pub timeout: Duration,
     pub written: Instant,
-    /// Its client cancelled it or closed its connection.
-    pub gone: Option<Instant>,
+    /// Time at which the client cancelled the request or closed the connection.
+    pub abandoned: Option<Instant>,
     pub answers: Vec<(Instant, Answer)>,
-    /// Its connection ended from the other side.
-    pub ended: Option<Instant>,
-    /// What passed before, where it was written again on a new connection.
+    /// Time at which the process ended the connection.
+    pub disconnected: Option<Instant>,
+    /// Whether the request is the repetition, on a new connection, of one that crossed the close of an idle connection.
     pub was_repeated: bool,
 }
 
-/// What came whole to a worker.
+/// An attempt or a load order that a worker has received completely.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    pub life: RunId,
-    /// The worker's name, a new one at each start.
+    pub run: RunId,
+    /// The name of the worker, which changes at each start.
     pub worker: String,
-    /// None: an order to load.
+    /// None for a load order.
     pub request: Option<RequestId>,
     pub first_byte: Instant,
-    pub whole: Instant,
+    pub received: Instant,
     pub budget: Duration,
-    /// The worker's answer, if it gave one.
+    /// The answer of the worker, if any.
     pub answer: Option<&'static str>,
 }
 
-/// One start of a process.
+/// One run of a process.
 #[derive(Clone, Debug)]
 pub struct ProcessRun {
     pub started: Instant,
     pub terminated: Option<Instant>,
     pub killed: Option<Instant>,
-    /// Its end, and the exit code where it ended by itself.
+    /// Time of its end, and the exit code unless a signal ended it.
     pub ended: Option<(Instant, Option<i32>)>,
 }
 
+/// Everything recorded in one soak run.
 #[derive(Default)]
 pub struct LedgerState {
     pub requests: BTreeMap<RequestId, Request>,
     pub arrivals: Vec<Arrival>,
     pub process_runs: BTreeMap<RunId, ProcessRun>,
-    /// When a life was told that a worker drains or is gone.
-    pub told: BTreeMap<(RunId, String), Instant>,
-    /// What the rig itself could not do.
+    /// Time at which a process run was sent a list in which a worker drains or is missing.
+    pub notified: BTreeMap<(RunId, String), Instant>,
+    /// Errors of the test harness itself.
     pub harness_errors: Vec<String>,
 }
 
-/// The state of one run.
+/// Shared access to the record of one soak run.
 #[derive(Default)]
 pub struct Ledger(Mutex<LedgerState>);
 
--- a/crates/curlewpoint-soak/src/lib.rs
+++ b/crates/curlewpoint-soak/src/lib.rs
@@ -1,8 +1,9 @@
-//! A soak: real processes of `node` among stand-ins of their clients, workers and directory, under a seeded mix of faults. Clients
-//! keep using open connections until a process is killed, at the earliest moment that the platform allows.
+//! A soak test: real processes of `node` with simulated clients, workers and directory, under a seeded mix of faults. Clients
+//! keep using open connections until a process is killed, at the earliest time that the platform allows.
 //!
-//! What is judged is what passed on the stand-ins' own sockets ([`Ledger`], [`judge`]); no process is asked about itself. The same
-//! seed draws the same plan and the same faults; the moments at which they meet the load are the machine's.
+//! The check uses only the traffic on the sockets of the test servers ([`Ledger`], [`judge`]), never information from the
+//! processes themselves. The same seed generates the same plan and the same faults; their timing relative to the load depends on
+//! the machine.
 
 mod client;
 mod directory;
--- a/crates/curlewpoint-soak/src/plan.rs
+++ b/crates/curlewpoint-soak/src/plan.rs
@@ -1,18 +1,18 @@
-//! What a seed draws: how many processes, which faults and how often.
+//! The plan that a seed generates: the number of processes, and which faults occur and how often.
 
 use std::time::Duration;
 
 use oorandom::Rand64;
 
-/// The limits that the platform's pages set and the judge holds processes to.
+/// The limits of the platform that the rules check.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub drain_grace: Duration,
-    /// The longest time that a client waits.
+    /// Maximum time that a client waits.
     pub longest_deadline: Duration,
-    /// From SIGTERM on, after the longest deadline, until SIGKILL.
+    /// Time from the longest deadline after SIGTERM until SIGKILL.
     pub kill_after: Duration,
-    /// The rate of load orders: so many, and so many for each request, within the window.
+    /// Maximum number of load orders within the window: `order_floor` plus `order_share` per request.
     pub order_floor: f64,
     pub order_share: f64,
     pub order_window: Duration,
@@ -27,7 +27,7 @@
     order_window: Duration::from_millis(5_000),
 };
 
-/// How the directory's answers fare, each a share of all.
+/// Faults of the directory's answers, each as a share of all answers.
 #[derive(Clone, Copy, Debug)]
 pub struct DirectoryFaults {
     pub lost: f64,
@@ -37,18 +37,18 @@
     pub outdated: f64,
 }
 
-/// How attempts fare at workers, each a share of all.
+/// Faults of attempts at workers, each as a share of all attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerFaults {
-    pub turned_away: f64,
+    pub busy: f64,
     pub failed: f64,
     pub silent: f64,
     pub reset: f64,
-    /// Answers written in two pieces.
-    pub in_pieces: f64,
+    /// Answers that are written in two parts.
+    pub split: f64,
 }
 
-/// One run.
+/// The plan of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub seed: u64,
@@ -56,19 +56,19 @@
     pub processes: usize,
     pub workers: usize,
     pub clients: usize,
-    /// Connections that say nothing, or ask once and stay.
+    /// Number of connections that send nothing, or one check, and stay open.
     pub idle_clients: usize,
-    /// What workers do without a copy: answer a miss and wait for an order, or load.
-    pub misses: bool,
-    /// The script for the preloaded library; empty: none is loaded.
+    /// Whether a worker without a copy answers a miss and waits for a load order. Otherwise it loads the function.
+    pub answers_misses: bool,
+    /// Fault script for the preloaded library. If empty, the library is not loaded.
     pub system_calls: String,
     pub directory: DirectoryFaults,
     pub worker: WorkerFaults,
-    /// Between two events of the operators or the machine.
-    pub pause: Duration,
+    /// Mean pause between two events such as restarts, reloads or worker failures.
+    pub event_pause: Duration,
 }
 
-/// The mixes of failing system calls, one of which a seed draws.
+/// Mixes of failing system calls. A seed selects one.
 const SYSTEM_CALLS: [&str; 6] = [
     "",
     "send tcp short 20%; recv tcp short 20%",
@@ -79,17 +79,17 @@
 ];
 
 impl Plan {
-    /// What this seed draws, for so long and so many processes at most.
+    /// Generates the plan of a seed.
     pub fn generate(seed: u64, duration: Duration, max_processes: usize) -> Plan {
         let mut rng = Rand64::new(u128::from(seed) << 8 | 0x50a4);
         let mut below = |n: usize| rng.rand_range(0..n as u64) as usize;
         let processes = 1 + below(max_processes.max(1));
         let (workers, clients) = (3 + below(4), 2 + below(4));
         let idle_clients = if below(4) == 0 { 150 } else { 0 };
-        let misses = below(2) == 0;
+        let answers_misses = below(2) == 0;
         let mix = SYSTEM_CALLS[below(SYSTEM_CALLS.len())];
-        let pause = Duration::from_millis(300 + below(1_200) as u64);
-        let mut share = |most: f64| rng.rand_float() * most;
+        let event_pause = Duration::from_millis(300 + below(1_200) as u64);
+        let mut share = |max: f64| rng.rand_float() * max;
         let directory = DirectoryFaults {
             lost: share(0.3),
             late: share(0.2),
@@ -98,11 +98,11 @@
             outdated: share(0.1),
         };
         let worker = WorkerFaults {
-            turned_away: share(0.05),
+            busy: share(0.05),
             failed: share(0.05),
             silent: share(0.03),
             reset: share(0.02),
-            in_pieces: share(0.2),
+            split: share(0.2),
         };
         let system_calls = if mix.is_empty() { String::new() } else { format!("seed {seed}; {mix}") };
         Plan {
@@ -112,11 +112,11 @@
             workers,
             clients,
             idle_clients,
-            misses,
+            answers_misses,
             system_calls,
             directory,
             worker,
-            pause,
+            event_pause,
         }
     }
 }
--- a/crates/curlewpoint-soak/src/process.rs
+++ b/crates/curlewpoint-soak/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of `node`.
+//! Starts, signals and awaits a `node` process.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::timeout;
 
-/// The program, and the library that fails its system calls.
+/// The program, and the library that makes its system calls fail.
 #[derive(Clone, Debug)]
 pub struct Program {
     pub node: PathBuf,
@@ -20,24 +20,25 @@
 
 pub(crate) struct Process(Child);
 
-/// One that has not said by then where it serves has not started.
-const STARTED: Duration = Duration::from_secs(20);
+/// Time within which a process must print its address.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Program {
     pub(crate) async fn start(
-        &self, told: &Path, log: &Path, system_calls: &str,
+        &self, startup_config: &Path, log: &Path, system_calls: &str,
     ) -> std::io::Result<(Process, SocketAddr)> {
         let log = File::options().create(true).append(true).open(log)?;
         let mut command = Command::new(&self.node);
-        command.arg("node").arg(told).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log);
+        command.arg("node").arg(startup_config).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log);
         if let (false, Some(library)) = (system_calls.is_empty(), &self.faults) {
             command.env("LD_PRELOAD", library).env("CURLEWPOINT_FAULTS", system_calls);
         }
         let mut child = command.kill_on_drop(true).spawn()?;
         let out = child.stdout.take().ok_or(std::io::Error::other("no standard output"))?;
-        let first = timeout(STARTED, BufReader::new(out).lines().next_line()).await??;
+        let first = timeout(START_TIMEOUT, BufReader::new(out).lines().next_line()).await??;
         let address = first.as_deref().and_then(|line| line.rsplit(' ').next()?.parse().ok());
-        let address = address.ok_or_else(|| std::io::Error::other(format!("it did not start: {first:?}")))?;
+        let address =
+            address.ok_or_else(|| std::io::Error::other(format!("the process did not start: {first:?}")))?;
         Ok((Process(child), address))
     }
 }
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Waits for its end; none: it still runs. Its exit code, where it ended by itself.
-    pub async fn ends(&mut self, at_most: Duration) -> Option<Option<i32>> {
-        timeout(at_most, self.0.wait()).await.ok()?.ok().map(|status| status.code())
+    /// Waits for the end of the process. Returns None if it still runs, otherwise its exit code unless a signal ended it.
+    pub async fn wait(&mut self, max_wait: Duration) -> Option<Option<i32>> {
+        timeout(max_wait, self.0.wait()).await.ok()?.ok().map(|status| status.code())
     }
 }
--- a/crates/curlewpoint-soak/src/worker.rs
+++ b/crates/curlewpoint-soak/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: one listener for each process, so that it is known who speaks; answers fare as the plan draws.
+//! Simulated workers with the faults of the plan. Each has one listener per process, which identifies the process.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,127 +16,130 @@
 use crate::ledger::{Arrival, Ledger, RunId};
 use crate::plan::WorkerFaults;
 
-/// How a worker is.
+/// State of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Condition {
-    Well,
-    /// It answers nothing. It reads on, so that the moment at which something came is known.
-    Hangs,
-    /// It resets all that it has, and whatever comes.
+pub(crate) enum WorkerState {
+    Healthy,
+    /// Sends no answers. It continues to read, so that arrival times are recorded.
+    Hanging,
+    /// Resets all connections, including new ones.
     Dead,
 }
 
-/// One worker, through its starts.
+/// One worker, across its restarts.
 pub(crate) struct Worker {
-    pub condition: watch::Sender<Condition>,
+    pub state: watch::Sender<WorkerState>,
     name: Mutex<String>,
     copies: Mutex<BTreeSet<String>>,
     ledger: Arc<Ledger>,
     /// The start of each process that runs now.
-    process_runs: Arc<Mutex<BTreeMap<usize, usize>>>,
+    current_runs: Arc<Mutex<BTreeMap<usize, usize>>>,
     faults: WorkerFaults,
-    misses: bool,
+    answers_misses: bool,
 }
 
-fn locked<T>(what: &Mutex<T>) -> MutexGuard<'_, T> {
-    what.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-const WORK_MS: f64 = 40.0;
-const LOAD: Duration = Duration::from_millis(60);
+/// Maximum service time in milliseconds.
+const MAX_SERVICE_MS: f64 = 40.0;
+const LOAD_TIME: Duration = Duration::from_millis(60);
 
 impl Worker {
     pub fn new(
-        name: &str, ledger: Arc<Ledger>, process_runs: Arc<Mutex<BTreeMap<usize, usize>>>,
-        faults: WorkerFaults, misses: bool,
+        name: &str, ledger: Arc<Ledger>, current_runs: Arc<Mutex<BTreeMap<usize, usize>>>,
+        faults: WorkerFaults, answers_misses: bool,
     ) -> Worker {
-        let (condition, name) = (watch::channel(Condition::Well).0, Mutex::new(name.to_owned()));
-        Worker { condition, name, copies: Mutex::default(), ledger, process_runs, faults, misses }
+        let (state, name) = (watch::channel(WorkerState::Healthy).0, Mutex::new(name.to_owned()));
+        Worker { state, name, copies: Mutex::default(), ledger, current_runs, faults, answers_misses }
     }
 
-    /// It starts anew, under another name and without copies.
-    pub fn starts(&self, name: &str) {
-        *locked(&self.name) = name.to_owned();
-        locked(&self.copies).clear();
-        self.condition.send_replace(Condition::Well);
+    /// Restarts the worker under another name and without copies.
+    pub fn restart(&self, name: &str) {
+        *lock(&self.name) = name.to_owned();
+        lock(&self.copies).clear();
+        self.state.send_replace(WorkerState::Healthy);
     }
 
-    /// Serves one process on this listener.
+    /// Serves one process on the listener.
     pub async fn listen(self: Arc<Worker>, listener: TcpListener, node: usize, seed: u128) {
         let mut connections = 0;
         while let Ok((stream, _)) = listener.accept().await {
             connections += 1;
-            let conversation = Conversation {
-                name: locked(&self.name).clone(),
-                life: (node, locked(&self.process_runs).get(&node).copied().unwrap_or_default()),
+            let connection = Connection {
+                name: lock(&self.name).clone(),
+                run: (node, lock(&self.current_runs).get(&node).copied().unwrap_or_default()),
                 worker: Arc::clone(&self),
                 rng: Rand64::new(seed << 32 | connections),
                 withdrawn: Arc::default(),
             };
-            tokio::spawn(conversation.run(stream));
+            tokio::spawn(connection.run(stream));
         }
     }
 }
 
-struct Conversation {
+struct Connection {
     name: String,
-    life: RunId,
+    run: RunId,
     worker: Arc<Worker>,
     rng: Rand64,
     withdrawn: Arc<Mutex<BTreeSet<String>>>,
 }
 
-/// A line to write, in two pieces or in one.
+/// A line to write.
 struct Line {
     text: String,
-    in_pieces: bool,
-    resets: bool,
+    /// Whether the line is written in two parts.
+    split: bool,
+    /// Whether the connection is reset instead.
+    reset: bool,
 }
 
-fn answer(to: &Value, word: &str, meta: Value, data: &str) -> String {
+fn format_answer(to: &Value, word: &str, meta: Value, data: &str) -> String {
     format!("{}\n", json!({"type": word, "req": to["req"], "meta": meta, "data": data}))
 }
 
-fn reset(stream: &TcpStream) {
+fn reset_connection(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-impl Conversation {
+impl Connection {
     async fn run(mut self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let mut condition = self.worker.condition.subscribe();
-        let (say, mut said) = mpsc::unbounded_channel::<Line>();
-        let (mut unread, mut first_byte, mut some) = (Vec::new(), Instant::now(), vec![0; 16 * 1024]);
+        let mut state = self.worker.state.subscribe();
+        let (line_tx, mut line_rx) = mpsc::unbounded_channel::<Line>();
+        let (mut unparsed, mut first_byte, mut buffer) = (Vec::new(), Instant::now(), vec![0; 16 * 1024]);
         loop {
-            let now = *condition.borrow_and_update();
-            if now == Condition::Dead || *locked(&self.worker.name) != self.name {
-                return reset(&stream);
+            let now = *state.borrow_and_update();
+            if now == WorkerState::Dead || *lock(&self.worker.name) != self.name {
+                return reset_connection(&stream);
             }
-            let well = now == Condition::Well;
+            let healthy = now == WorkerState::Healthy;
             tokio::select! {
-                changed = condition.changed() => if changed.is_err() { return },
-                got = stream.read(&mut some) => {
+                changed = state.changed() => if changed.is_err() { return },
+                got = stream.read(&mut buffer) => {
                     let Ok(n @ 1..) = got else { return };
-                    if unread.is_empty() {
+                    if unparsed.is_empty() {
                         first_byte = Instant::now();
                     }
-                    unread.extend_from_slice(&some[..n]);
-                    while let Some(end) = unread.iter().position(|b| *b == b'\n') {
-                        let line: Vec<u8> = unread.drain(..=end).collect();
-                        self.hears(&line, first_byte, &say);
+                    unparsed.extend_from_slice(&buffer[..n]);
+                    while let Some(end) = unparsed.iter().position(|b| *b == b'\n') {
+                        let line: Vec<u8> = unparsed.drain(..=end).collect();
+                        self.handle_line(&line, first_byte, &line_tx);
                         first_byte = Instant::now();
                     }
                 }
-                Some(line) = said.recv(), if well => {
+                Some(line) = line_rx.recv(), if healthy => {
                     let (bytes, half) = (line.text.as_bytes(), line.text.len() / 2);
-                    if line.resets {
-                        return reset(&stream);
+                    if line.reset {
+                        return reset_connection(&stream);
                     }
-                    let first = if line.in_pieces { half } else { bytes.len() };
+                    let first = if line.split { half } else { bytes.len() };
                     if stream.write_all(&bytes[..first]).await.is_err() {
                         return;
                     }
-                    if line.in_pieces {
+                    if line.split {
                         sleep(Duration::from_millis(3)).await;
                         if stream.write_all(&bytes[half..]).await.is_err() {
                             return;
@@ -147,92 +150,99 @@
         }
     }
 
-    fn hears(&mut self, line: &[u8], first_byte: Instant, say: &mpsc::UnboundedSender<Line>) {
-        let Ok(row) = serde_json::from_slice::<Value>(line) else {
+    fn handle_line(&mut self, line: &[u8], first_byte: Instant, line_tx: &mpsc::UnboundedSender<Line>) {
+        let Ok(message) = serde_json::from_slice::<Value>(line) else {
             let text = String::from_utf8_lossy(line).into_owned();
-            self.worker.ledger.lock().harness_errors.push(format!("a line that cannot be read: {text}"));
+            self.worker.ledger.lock().harness_errors.push(format!("malformed line: {text}"));
             return;
         };
-        let now_line = |text| Line { text, in_pieces: false, resets: false };
-        match row["type"].as_str() {
-            Some("invoke") => self.invoked(&row, first_byte, say),
-            Some("prewarm") => self.ordered(&row, first_byte, say),
+        let now_line = |text| Line { text, split: false, reset: false };
+        match message["type"].as_str() {
+            Some("invoke") => self.handle_invoke(&message, first_byte, line_tx),
+            Some("prewarm") => self.handle_load_order(&message, first_byte, line_tx),
             Some("gauges") => {
-                let _ = say.send(now_line(answer(&row, "UP", json!({"use": "inflight:1;util:0.3"}), "")));
+                let _ = line_tx.send(now_line(format_answer(
+                    &message,
+                    "UP",
+                    json!({"use": "inflight:1;util:0.3"}),
+                    "",
+                )));
             }
             Some("abort") => {
-                let id = row["req"].as_str().unwrap_or_default().to_owned();
-                locked(&self.withdrawn).insert(id);
+                let id = message["req"].as_str().unwrap_or_default().to_owned();
+                lock(&self.withdrawn).insert(id);
             }
             _ => {}
         }
     }
 
-    fn arrives(&self, request: Option<u64>, first_byte: Instant, budget: Duration) -> usize {
-        let (life, worker, whole) = (self.life, self.name.clone(), Instant::now());
-        let mut state = self.worker.ledger.lock();
-        state.arrivals.push(Arrival { life, worker, request, first_byte, whole, budget, answer: None });
-        state.arrivals.len() - 1
+    fn record_arrival(&self, request: Option<u64>, first_byte: Instant, budget: Duration) -> usize {
+        let (run, worker, received) = (self.run, self.name.clone(), Instant::now());
+        let mut records = self.worker.ledger.lock();
+        records.arrivals.push(Arrival { run, worker, request, first_byte, received, budget, answer: None });
+        records.arrivals.len() - 1
     }
 
-    fn invoked(&mut self, row: &Value, first_byte: Instant, say: &mpsc::UnboundedSender<Line>) {
-        let id = row["req"].as_str().unwrap_or_default().to_owned();
+    fn handle_invoke(&mut self, message: &Value, first_byte: Instant, line_tx: &mpsc::UnboundedSender<Line>) {
+        let id = message["req"].as_str().unwrap_or_default().to_owned();
         let request = u64::from_str_radix(&id, 16).unwrap_or_default();
-        let budget = Duration::from_millis(row["meta"]["budget"].as_u64().unwrap_or_default());
-        let arrival = self.arrives(Some(request), first_byte, budget);
-        let function = row["meta"]["path"].as_str().unwrap_or_default();
-        let lacks = self.worker.misses && !locked(&self.worker.copies).contains(function);
-        let (faults, drawn) = (self.worker.faults, self.rng.rand_float());
-        let word = if lacks {
+        let budget = Duration::from_millis(message["meta"]["budget"].as_u64().unwrap_or_default());
+        let arrival = self.record_arrival(Some(request), first_byte, budget);
+        let function = message["meta"]["path"].as_str().unwrap_or_default();
+        let lacks_copy = self.worker.answers_misses && !lock(&self.worker.copies).contains(function);
+        let (faults, draw) = (self.worker.faults, self.rng.rand_float());
+        let word = if lacks_copy {
             "MISS"
-        } else if drawn < faults.turned_away {
+        } else if draw < faults.busy {
             "BUSY"
-        } else if drawn < faults.turned_away + faults.failed {
+        } else if draw < faults.busy + faults.failed {
             "ERR"
         } else {
             "OK"
         };
-        if !lacks && self.rng.rand_float() < faults.silent {
+        if !lacks_copy && self.rng.rand_float() < faults.silent {
             return;
         }
-        let resets = self.rng.rand_float() < faults.reset;
-        let in_pieces = self.rng.rand_float() < faults.in_pieces;
+        let reset = self.rng.rand_float() < faults.reset;
+        let split = self.rng.rand_float() < faults.split;
         let never_ran = matches!(word, "MISS" | "BUSY");
-        let work = if never_ran {
+        let service_time = if never_ran {
             Duration::ZERO
         } else {
-            Duration::from_micros((self.rng.rand_float() * WORK_MS * 1_000.0) as u64)
+            Duration::from_micros((self.rng.rand_float() * MAX_SERVICE_MS * 1_000.0) as u64)
         };
-        let data = if word == "OK" { row["data"].as_str().unwrap_or_default() } else { "" };
-        let text = answer(row, word, json!({"detail": "resident"}), data);
-        let (say, withdrawn, ledger) =
-            (say.clone(), Arc::clone(&self.withdrawn), Arc::clone(&self.worker.ledger));
+        let data = if word == "OK" { message["data"].as_str().unwrap_or_default() } else { "" };
+        let text = format_answer(message, word, json!({"detail": "resident"}), data);
+        let (line_tx, withdrawn, ledger) =
+            (line_tx.clone(), Arc::clone(&self.withdrawn), Arc::clone(&self.worker.ledger));
         tokio::spawn(async move {
-            sleep(work).await;
-            if locked(&withdrawn).contains(&id) {
+            sleep(service_time).await;
+            if lock(&withdrawn).contains(&id) {
                 return;
             }
-            if !resets {
+            if !reset {
                 ledger.lock().arrivals[arrival].answer = Some(word);
             }
-            let _ = say.send(Line { text, in_pieces, resets });
+            let _ = line_tx.send(Line { text, split, reset });
         });
     }
 
-    fn ordered(&mut self, row: &Value, first_byte: Instant, say: &mpsc::UnboundedSender<Line>) {
-        self.arrives(None, first_byte, Duration::ZERO);
-        let function = row["meta"]["path"].as_str().unwrap_or_default().to_owned();
-        let text = answer(row, "OK", json!({"instances": 1}), "");
-        let (say, worker) = (say.clone(), Arc::clone(&self.worker));
+    fn handle_load_order(
+        &mut self, message: &Value, first_byte: Instant, line_tx: &mpsc::UnboundedSender<Line>,
+    ) {
+        self.record_arrival(None, first_byte, Duration::ZERO);
+        let function = message["meta"]["path"].as_str().unwrap_or_default().to_owned();
+        let text = format_answer(message, "OK", json!({"instances": 1}), "");
+        let (line_tx, worker) = (line_tx.clone(), Arc::clone(&self.worker));
         tokio::spawn(async move {
-            sleep(LOAD).await;
-            locked(&worker.copies).insert(function);
-            let _ = say.send(Line { text, in_pieces: false, resets: false });
+            sleep(LOAD_TIME).await;
+            lock(&worker.copies).insert(function);
+            let _ = line_tx.send(Line { text, split: false, reset: false });
         });
     }
 }
 
-/// The body of a request, as workers give it back.
-pub(crate) fn is_body(given: &[u8], body: &[u8]) -> bool {
-    given == body || STANDARD.decode(given).is_ok_and(|decoded| decoded == body)
+/// Whether the body of an answer equals that of the request, plain or as base64.
+pub(crate) fn is_same_body(received_body: &[u8], body: &[u8]) -> bool {
+    received_body == body || STANDARD.decode(received_body).is_ok_and(|decoded| decoded == body)
 }
