--- a/crates/curlewpoint-faults/src/script.rs
+++ b/crates/curlewpoint-faults/src/script.rs
@@ -1,9 +1,9 @@
 //! The fault script: `seed 7; send tcp short 5%; recv tcp EINTR 5% after 4000 until 9000; clock step -3600000 after 2000`.
 //!
 //! A rule consists of a call (`send`, `recv`, `accept`, `connect`, `socket`), the transport (`tcp` or `udp`) for `send`, `recv`
-//! and `connect`, the fault (`short` or the name of an error) and the share of calls in percent. Options: `after MS` and `until
-//! MS`, the time since the library was loaded; `times N`, the maximum number of faults; `containing TEXT`, only data with these bytes (`send`
-//! only). `seed N` sets the seed, and `clock step MS` shifts the wall clock, with the option `after MS`.
+//! and `connect`, the fault (`short` or the name of an error) and the share of calls in percent. Options: `after MS` and
+//! `until MS`, the time since the library was loaded; `times N`, the maximum number of faults; `containing TEXT`, only data
+//! with these bytes (`send` only). `seed N` sets the seed, and `clock step MS` shifts the wall clock, with the option `after MS`.
 
 use std::fmt::{Display, Formatter};
 
--- a/crates/curlewpoint-soak/src/worker.rs
+++ b/crates/curlewpoint-soak/src/worker.rs
@@ -32,7 +32,7 @@
     name: Mutex<String>,
     copies: Mutex<BTreeSet<String>>,
     ledger: Arc<Ledger>,
-    /// The start of each process that runs now.
+    /// The current run of each process, as the number of its start.
     current_runs: Arc<Mutex<BTreeMap<usize, usize>>>,
     faults: WorkerFaults,
     answers_misses: bool,
