--- a/crates/curlewpoint-rig/src/calls.rs
+++ b/crates/curlewpoint-rig/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of one function at many schedulers, beside the play's usual load.
+//! Repeated calls of one function at many schedulers, in addition to the scenario's load.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,32 +7,32 @@
 use curlewpoint_lab::{Office, Record};
 use tokio::time::{sleep_until, Instant};
 
-/// Keys of these calls have this bit set, and no others do.
-pub(crate) const CALLED: u64 = 1 << 62;
-/// Such a call is given up after this.
-const LEFT: Time = Time(20_000);
-const BODY: usize = 256;
+/// Bit set in the keys of these calls only.
+pub(crate) const CALL_KEY_BIT: u64 = 1 << 62;
+/// Time left given to each call.
+const CALL_TIME_LEFT: Time = Time(20_000);
+const BODY_BYTES: usize = 256;
 
-/// Asks one scheduler for one function again and again, for so long; then waits until the scheduler has ended the connection.
-pub(crate) async fn call_one(
+/// Calls one function at one scheduler every `every` for `duration`, then waits until the scheduler closes the connection.
+pub(crate) async fn call_repeatedly(
     record: Record, address: impl Fn() -> SocketAddr, scheduler: &str, (method, model): (&str, &str),
-    mut key: u64, every: Time, len: Time,
+    mut key: u64, every: Time, duration: Time,
 ) {
-    let (mut office, mut next) = (None::<Office>, Instant::now());
+    let (mut client, mut next_call) = (None::<Office>, Instant::now());
     let (every, until) =
-        (Duration::from_micros(every.0.max(1) * 100), next + Duration::from_micros(len.0 * 100));
-    while next < until {
-        if office.as_ref().is_none_or(Office::is_over) {
-            office = Office::open(&address().to_string(), scheduler, &record).await.ok();
+        (Duration::from_micros(every.0.max(1) * 100), next_call + Duration::from_micros(duration.0 * 100));
+    while next_call < until {
+        if client.as_ref().is_none_or(Office::is_over) {
+            client = Office::open(&address().to_string(), scheduler, &record).await.ok();
         }
-        if let Some(up) = &office {
+        if let Some(connected) = &client {
             key += 1;
-            up.ask(key, method, model, "", LEFT, BODY);
+            connected.ask(key, method, model, "", CALL_TIME_LEFT, BODY_BYTES);
         }
-        next += every;
-        sleep_until(next).await;
+        next_call += every;
+        sleep_until(next_call).await;
     }
-    if let Some(up) = office {
-        up.ended().await;
+    if let Some(connected) = client {
+        connected.ended().await;
     }
 }
--- a/crates/curlewpoint-rig/src/lib.rs
+++ b/crates/curlewpoint-rig/src/lib.rs
@@ -1,10 +1,11 @@
-//! Many real processes of the program on one machine, each pair of parties joined by a relay on loopback, so that any
-//! two can be cut, delayed, slowed or reset while both live.
+//! Runs many real processes of the program on one machine. Every connection goes through a relay on loopback, so that the
+//! traffic between any two parties can be cut, delayed, slowed or reset while both keep running.
 //!
-//! A [`FleetScenario`] tells the fleet, the load and the faults; one seed gives the same faults again. What is judged is what
-//! passed through the relays and at the far ends of them, which are the rig's own; no scheduler is asked about itself.
+//! A [`FleetScenario`] describes the fleet, the load and the faults; the same seed gives the same faults. Verdict and figures
+//! come from what passed the relays and from the rig's own clients, workers, store and list service, never from what a
+//! scheduler reports about itself.
 //!
-//! [`scale`] is the other kind: hollow schedulers by the thousand in one process, without sockets.
+//! [`scale`] simulates thousands of schedulers in one process, without sockets.
 
 mod calls;
 mod figures;
@@ -17,9 +18,11 @@
 pub mod scale;
 mod scenario;
 
-pub use figures::{Cost, Directory, Figures, Look, Second, Spread, Waits, WINDOW};
+pub use figures::{
+    DirectoryFigures, Figures, SchedulingDelays, SendWindow, SpanCost, Spread, UsageSample, CONNECTION_WINDOW,
+};
 pub use offline_optimum::OfflineOptimum;
 pub use process::{Process, Program, Usage};
-pub use relay::{Effect, Passed, Relay, Rules, Shared, Tape, Taped};
+pub use relay::{Effect, RecordedEvent, Relay, RelayContext, RelayEvent, RelayLog, Rules};
 pub use run::{run, temporary_folder, Outcome, ScenarioRun};
-pub use scenario::{Action, At, FleetScenario, Limit, Span, Who, SHIPPED_SCENARIOS};
+pub use scenario::{Action, FaultEvent, FleetScenario, Limit, MeasuredSpan, Party, SHIPPED_SCENARIOS};
--- a/crates/curlewpoint-rig/src/process.rs
+++ b/crates/curlewpoint-rig/src/process.rs
@@ -9,28 +9,28 @@
 use tokio::process::{Child, ChildStdout, Command};
 use tokio::time::timeout;
 
-/// The program that is started again and again.
+/// Path of the program that the rig starts as a scheduler process.
 #[derive(Clone, Debug)]
 pub struct Program(pub PathBuf);
 
-/// A process of the program that this rig has started; it ends with this value, whatever becomes of the rig's run.
+/// A running scheduler process. It is killed when this value is dropped.
 pub struct Process {
     child: Child,
     lines: Lines<BufReader<ChildStdout>>,
     pub address: SocketAddr,
 }
 
-/// A process that has not said by then where it serves has not started.
-const STARTED: Duration = Duration::from_secs(30);
+/// Time within which a process must print the address it serves.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 impl Program {
-    /// Starts `serve` with this configuration; its log is added to a file.
+    /// Starts `serve` with this configuration, appends its log to a file, and waits for its ready line.
     pub async fn serve(&self, config: &Path, log: &Path) -> std::io::Result<Process> {
         let log = File::options().create(true).append(true).open(log)?;
         let mut child = Command::new(&self.0)
             .arg("serve")
             .arg(config)
-            // Hundreds share a few cores: more threads would only wake each other.
+            // Hundreds of processes share a few cores; further threads would only add context switches.
             .env("TOKIO_WORKER_THREADS", "1")
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
@@ -39,15 +39,17 @@
             .spawn()?;
         let out = child.stdout.take().ok_or(std::io::Error::other("no standard output"))?;
         let mut lines = BufReader::new(out).lines();
-        let first = timeout(STARTED, lines.next_line()).await.map_err(std::io::Error::other)??;
+        let first = timeout(START_TIMEOUT, lines.next_line()).await.map_err(std::io::Error::other)??;
         let address = first.as_deref().and_then(|l| l.rsplit(' ').next()).and_then(|a| a.parse().ok());
-        let address = address.ok_or_else(|| std::io::Error::other(format!("it did not start: {first:?}")))?;
+        let address = address.ok_or_else(|| {
+            std::io::Error::other(format!("the process did not print its address: {first:?}"))
+        })?;
         Ok(Process { child, lines, address })
     }
 }
 
 impl Process {
-    /// Sends a signal, while it lives.
+    /// Sends a signal if the process is still running.
     pub fn signal(&self, signal: Signal) {
         let pid = self.child.id().and_then(|id| Pid::from_raw(id as i32));
         if let Some(pid) = pid {
@@ -55,8 +57,9 @@
         }
     }
 
-    /// Waits for its end; none: it had to be killed. Its exit code, and its last line.
-    pub async fn ended(&mut self, at_most: Duration) -> Option<(i32, String)> {
+    /// Waits for the process to exit and returns its exit code and the last line of its output. On a timeout, kills it and returns
+    /// `None`.
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<(i32, String)> {
         let mut last = String::new();
         let end = async {
             while let Ok(Some(line)) = self.lines.next_line().await {
@@ -64,7 +67,7 @@
             }
             self.child.wait().await
         };
-        match timeout(at_most, end).await {
+        match timeout(limit, end).await {
             Ok(Ok(status)) => Some((status.code().unwrap_or(-1), last)),
             _ => {
                 let _ = self.child.kill().await;
@@ -73,42 +76,42 @@
         }
     }
 
-    /// How long its threads have been ready to run and not let, in all; none: it has ended, or the system does not tell.
-    pub fn waited(&self) -> Option<Duration> {
+    /// Total time its threads were runnable but waiting for a core; `None` if it has ended or the system does not report it.
+    pub fn run_queue_delay(&self) -> Option<Duration> {
         let id = self.child.id()?;
         let threads = std::fs::read_dir(format!("/proc/{id}/task")).ok()?;
-        let of = |thread: std::fs::DirEntry| {
-            let told = std::fs::read_to_string(thread.path().join("schedstat")).ok()?;
-            Some(Duration::from_nanos(told.split(' ').nth(1)?.parse().ok()?))
+        let delay_of = |thread: std::fs::DirEntry| {
+            let schedstat = std::fs::read_to_string(thread.path().join("schedstat")).ok()?;
+            Some(Duration::from_nanos(schedstat.split(' ').nth(1)?.parse().ok()?))
         };
-        Some(threads.flatten().filter_map(of).sum())
+        Some(threads.flatten().filter_map(delay_of).sum())
     }
 
-    /// What it has used, as the system tells it; none: it has ended.
+    /// Processor time and memory from /proc; `None` if the process has ended.
     pub fn usage(&self) -> Option<Usage> {
         let id = self.child.id()?;
         let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).ok()?;
         let after: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
-        // User and system time, in hundredths of a second: the 14th and 15th of the line.
-        let ticks = |no: usize| after.get(no).and_then(|t| t.parse::<u64>().ok());
-        let used = Duration::from_millis(10 * (ticks(11)? + ticks(12)?));
+        // User and system time in hundredths of a second, fields 14 and 15 of the line.
+        let ticks = |index: usize| after.get(index).and_then(|t| t.parse::<u64>().ok());
+        let cpu_time = Duration::from_millis(10 * (ticks(11)? + ticks(12)?));
         let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
         let row = |name: &str| {
             let row = status.lines().find_map(|l| l.strip_prefix(name))?;
             row.split_whitespace().next()?.parse().ok()
         };
-        Some(Usage { id, used, resident: row("VmRSS:")?, peak: row("VmHWM:")? })
+        Some(Usage { id, cpu_time, resident_kib: row("VmRSS:")?, peak_kib: row("VmHWM:")? })
     }
 }
 
-/// What a process has used.
+/// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Usage {
-    /// The process.
+    /// Process id.
     pub id: u32,
-    /// Processor time since it began, in its own code and the system's; told in steps of 10 ms.
-    pub used: Duration,
-    /// Memory that is resident, now and at most so far, in KiB.
-    pub resident: u64,
-    pub peak: u64,
+    /// User and system time since the process started, in steps of 10 ms.
+    pub cpu_time: Duration,
+    /// Resident memory now and at its peak, in KiB.
+    pub resident_kib: u64,
+    pub peak_kib: u64,
 }
--- a/crates/curlewpoint-rig/src/relay.rs
+++ b/crates/curlewpoint-rig/src/relay.rs
@@ -16,27 +16,27 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 use tokio_util::codec::Decoder;
 
-/// What is done to bytes on their way from one party to another.
+/// A fault that a relay applies to the bytes from one party to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// They lie until the cut is over; new connections say nothing.
+    /// Bytes are held until the cut ends; new connections are accepted but carry nothing.
     Cut,
     Delay(Duration),
-    /// Bytes a second.
+    /// Bytes per second.
     Slow(f64),
 }
 
-struct Rule {
+struct FaultRule {
     from: BTreeSet<String>,
     to: BTreeSet<String>,
     effect: Effect,
 }
 
-/// Which effects hold between whom. Every relay of a rig goes by the same.
+/// The effects that apply between pairs of parties, shared by every relay of a rig.
 #[derive(Clone)]
 pub struct Rules {
-    rules: Arc<Mutex<BTreeMap<u64, Rule>>>,
-    /// Counts changes, and resets of connections between two parties.
+    rules: Arc<Mutex<BTreeMap<u64, FaultRule>>>,
+    /// Incremented with every change of the rules.
     changed: watch::Sender<u64>,
     resets: watch::Sender<(u64, BTreeSet<(String, String)>)>,
 }
@@ -50,22 +50,22 @@
 }
 
 impl Rules {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, Rule>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, FaultRule>> {
         self.rules.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// From here on, until it is lifted, for bytes from any of the first to any of the second.
+    /// Applies an effect to the bytes from any party in `from` to any in `to` until rule `id` is removed.
     pub fn set(&self, id: u64, from: BTreeSet<String>, to: BTreeSet<String>, effect: Effect) {
-        self.lock().insert(id, Rule { from, to, effect });
+        self.lock().insert(id, FaultRule { from, to, effect });
         self.changed.send_modify(|n| *n += 1);
     }
 
-    pub fn lift(&self, id: u64) {
+    pub fn remove(&self, id: u64) {
         self.lock().remove(&id);
         self.changed.send_modify(|n| *n += 1);
     }
 
-    /// Ends all connections between any of the first and any of the second.
+    /// Closes all connections between any party in `a` and any in `b`, whichever opened them.
     pub fn reset(&self, a: &BTreeSet<String>, b: &BTreeSet<String>) {
         let pairs = a
             .iter()
@@ -74,7 +74,7 @@
         self.resets.send_modify(|(n, of)| (*n, *of) = (*n + 1, pairs));
     }
 
-    fn on(&self, from: &str, to: &str) -> (bool, Duration, Option<f64>) {
+    fn effects(&self, from: &str, to: &str) -> (bool, Duration, Option<f64>) {
         let (mut cut, mut delay, mut slow) = (false, Duration::ZERO, None);
         for rule in self.lock().values().filter(|r| r.from.contains(from) && r.to.contains(to)) {
             match rule.effect {
@@ -86,9 +86,9 @@
         (cut, delay, slow)
     }
 
-    async fn until_not_cut(&self, from: &str, to: &str) {
+    async fn wait_until_not_cut(&self, from: &str, to: &str) {
         let mut changed = self.changed.subscribe();
-        while self.on(from, to).0 {
+        while self.effects(from, to).0 {
             if changed.changed().await.is_err() {
                 return;
             }
@@ -96,71 +96,71 @@
     }
 }
 
-/// What passed a relay.
+/// An event that a relay recorded.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taped {
-    /// A connection was asked for, by whom it is known once it has said so.
+pub enum RelayEvent {
+    /// A connection was opened. Recorded once its HELLO has named the peer that opened it.
     Dialled,
     Frame {
         kind: Kind,
         bytes: usize,
-        /// A list that begins: the whole.
-        whole: bool,
-        /// A beat: of all records of members.
-        digest: Option<u64>,
-        /// Rows of hints, and those of them that passed a relay for the first time.
+        /// The frame begins a full endpoint list rather than a change to one.
+        full_list: bool,
+        /// Heartbeats only: the sender's digest of all member records.
+        member_digest: Option<u64>,
+        /// Rows of hints or observations, and how many of them no relay had seen before.
         rows: usize,
-        new: usize,
-        /// When its last byte came to the relay: what lay there while a cut lasted had been sent by then.
-        came: Time,
-        /// A question: what for. An answer: for what.
+        new_observations: usize,
+        /// When the frame's last byte reached the relay. A frame held back by a cut had been sent by then.
+        received_at: Time,
+        /// The functions that a directory query asks for or that a directory update answers.
         functions: Vec<u64>,
-        /// Of its rows of the directory, by how much the one looked younger that did most so, beside when a relay saw that
-        /// sight first.
-        younger: Time,
+        /// The largest understatement of age among its rows of the copy directory, relative to the time of the observation as the
+        /// first frame that carried it stated it.
+        age_error: Time,
     },
     Ended,
 }
 
-/// When, from whom, to whom, what.
-pub type Passed = (Time, Arc<str>, Arc<str>, Taped);
+/// Time, sender, receiver and event.
+pub type RecordedEvent = (Time, Arc<str>, Arc<str>, RelayEvent);
 
-/// All that passed, by the record's clock.
+/// Everything that passed the relays, timed by the record's clock.
 #[derive(Clone, Default)]
-pub struct Tape(Arc<Mutex<Vec<Passed>>>);
+pub struct RelayLog(Arc<Mutex<Vec<RecordedEvent>>>);
 
-impl Tape {
-    fn add(&self, at: Time, from: &Arc<str>, to: &Arc<str>, what: Taped) {
+impl RelayLog {
+    fn add(&self, at: Time, from: &Arc<str>, to: &Arc<str>, event: RelayEvent) {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        all.push((at, Arc::clone(from), Arc::clone(to), what));
+        all.push((at, Arc::clone(from), Arc::clone(to), event));
     }
 
-    /// Everything so far, in order of time.
-    pub fn all(&self) -> Vec<Passed> {
+    /// Everything recorded so far, in order of time.
+    pub fn all(&self) -> Vec<RecordedEvent> {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner).clone();
         all.sort_by_key(|t| t.0);
         all
     }
 }
 
-/// Which lists a scheduler was told by peers, so that what it knew of a drain is known to the checker.
+/// The newest list version delivered to each scheduler. The checker needs to know when a scheduler learned of a drain.
 #[derive(Clone, Default)]
-struct Lists(Arc<Mutex<BTreeMap<String, (u64, u64)>>>);
+struct DeliveredLists(Arc<Mutex<BTreeMap<String, (u64, u64)>>>);
 
-/// A list that is passing on one connection.
+/// The part received so far of a list on one connection.
 #[derive(Default)]
-struct Passing {
+struct PartialList {
     version: Option<(u64, u64)>,
     rows: Vec<(String, curlewpoint::types::Lifecycle)>,
 }
 
-impl Lists {
-    /// A frame has been handed to `to`; at the end of a list that is newer than all it was told before, it knows.
-    fn pass(&self, record: &Record, to: &str, passing: &mut Passing, f: &Frame) {
+impl DeliveredLists {
+    /// Follows a frame forwarded to `to`. At the end of a list newer than any delivered before, records its rows as received.
+    fn follow(&self, record: &Record, to: &str, partial: &mut PartialList, f: &Frame) {
         match f.kind {
             Kind::LIST_BEGIN => {
                 let version = f.get_int(Field::EPOCH).ok().zip(f.get_int(Field::LIST_VERSION).ok());
-                *passing = Passing { version, rows: Vec::new() };
+                *partial = PartialList { version, rows: Vec::new() };
             }
             Kind::LIST_ENTRY => {
                 let standing = match f.get_int(Field::LIFECYCLE) {
@@ -169,20 +169,20 @@
                     _ => curlewpoint::types::Lifecycle::Ready,
                 };
                 if let Ok(worker) = f.get_text(Field::WORKER) {
-                    passing.rows.push((worker.to_owned(), standing));
+                    partial.rows.push((worker.to_owned(), standing));
                 }
             }
             Kind::LIST_ENTRIES => {
                 let rows = read_entries(Time(0), f).unwrap_or_default();
-                passing.rows.extend(rows.into_iter().map(|(worker, entry)| (worker, entry.lifecycle)));
+                partial.rows.extend(rows.into_iter().map(|(worker, entry)| (worker, entry.lifecycle)));
             }
             Kind::LIST_END => {
-                let Passing { version: Some(version), rows } = std::mem::take(passing) else { return };
-                let mut told = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-                if told.get(to).is_some_and(|held| version <= *held) {
+                let PartialList { version: Some(version), rows } = std::mem::take(partial) else { return };
+                let mut delivered = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+                if delivered.get(to).is_some_and(|held| version <= *held) {
                     return;
                 }
-                told.insert(to.to_owned(), version);
+                delivered.insert(to.to_owned(), version);
                 for (worker, standing) in rows {
                     record.add(Seen::Told { scheduler: to.to_owned(), worker, standing });
                 }
@@ -192,125 +192,136 @@
     }
 }
 
-/// What any relay saw of sights.
+/// The observations of copies that any relay has seen.
 #[derive(Default)]
-struct Known {
-    /// The last number of a hint of each run: whoever sees something counts up.
-    last: BTreeMap<u64, u64>,
-    /// When each sight was made, as the first frame of the directory told that brought it: worker, function, run, number.
-    made: BTreeMap<[u64; 4], Time>,
+struct SeenObservations {
+    /// The highest observation number of each run; an instance numbers its observations in sequence.
+    last_number: BTreeMap<u64, u64>,
+    /// When each observation was made, as stated by the first directory frame that carried it, by worker, function, run and
+    /// number.
+    made_at: BTreeMap<[u64; 4], Time>,
 }
 
 #[derive(Clone, Default)]
-struct Sights(Arc<Mutex<Known>>);
-
-/// Numbers that a row of hints takes, and where in it worker, function, age, the run and its number stand.
-const HINT: usize = 7;
-const HINT_WORKER: usize = 0;
-const HINT_FUNCTION: usize = 1;
-const HINT_AGE: usize = 4;
-const HINT_RUN: usize = 5;
-const HINT_NO: usize = 6;
-
-impl Sights {
-    /// Rows of this frame, and those that no relay has seen before.
-    fn pass(&self, f: &Frame) -> (usize, usize) {
+struct ObservationTracker(Arc<Mutex<SeenObservations>>);
+
+/// Integers in a row of hints, and the positions of its worker, function, age, run and observation number.
+const HINT_ROW_INTS: usize = 7;
+const HINT_WORKER_INDEX: usize = 0;
+const HINT_FUNCTION_INDEX: usize = 1;
+const HINT_AGE_INDEX: usize = 4;
+const HINT_RUN_INDEX: usize = 5;
+const HINT_NUMBER_INDEX: usize = 6;
+
+impl ObservationTracker {
+    /// Counts the rows of a frame, and those that no relay has seen before.
+    fn count_rows(&self, f: &Frame) -> (usize, usize) {
         if ![Kind::HINTS, Kind::OBSERVATIONS].contains(&f.kind) {
             return (0, 0);
         }
         let rows = f.get_ints(Field::ROWS).unwrap_or_default();
-        let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut new = 0_u64;
-        for row in rows.chunks_exact(HINT) {
-            let last = known.last.entry(row[HINT_RUN]).or_default();
-            // Each is told on several ways at once, so one may come before those before it: they count with it.
-            new = row[HINT_NO].saturating_sub(*last).saturating_add(new);
-            *last = row[HINT_NO].max(*last);
+        let mut seen = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut new_observations = 0_u64;
+        for row in rows.chunks_exact(HINT_ROW_INTS) {
+            let last_number = seen.last_number.entry(row[HINT_RUN_INDEX]).or_default();
+            // Observations travel over several links at once and may overtake earlier ones, which are counted here as well.
+            new_observations =
+                row[HINT_NUMBER_INDEX].saturating_sub(*last_number).saturating_add(new_observations);
+            *last_number = row[HINT_NUMBER_INDEX].max(*last_number);
         }
-        (rows.len() / HINT, new as usize)
+        (rows.len() / HINT_ROW_INTS, new_observations as usize)
     }
 
-    /// By how much rows of the directory that came then look younger than they are, at most.
-    fn younger(&self, came: Time, f: &Frame) -> Time {
-        let mut most = Time(0);
+    /// The largest understatement of age among the directory rows of a frame received at that time.
+    fn age_error(&self, received_at: Time, f: &Frame) -> Time {
+        let mut max_error = Time(0);
         if [Kind::DIRECTORY_UPDATE, Kind::OBSERVATIONS].contains(&f.kind) {
             let rows = f.get_ints(Field::ROWS).unwrap_or_default();
-            let mut known = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-            for row in rows.chunks_exact(HINT) {
-                let made = came - Time(row[HINT_AGE]);
-                let key = [HINT_WORKER, HINT_FUNCTION, HINT_RUN, HINT_NO].map(|no| row[no]);
-                most = most.max(made - *known.made.entry(key).or_insert(made));
+            let mut seen = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+            for row in rows.chunks_exact(HINT_ROW_INTS) {
+                let made_at = received_at - Time(row[HINT_AGE_INDEX]);
+                let key = [HINT_WORKER_INDEX, HINT_FUNCTION_INDEX, HINT_RUN_INDEX, HINT_NUMBER_INDEX]
+                    .map(|index| row[index]);
+                max_error = max_error.max(made_at - *seen.made_at.entry(key).or_insert(made_at));
             }
         }
-        most
+        max_error
     }
 }
 
-/// What all relays of a rig share.
+/// State shared by all relays of a rig.
 #[derive(Clone)]
-pub struct Shared {
+pub struct RelayContext {
     pub rules: Rules,
-    pub tape: Tape,
+    pub log: RelayLog,
     pub record: Record,
-    lists: Lists,
-    sights: Sights,
+    delivered_lists: DeliveredLists,
+    observations: ObservationTracker,
 }
 
-impl Shared {
-    pub fn new(rules: Rules, record: Record) -> Shared {
-        let (tape, lists, sights) = Default::default();
-        Shared { rules, tape, record, lists, sights }
+impl RelayContext {
+    pub fn new(rules: Rules, record: Record) -> RelayContext {
+        let (log, delivered_lists, observations) = Default::default();
+        RelayContext { rules, log, record, delivered_lists, observations }
     }
 }
 
-/// Stands before one party: whoever wants it comes here, says who it is, and is joined to it.
+/// A TCP relay in front of one party. It reads the peer's name from its HELLO and connects it to the party.
 pub struct Relay {
     pub address: SocketAddr,
     target: watch::Sender<Option<SocketAddr>>,
     _tasks: JoinSet<()>,
 }
 
-const HELLO: Duration = Duration::from_secs(5);
-const MOST: usize = 64 << 20;
-/// Bytes read at a time, and such parts that may wait on one way.
-const PART: usize = 16 << 10;
-const PARTS: usize = 256;
+const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_FRAME_BYTES: usize = 64 << 20;
+/// Bytes per read, and the number of reads that may be queued in one direction.
+const READ_BYTES: usize = 16 << 10;
+const MAX_QUEUED_READS: usize = 256;
 
 impl Relay {
-    /// `party` is who stands behind; where it is may be told later, and anew.
+    /// Starts a relay in front of `party`, whose address may be set or changed later.
     ///
-    /// `takes`: connections that the party takes in a second; those beyond wait their turn.
+    /// `accept_rate` limits the connections per second that reach the party; further ones wait.
     pub async fn start(
-        party: &str, target: Option<SocketAddr>, takes: Option<f64>, shared: &Shared,
+        party: &str, target: Option<SocketAddr>, accept_rate: Option<f64>, context: &RelayContext,
     ) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (target, at) = watch::channel(target);
         let mut tasks = JoinSet::new();
-        let (party, shared): (Arc<str>, _) = (party.into(), shared.clone());
+        let (party, context): (Arc<str>, _) = (party.into(), context.clone());
         tasks.spawn(async move {
-            let (mut joined, mut turn) = (JoinSet::new(), Instant::now());
+            let (mut joined, mut connect_at) = (JoinSet::new(), Instant::now());
             while let Ok((stream, _)) = listener.accept().await {
                 let target = *at.borrow();
-                turn = turn.max(Instant::now());
-                joined.spawn(join(stream, target, Arc::clone(&party), shared.clone(), turn));
-                turn += takes.map_or(Duration::ZERO, |takes| Duration::from_secs_f64(1.0 / takes));
+                connect_at = connect_at.max(Instant::now());
+                joined.spawn(relay_connection(
+                    stream,
+                    target,
+                    Arc::clone(&party),
+                    context.clone(),
+                    connect_at,
+                ));
+                connect_at += accept_rate
+                    .map_or(Duration::ZERO, |accept_rate| Duration::from_secs_f64(1.0 / accept_rate));
                 while joined.try_join_next().is_some() {}
             }
         });
         Ok(Relay { address, target, _tasks: tasks })
     }
 
-    pub fn at(&self, target: Option<SocketAddr>) {
+    pub fn set_target(&self, target: Option<SocketAddr>) {
         self.target.send_replace(target);
     }
 }
 
-/// Reads until whoever dialled has said who it is.
-async fn who(stream: &mut TcpStream, seen: &mut BytesMut) -> Option<String> {
+/// Reads the HELLO and returns the name in it, or "?" if there is none; `None` if the connection ends first. The bytes stay in
+/// `seen`.
+async fn read_peer_name(stream: &mut TcpStream, seen: &mut BytesMut) -> Option<String> {
     loop {
-        let mut look = seen.clone();
-        match (Codec { max_frame_bytes: MOST }).decode(&mut look) {
+        let mut buffer = seen.clone();
+        match (Codec { max_frame_bytes: MAX_FRAME_BYTES }).decode(&mut buffer) {
             Ok(Some(hello)) => return Some(hello.get_text(Field::INSTANCE).unwrap_or("?").to_owned()),
             Ok(None) => {}
             Err(_) => return Some("?".to_owned()),
@@ -319,23 +330,24 @@
     }
 }
 
-async fn join(
-    mut stream: TcpStream, target: Option<SocketAddr>, party: Arc<str>, shared: Shared, turn: Instant,
+async fn relay_connection(
+    mut stream: TcpStream, target: Option<SocketAddr>, party: Arc<str>, context: RelayContext,
+    connect_at: Instant,
 ) {
-    let now = shared.record.now();
+    let now = context.record.now();
     let mut seen = BytesMut::new();
-    let Ok(Some(name)) = timeout(HELLO, who(&mut stream, &mut seen)).await else { return };
+    let Ok(Some(name)) = timeout(HELLO_TIMEOUT, read_peer_name(&mut stream, &mut seen)).await else { return };
     let name: Arc<str> = name.into();
-    shared.tape.add(now, &name, &party, Taped::Dialled);
-    sleep_until(turn).await;
-    // A connection into a cut is up for the system, and says nothing.
-    shared.rules.until_not_cut(&name, &party).await;
+    context.log.add(now, &name, &party, RelayEvent::Dialled);
+    sleep_until(connect_at).await;
+    // During a cut the connection is established for the operating system, but carries nothing.
+    context.rules.wait_until_not_cut(&name, &party).await;
     let Some(target) = target else { return };
-    let Ok(far) = TcpStream::connect(target).await else { return };
-    let _ = (stream.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = stream.into_split();
-    let (far_read, far_write) = far.into_split();
-    let mut resets = shared.rules.resets.subscribe();
+    let Ok(upstream) = TcpStream::connect(target).await else { return };
+    let _ = (stream.set_nodelay(true), upstream.set_nodelay(true));
+    let (client_read, client_write) = stream.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let mut resets = context.rules.resets.subscribe();
     let reset = async {
         let pair = (name.to_string(), party.to_string());
         while resets.changed().await.is_ok() {
@@ -345,71 +357,87 @@
         }
         std::future::pending().await
     };
-    let there = way(near_read, far_write, seen.split().freeze(), &name, &party, &shared);
-    let back = way(far_read, near_write, Bytes::new(), &party, &name, &shared);
+    let outbound =
+        relay_direction(client_read, upstream_write, seen.split().freeze(), &name, &party, &context);
+    let inbound = relay_direction(upstream_read, client_write, Bytes::new(), &party, &name, &context);
     tokio::select! {
-        // Each way ends on its own: one may be closed while the other goes on.
-        _ = async { tokio::join!(there, back) } => {}
+        // Each direction ends on its own: one may be closed while the other continues.
+        _ = async { tokio::join!(outbound, inbound) } => {}
         () = reset => {}
     }
-    shared.tape.add(shared.record.now(), &name, &party, Taped::Ended);
+    context.log.add(context.record.now(), &name, &party, RelayEvent::Ended);
 }
 
-/// One way of a connection.
-async fn way(
+/// Forwards one direction of a connection under the current rules, and records its frames.
+async fn relay_direction(
     mut read: OwnedReadHalf, mut write: OwnedWriteHalf, first: Bytes, from: &Arc<str>, to: &Arc<str>,
-    shared: &Shared,
+    context: &RelayContext,
 ) {
-    let (parts, mut waiting) = mpsc::channel::<(Instant, Bytes)>(PARTS);
+    let (reads_tx, mut reads_rx) = mpsc::channel::<(Instant, Bytes)>(MAX_QUEUED_READS);
     let reading = async move {
-        if !first.is_empty() && parts.send((Instant::now(), first)).await.is_err() {
+        if !first.is_empty() && reads_tx.send((Instant::now(), first)).await.is_err() {
             return;
         }
-        let mut part = BytesMut::with_capacity(PART);
-        while let Ok(n) = read.read_buf(&mut part).await {
-            if n == 0 || parts.send((Instant::now(), part.split().freeze())).await.is_err() {
+        let mut chunk = BytesMut::with_capacity(READ_BYTES);
+        while let Ok(n) = read.read_buf(&mut chunk).await {
+            if n == 0 || reads_tx.send((Instant::now(), chunk.split().freeze())).await.is_err() {
                 return;
             }
-            part.reserve(PART);
+            chunk.reserve(READ_BYTES);
         }
     };
     let writing = async move {
-        let (mut codec, mut copy, mut passing) =
-            (Codec { max_frame_bytes: MOST }, BytesMut::new(), Passing::default());
-        while let Some((came, mut part)) = waiting.recv().await {
-            let (cut, delay, slow) = shared.rules.on(from, to);
+        let (mut codec, mut unparsed, mut partial) =
+            (Codec { max_frame_bytes: MAX_FRAME_BYTES }, BytesMut::new(), PartialList::default());
+        while let Some((received_at, mut chunk)) = reads_rx.recv().await {
+            let (cut, delay, slow) = context.rules.effects(from, to);
             if cut {
-                shared.rules.until_not_cut(from, to).await;
+                context.rules.wait_until_not_cut(from, to).await;
             }
             if delay > Duration::ZERO {
-                sleep_until(came + delay).await;
+                sleep_until(received_at + delay).await;
             }
             if let Some(rate) = slow {
-                sleep(Duration::from_secs_f64(part.len() as f64 / rate.max(1.0))).await;
+                sleep(Duration::from_secs_f64(chunk.len() as f64 / rate.max(1.0))).await;
             }
-            copy.extend_from_slice(&part);
-            while part.has_remaining() {
-                if write.write_buf(&mut part).await.is_err() {
+            unparsed.extend_from_slice(&chunk);
+            while chunk.has_remaining() {
+                if write.write_buf(&mut chunk).await.is_err() {
                     return;
                 }
             }
-            while let Ok(Some(frame)) = codec.decode(&mut copy) {
+            while let Ok(Some(frame)) = codec.decode(&mut unparsed) {
                 let bytes = frame.header().len() + frame.body.len() + curlewpoint_wire::PREFIX_BYTES;
-                let whole = frame.kind == Kind::LIST_BEGIN && !frame.has(Field::BASE_VERSION);
-                let digest = frame.get_int(Field::DIGEST).ok().filter(|_| frame.kind == Kind::HEARTBEAT);
-                let (rows, new) = shared.sights.pass(&frame);
-                let came = shared.record.now() - Time((came.elapsed().as_micros() / 100) as u64);
-                let asks = [Kind::DIRECTORY_QUERY, Kind::DIRECTORY_UPDATE].contains(&frame.kind)
+                let full_list = frame.kind == Kind::LIST_BEGIN && !frame.has(Field::BASE_VERSION);
+                let member_digest =
+                    frame.get_int(Field::DIGEST).ok().filter(|_| frame.kind == Kind::HEARTBEAT);
+                let (rows, new_observations) = context.observations.count_rows(&frame);
+                let received_at =
+                    context.record.now() - Time((received_at.elapsed().as_micros() / 100) as u64);
+                let names_functions = [Kind::DIRECTORY_QUERY, Kind::DIRECTORY_UPDATE].contains(&frame.kind)
                     && frame.has(Field::FUNCTIONS);
-                let functions =
-                    if asks { frame.get_ints(Field::FUNCTIONS).unwrap_or_default() } else { Vec::new() };
-                let younger = shared.sights.younger(came, &frame);
+                let functions = if names_functions {
+                    frame.get_ints(Field::FUNCTIONS).unwrap_or_default()
+                } else {
+                    Vec::new()
+                };
+                let age_error = context.observations.age_error(received_at, &frame);
                 let kind = frame.kind;
-                let taped = Taped::Frame { kind, bytes, whole, digest, rows, new, came, functions, younger };
-                shared.tape.add(shared.record.now(), from, to, taped);
-                // What a made-up peer tells is no word of a drain.
+                let event = RelayEvent::Frame {
+                    kind,
+                    bytes,
+                    full_list,
+                    member_digest,
+                    rows,
+                    new_observations,
+                    received_at,
+                    functions,
+                    age_error,
+                };
+                context.log.add(context.record.now(), from, to, event);
+                // Lists from forged peers don't inform a scheduler of a drain.
                 if from.starts_with("front-") {
-                    shared.lists.pass(&shared.record, to, &mut passing, &frame);
+                    context.delivered_lists.follow(&context.record, to, &mut partial, &frame);
                 }
             }
         }
--- a/crates/curlewpoint-rig/src/scale/fleet_part.rs
+++ b/crates/curlewpoint-rig/src/scale/fleet_part.rs
@@ -6,7 +6,7 @@
 use curlewpoint_fleet::{EndpointTable, ListSource};
 use oorandom::Rand64;
 
-use crate::figures::most;
+use crate::figures::max_directory_bytes;
 use crate::scale::plan;
 use crate::scale::simulation::{row_of, Simulation, SimulationSettings, Spent};
 use crate::scale::tally::{resident, Tally};
@@ -129,7 +129,7 @@
             self.busiest_one = self.busiest_one.max(sent);
             if let Some(budget) = budget {
                 let sent = s.sent.group("directory").1;
-                let most = most(budget as f64, Time(0), s.directory_peers);
+                let most = max_directory_bytes(budget as f64, Time(0), s.directory_peers);
                 let d = &mut self.directory;
                 d.over += usize::from(sent as f64 > most);
                 if sent > d.bytes {
--- a/crates/curlewpoint-rig/src/scenario.rs
+++ b/crates/curlewpoint-rig/src/scenario.rs
@@ -2,30 +2,30 @@
 use curlewpoint_config::{milliseconds, read_lines, share, ConfigErrors, Line};
 use curlewpoint_lab::{Complain, Script};
 
-macro_rules! plays {
+macro_rules! shipped_scenarios {
     ($($name:literal)*) => {
-        /// The plays that the program ships, by name.
+        /// The scenarios that the program ships, by name.
         pub const SHIPPED_SCENARIOS: &[(&str, &str)] = &[$(($name, include_str!(concat!("../plays/", $name, ".play")))),*];
     };
 }
 
-plays! { "start" "cold" "herd" "deploy" "halves" "apart" "stopped" "stall" "again" "forged" "wave" "rare"
+shipped_scenarios! { "start" "cold" "herd" "deploy" "halves" "apart" "stopped" "stall" "again" "forged" "wave" "rare"
 "holders" "returned" "split" "zone" "called" "newcomer" "misled" }
 
-const BASE: &str = include_str!("../plays/base.part");
-/// What schedulers run with.
-pub const CONFIG: &str = include_str!("../plays/fleet.conf");
+const BASE_SCRIPT: &str = include_str!("../plays/base.part");
+/// The part of the scheduler configuration that is the same for all schedulers.
+pub const SCHEDULER_CONFIG: &str = include_str!("../plays/fleet.conf");
 
-macro_rules! words {
-    ($of:ident $about:literal $($name:ident $text:literal $what:literal)*) => {
+macro_rules! keywords {
+    ($of:ident $about:literal $($name:ident $text:literal $description:literal)*) => {
         #[doc = $about]
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum $of { $(#[doc = $what] $name),* }
+        pub enum $of { $(#[doc = $description] $name),* }
 
         impl $of {
-            pub const ALL: &'static [(&'static str, $of, &'static str)] = &[$(($text, $of::$name, $what)),*];
+            pub const ALL: &'static [(&'static str, $of, &'static str)] = &[$(($text, $of::$name, $description)),*];
 
-            fn read(word: &str) -> Result<$of, String> {
+            fn parse(word: &str) -> Result<$of, String> {
                 let all: Vec<&str> = $of::ALL.iter().map(|a| a.0).collect();
                 let found = $of::ALL.iter().find(|a| a.0 == word).map(|a| a.1);
                 found.ok_or_else(|| format!("'{word}' is none of {}", all.join(", ")))
@@ -34,201 +34,214 @@
     };
 }
 
-words! { Action "What a play can do."
-    Cut "cut" "bytes between the parties lie until the time is over; new connections say nothing"
-    Delay "delay" "bytes between the parties come `every` late"
-    Slow "slow" "bytes between the parties come `size` a second"
-    Reset "reset" "connections between the parties end at once"
-    Kill "kill" "SIGKILL; started again after the time"
+keywords! { Action "An action of a scenario, as written in its script."
+    Cut "cut" "holds bytes between the parties until the time is over; new connections carry nothing"
+    Delay "delay" "delays bytes between the parties by `every`"
+    Slow "slow" "limits bytes between the parties to `size` per second"
+    Reset "reset" "closes the connections between the parties at once"
+    Kill "kill" "SIGKILL; restarted after the time"
     Stop "stop" "SIGSTOP, and SIGCONT after the time"
-    Term "term" "SIGTERM and started again, `size` of all at a time, `every` so long"
-    Again "again" "a second run under the same name; the first is killed after the time"
-    Forge "forge" "a made-up peer sends what no peer should"
-    Flood "flood" "a made-up peer tells and asks the directory `size` rows a second for the time, and then too many in a frame"
-    Lie "lie" "a made-up peer tells the directory `size` copies a second that are not there, for the time"
-    Deaf "deaf" "a made-up peer asks the directory `size` questions a second for the time, and reads nothing"
-    Call "call" "schedulers are each asked `every` so long, for the time, for one function that nobody has asked for"
-    Drain "drain" "workers are told to drain"
-    Die "die" "workers die; started cold after the time"
-    Restart "restart" "workers die and start cold after the time"
-    ListDown "list-down" "the list service is away, and comes back as a new run of itself"
+    Term "term" "SIGTERM and restart, `size` of all at a time, at intervals of `every`"
+    Again "again" "starts a second run under the same name; the first is killed after the time"
+    Forge "forge" "a forged peer sends invalid frames"
+    Flood "flood" "a forged peer sends the copy directory `size` rows and queries per second for the time, then too many rows in a frame"
+    Lie "lie" "a forged peer reports `size` copies per second that do not exist, for the time"
+    Deaf "deaf" "a forged peer sends `size` queries per second for the time and reads nothing"
+    Call "call" "calls a function that was not called before at each scheduler, at intervals of `every`, for the time"
+    Drain "drain" "marks workers as draining in the list"
+    Die "die" "workers end; restarted cold after the time"
+    Restart "restart" "workers end and restart cold after the time"
+    ListDown "list-down" "the list service is unreachable for the time and comes back as a new run"
 }
 
-words! { Who "Who it is done to, or with whom."
-    Schedulers "schedulers" "a part of the schedulers, drawn"
-    Others "others" "the schedulers that were not drawn last"
-    Watchers "watchers" "those that are connected to the list service"
-    Workers "workers" "a part of the workers, drawn"
+keywords! { Party "The parties that an action applies to."
+    Schedulers "schedulers" "a random part of the schedulers"
+    Others "others" "the schedulers that were not chosen last"
+    Watchers "watchers" "the schedulers connected to the list service"
+    Workers "workers" "a random part of the workers"
     List "list" "the list service"
 }
 
-words! { Limit "What a play holds its figures against, beside the five rules."
+keywords! { Limit "A limit on a figure of a scenario, in addition to the five rules."
     ListConnections "list-connections" "connections at the list service in any 100 ms"
-    WholeLists "whole-lists" "whole lists that the list service sent"
-    Told "told" "the time from the first who was told that a worker drains to 99 in 100, in ms"
-    Alike "alike" "from the last fault's end until all beats tell the same of the fleet, in ms"
-    Serves "serves" "from the ready line of one that starts anew to its first ok answer, in ms"
-    Called "called" "from the first call of a function that is called everywhere until each scheduler has answered ok, in ms"
-    Unanswered "unanswered" "of the directory's questions those without an answer in 3 s, in 100"
-    Younger "younger" "by how much a row of the directory looks younger than it is, in ms"
+    WholeLists "whole-lists" "full lists that the list service sent"
+    Told "told" "time from the first scheduler that received a worker's drain until 99% have, in ms"
+    Alike "alike" "time from the end of the last fault until all heartbeats carry the same digest, in ms"
+    Serves "serves" "time from the ready line of a restarted scheduler to its first ok answer, in ms"
+    Called "called" "time from the first call of a function called at all schedulers until each has answered ok, in ms"
+    Unanswered "unanswered" "directory queries without an answer in 3 s, in percent"
+    Younger "younger" "largest understatement of the age of a directory row, in ms"
 }
 
-/// One thing that happens, at a time.
+/// A fault or other scripted event of a scenario.
 #[derive(Clone, Debug, PartialEq)]
-pub struct At {
+pub struct FaultEvent {
     pub at: Time,
     pub action: Action,
-    pub who: Who,
+    pub party: Party,
     pub part: f64,
-    pub from: Option<Who>,
-    pub len: Time,
+    pub from: Option<Party>,
+    pub duration: Time,
     pub size: f64,
     pub every: Time,
-    /// Only what goes to the first party is touched.
+    /// Only the traffic towards the first party is affected.
     pub one_way: bool,
 }
 
-/// A part of a play over which the cost of an instance is told.
+/// A time span of a scenario over which the cost of an instance is measured.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Span {
+pub struct MeasuredSpan {
     pub name: String,
     pub at: Time,
-    pub len: Time,
+    pub duration: Time,
 }
 
-/// A fleet, its load, what happens to it, and what is expected of it.
+/// A fleet, its load, the scripted events, and the limits that its figures must keep.
 #[derive(Clone, Debug)]
 pub struct FleetScenario {
     pub script: Script,
-    /// Workers have just started.
+    /// Whether the workers have just started.
     pub cold: bool,
-    /// Connections that the list service takes in a second; none: all.
-    pub list_takes: Option<f64>,
-    /// Workers that the list tells as draining, and that are not there: rows as a larger fleet has them.
+    /// Connections per second that the list service accepts; `None` for no limit.
+    pub list_accept_rate: Option<f64>,
+    /// Rows of draining workers that don't exist, which make the endpoint list as long as a larger fleet's.
     pub idle_rows: usize,
-    pub events: Vec<At>,
-    pub spans: Vec<Span>,
-    pub expects: Vec<(Limit, f64)>,
+    pub events: Vec<FaultEvent>,
+    pub spans: Vec<MeasuredSpan>,
+    pub limits: Vec<(Limit, f64)>,
 }
 
-fn time(text: &str) -> Result<Time, String> {
+fn parse_time(text: &str) -> Result<Time, String> {
     milliseconds(text).map(Time::from_ms)
 }
 
-fn number(text: &str) -> Result<f64, String> {
+fn parse_number(text: &str) -> Result<f64, String> {
     text.parse().ok().filter(|n: &f64| n.is_finite() && *n >= 0.0).ok_or(format!("'{text}' is not a number"))
 }
 
-fn event(line: &Line) -> Result<At, (usize, String)> {
-    let word = |no: usize| line.words.get(no).map_or("", |w| w.text.as_str());
-    let at = time(word(1)).map_err(|e| (1, e))?;
-    let action = Action::read(word(2)).map_err(|e| (2, e))?;
-    let alone = action == Action::ListDown;
-    let who = if alone { Who::List } else { Who::read(word(3)).map_err(|e| (3, e))? };
-    let (len, every) = (Time(0), Time(10_000));
-    let mut e = At { at, action, who, part: 1.0, from: None, len, size: 1.0, every, one_way: false };
-    let mut no = if alone { 3 } else { 4 };
-    while no < line.words.len() {
-        let value = word(no + 1);
-        let read = match word(no) {
-            "part" => share(value).map(|x| e.part = x),
-            "from" => Who::read(value).map(|x| e.from = Some(x)),
-            "for" => time(value).map(|x| e.len = x),
-            "size" => share(value).or_else(|_| number(value)).map(|x| e.size = x),
-            "every" => time(value).map(|x| e.every = x),
+fn parse_event(line: &Line) -> Result<FaultEvent, (usize, String)> {
+    let word_at = |index: usize| line.words.get(index).map_or("", |w| w.text.as_str());
+    let at = parse_time(word_at(1)).map_err(|e| (1, e))?;
+    let action = Action::parse(word_at(2)).map_err(|e| (2, e))?;
+    let takes_no_party = action == Action::ListDown;
+    let party = if takes_no_party { Party::List } else { Party::parse(word_at(3)).map_err(|e| (3, e))? };
+    let (duration, every) = (Time(0), Time(10_000));
+    let mut event =
+        FaultEvent { at, action, party, part: 1.0, from: None, duration, size: 1.0, every, one_way: false };
+    let mut index = if takes_no_party { 3 } else { 4 };
+    while index < line.words.len() {
+        let value = word_at(index + 1);
+        let parsed = match word_at(index) {
+            "part" => share(value).map(|x| event.part = x),
+            "from" => Party::parse(value).map(|x| event.from = Some(x)),
+            "for" => parse_time(value).map(|x| event.duration = x),
+            "size" => share(value).or_else(|_| parse_number(value)).map(|x| event.size = x),
+            "every" => parse_time(value).map(|x| event.every = x),
             "one-way" => {
-                e.one_way = true;
-                no += 1;
+                event.one_way = true;
+                index += 1;
                 continue;
             }
-            other => return Err((no, format!("'{other}' is none of part, from, for, size, every, one-way"))),
+            unknown => {
+                return Err((index, format!("'{unknown}' is none of part, from, for, size, every, one-way")))
+            }
         };
-        read.map_err(|what| ((no + 1).min(line.words.len() - 1), what))?;
-        no += 2;
+        parsed.map_err(|message| ((index + 1).min(line.words.len() - 1), message))?;
+        index += 2;
     }
-    let between = [Action::Cut, Action::Delay, Action::Slow, Action::Reset].contains(&action);
-    if between != e.from.is_some() {
-        let what = if between { "it needs `from` and a party" } else { "it takes no `from`" };
-        return Err((2, what.to_owned()));
+    let affects_link = [Action::Cut, Action::Delay, Action::Slow, Action::Reset].contains(&action);
+    if affects_link != event.from.is_some() {
+        let message = if affects_link { "it needs `from` and a party" } else { "it takes no `from`" };
+        return Err((2, message.to_owned()));
     }
-    Ok(e)
+    Ok(event)
 }
 
-/// As many rows as a scheduler takes of a list.
-const MOST_ROWS: usize = 100_000;
-/// What the names of workers that are only rows begin with.
-pub const IDLE: &str = "idle-";
+/// The number of endpoint list rows that a scheduler accepts.
+const MAX_LIST_ROWS: usize = 100_000;
+/// Prefix of the names of workers that exist only as list rows.
+pub const IDLE_WORKER_PREFIX: &str = "idle-";
 
 /// `measure NAME at TIME for TIME`.
-fn span(line: &Line) -> Result<Span, (usize, String)> {
-    let word = |no: usize| line.words.get(no).map_or("", |w| w.text.as_str());
-    if line.words.len() != 6 || word(2) != "at" || word(4) != "for" {
+fn parse_span(line: &Line) -> Result<MeasuredSpan, (usize, String)> {
+    let word_at = |index: usize| line.words.get(index).map_or("", |w| w.text.as_str());
+    if line.words.len() != 6 || word_at(2) != "at" || word_at(4) != "for" {
         return Err((0, "it is written `measure NAME at TIME for TIME`".to_owned()));
     }
-    let (at, len) = (time(word(3)).map_err(|e| (3, e))?, time(word(5)).map_err(|e| (5, e))?);
-    if len == Time(0) {
-        return Err((5, "it must be longer than nothing".to_owned()));
+    let (at, duration) =
+        (parse_time(word_at(3)).map_err(|e| (3, e))?, parse_time(word_at(5)).map_err(|e| (5, e))?);
+    if duration == Time(0) {
+        return Err((5, "the span must be longer than zero".to_owned()));
     }
-    Ok(Span { name: word(1).to_owned(), at, len })
+    Ok(MeasuredSpan { name: word_at(1).to_owned(), at, duration })
 }
 
-fn expect(line: &Line) -> Result<(Limit, f64), (usize, String)> {
-    let word = |no: usize| line.words.get(no).map_or("", |w| w.text.as_str());
-    let limit = Limit::read(word(1)).map_err(|e| (1, e))?;
-    let value = milliseconds(word(2)).or_else(|_| number(word(2))).map_err(|e| (2, e))?;
+fn parse_limit(line: &Line) -> Result<(Limit, f64), (usize, String)> {
+    let word_at = |index: usize| line.words.get(index).map_or("", |w| w.text.as_str());
+    let limit = Limit::parse(word_at(1)).map_err(|e| (1, e))?;
+    let value = milliseconds(word_at(2)).or_else(|_| parse_number(word_at(2))).map_err(|e| (2, e))?;
     Ok((limit, value))
 }
 
 impl FleetScenario {
-    /// Reads a play; what it does not say of the fleet and the load is that of all plays. All faults are told at once.
+    /// Parses a scenario. What it leaves out of the fleet and the load comes from `base.part`. Reports all errors at once.
     pub fn parse(name: &str, text: &str) -> Result<FleetScenario, ConfigErrors> {
-        let base = read_lines("base.part", BASE, |lines, fault| {
-            Script::of_lines(Script::default(), lines, fault, &mut |_, _| false)
+        let base = read_lines("base.part", BASE_SCRIPT, |lines, report_error| {
+            Script::of_lines(Script::default(), lines, report_error, &mut |_, _| false)
         })?;
-        read_lines(name, text, |lines, fault| {
-            let (mut cold, mut list_takes, mut idle_rows) = (false, None, 0);
-            let (mut events, mut spans, mut expects) = (Vec::new(), Vec::new(), Vec::new());
-            let script = Script::of_lines(base, lines, fault, &mut |line: &Line, fault: &mut Complain| {
-                let value = line.words.get(1).map_or("", |w| w.text.as_str());
-                let read = match line.name() {
-                    "at" => event(line).map(|e| events.push(e)),
-                    "measure" => span(line).map(|s| spans.push(s)),
-                    "expect" => expect(line).map(|e| expects.push(e)),
-                    "cold" => match value {
-                        "yes" | "no" => {
-                            cold = value == "yes";
-                            Ok(())
-                        }
-                        _ => Err((1, format!("'{value}' is neither yes nor no"))),
-                    },
-                    "list-takes" => number(value).map(|n| list_takes = Some(n)).map_err(|e| (1, e)),
-                    "idle-rows" => match value.parse() {
-                        Ok(n) if n <= MOST_ROWS => {
-                            idle_rows = n;
-                            Ok(())
+        read_lines(name, text, |lines, report_error| {
+            let (mut cold, mut list_accept_rate, mut idle_rows) = (false, None, 0);
+            let (mut events, mut spans, mut limits) = (Vec::new(), Vec::new(), Vec::new());
+            let script = Script::of_lines(
+                base,
+                lines,
+                report_error,
+                &mut |line: &Line, report_error: &mut Complain| {
+                    let value = line.words.get(1).map_or("", |w| w.text.as_str());
+                    let parsed = match line.name() {
+                        "at" => parse_event(line).map(|event| events.push(event)),
+                        "measure" => parse_span(line).map(|s| spans.push(s)),
+                        "expect" => parse_limit(line).map(|limit| limits.push(limit)),
+                        "cold" => match value {
+                            "yes" | "no" => {
+                                cold = value == "yes";
+                                Ok(())
+                            }
+                            _ => Err((1, format!("'{value}' is neither yes nor no"))),
+                        },
+                        "list-takes" => {
+                            parse_number(value).map(|n| list_accept_rate = Some(n)).map_err(|e| (1, e))
                         }
-                        _ => Err((1, format!("'{value}' is no whole number up to {MOST_ROWS}"))),
-                    },
-                    _ => return false,
+                        "idle-rows" => match value.parse() {
+                            Ok(n) if n <= MAX_LIST_ROWS => {
+                                idle_rows = n;
+                                Ok(())
+                            }
+                            _ => Err((1, format!("'{value}' is no whole number up to {MAX_LIST_ROWS}"))),
+                        },
+                        _ => return false,
+                    };
+                    if let Err((word, message)) = parsed {
+                        report_error(line, word, message);
+                    }
+                    true
+                },
+            );
+            events.sort_by_key(|event: &FaultEvent| event.at);
+            spans.sort_by_key(|s: &MeasuredSpan| s.at);
+            if let Some(unfinished) = spans.iter().find(|s| s.at + s.duration >= script.length) {
+                let measures = |l: &&Line| {
+                    l.name() == "measure" && l.words.get(1).is_some_and(|w| w.text == unfinished.name)
                 };
-                if let Err((word, what)) = read {
-                    fault(line, word, what);
-                }
-                true
-            });
-            events.sort_by_key(|e: &At| e.at);
-            spans.sort_by_key(|s: &Span| s.at);
-            if let Some(late) = spans.iter().find(|s| s.at + s.len >= script.length) {
-                let measures =
-                    |l: &&Line| l.name() == "measure" && l.words.get(1).is_some_and(|w| w.text == late.name);
                 let line = lines.iter().find(measures).or(lines.first());
-                line.into_iter().for_each(|l| fault(l, 0, "the play ends before it is over".to_owned()));
+                line.into_iter()
+                    .for_each(|l| report_error(l, 0, "the scenario ends before the span does".to_owned()));
             }
-            FleetScenario { script, cold, list_takes, idle_rows, events, spans, expects }
+            FleetScenario { script, cold, list_accept_rate, idle_rows, events, spans, limits }
         })
     }
 
-    /// One of those that the program ships.
+    /// Returns a scenario that the program ships.
     pub fn shipped(name: &str) -> Option<FleetScenario> {
         let (name, text) = SHIPPED_SCENARIOS.iter().find(|p| p.0 == name)?;
         FleetScenario::parse(name, text).ok()
