--- a/crates/curlewpoint-amqp/src/lib.rs
+++ b/crates/curlewpoint-amqp/src/lib.rs
@@ -1,10 +1,10 @@
-//! AMQP 0-9-1 from its public specification: a codec of frames with bounds, and contents put together from them. The frames'
-//! own types are those of the `amq-protocol` library.
+//! AMQP 0-9-1 according to its public specification: a frame codec with limits, the assembly of content frames, and a client
+//! session without I/O. The frame types are those of the `amq-protocol` library.
 
 mod codec;
 mod content;
 mod session;
 
-pub use codec::{Codec, FrameError, LEAST_FRAME};
-pub use content::{Content, Contents, Misplaced};
-pub use session::{Host, Login, Session};
+pub use codec::{Codec, FrameError, MIN_FRAME_SIZE};
+pub use content::{Content, ContentAssembler, ContentError};
+pub use session::{Login, Session, SessionDriver};
--- a/crates/curlewpoint-cli/tests/processes.rs
+++ b/crates/curlewpoint-cli/tests/processes.rs
@@ -236,19 +236,19 @@
 #[test]
 fn a_journal_is_listed_and_verified() {
     use curlewpoint::types::Time;
-    use curlewpoint_journal::{Journal, Limits, Reader};
-    use curlewpoint_trigger::{End, Final, Name};
+    use curlewpoint_journal::{Journal, JournalLimits, RecordVisitor};
+    use curlewpoint_trigger::{AnswerKind, FinalAnswer, MessageKey};
     struct Nobody;
-    impl Reader for Nobody {
-        fn intent(&mut self, _: Name, _: Time) {}
-        fn answer(&mut self, _: Name, _: Time, _: Final) {}
+    impl RecordVisitor for Nobody {
+        fn intent(&mut self, _: MessageKey, _: Time) {}
+        fn answer(&mut self, _: MessageKey, _: Time, _: FinalAnswer) {}
     }
     let path = std::env::temp_dir().join(format!("curlewpoint-journal-{}", std::process::id()));
-    let journal = Journal::open(&path, Limits::default(), &mut Nobody).expect("it opens");
-    let name = |id: &str| Name { id: id.to_owned(), reply_to: "office".to_owned() };
-    journal.intent(&name("sent"), Time(1), |_| {});
-    let aborted = Final { end: End::Aborted, why: String::new(), body: Default::default() };
-    journal.answer(&name("told"), Time(2), &aborted);
+    let journal = Journal::open(&path, JournalLimits::default(), &mut Nobody).expect("it opens");
+    let name = |id: &str| MessageKey { id: id.to_owned(), reply_to: "office".to_owned() };
+    journal.write_intent(&name("sent"), Time(1), |_| {});
+    let aborted = FinalAnswer { kind: AnswerKind::Aborted, reason: String::new(), body: Default::default() };
+    journal.write_answer(&name("told"), Time(2), &aborted);
     let run = |what: &str| program().args(["journal", what]).arg(&path).output().expect("it runs");
     let busy = run("verify");
     assert_eq!(busy.status.code(), Some(1), "a scheduler holds it");
@@ -257,7 +257,7 @@
     let lines: Vec<&str> = listed.lines().collect();
     assert!(lines[0].starts_with("sent  office") && lines[0].contains("may have been sent"), "{listed}");
     assert!(lines[1].starts_with("told  office") && lines[1].contains("answered Aborted"), "{listed}");
-    assert!(lines[2].contains("whole, 2 records"), "{listed}");
+    assert!(lines[2].contains("intact, 2 records"), "{listed}");
     let mut bytes = std::fs::read(&path).expect("it is there");
     // The first half of the file holds the store's own pages, all of them checked.
     bytes.iter_mut().skip(64).step_by(97).for_each(|b| *b ^= 0x55);
@@ -317,14 +317,14 @@
     let mut node = Process::start(&["node", &file.display().to_string()]);
     std::fs::write(&file, "{ half a fi").unwrap();
     node.signal("HUP");
-    node.logs("the directory's address stays as it is");
+    node.logs("keeping the current discovery address");
     std::fs::write(&file, told("127.0.0.1:10")).unwrap();
     node.signal("HUP");
     node.logs("the discovery address is now 127.0.0.1:10");
     // One that was half written at the signal is read again once it is whole.
     std::fs::write(&file, "{ half a fi").unwrap();
     node.signal("HUP");
-    node.logs("read again in a moment");
+    node.logs("cannot read the startup configuration yet");
     std::fs::write(&file, told("127.0.0.1:11")).unwrap();
     node.logs("the discovery address is now 127.0.0.1:11");
     std::net::TcpStream::connect(&node.address).expect("it still serves");
--- a/crates/curlewpoint-gateway/src/driver.rs
+++ b/crates/curlewpoint-gateway/src/driver.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Records the cancel of the RPC with this tag among the client's first `passed_on` events. A cancel overtakes RPCs,
-    /// so the RPC may still be queued. Returns false if the client has more recorded cancels than allowed.
+    /// Records the cancel of the RPC with this tag among the client's first `passed_on` events. A cancel overtakes
+    /// RPCs, so the RPC may still be queued. Returns false if the client has more recorded cancels than allowed.
     pub fn record_cancel(&mut self, tag: u64, passed_on: u64) -> bool {
         if passed_on > self.processed {
             self.cancelled_until = self.cancelled_until.max(passed_on);
@@ -315,8 +315,8 @@
         self.pool.worker_gone(now, &mut self.sockets, worker);
     }
 
-    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, held_rpcs: u64) {
-        self.observations.push((worker, function, hint, held_rpcs));
+    fn observed(&mut self, worker: WorkerId, function: FunctionId, hint: Hint, rpcs_held: u64) {
+        self.observations.push((worker, function, hint, rpcs_held));
     }
 
     fn function_requested(&mut self, function: FunctionId) {
@@ -324,13 +324,13 @@
     }
 
     fn rpc_accepted(&mut self, rpc: RpcId) {
-        let release = self.releases.taken();
+        let release = self.releases.accept_rpc();
         self.rpc_releases.insert(rpc, release);
     }
 
     fn rpc_forgotten(&mut self, rpc: RpcId) {
         if let Some(release) = self.rpc_releases.remove(&rpc) {
-            self.releases.ended(release);
+            self.releases.end_rpc(release);
         }
     }
 
--- a/crates/curlewpoint-gateway/src/reload.rs
+++ b/crates/curlewpoint-gateway/src/reload.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use curlewpoint::types::Time;
-use curlewpoint_catalogue::{asyncapi, etag, openapi, render, Catalogue, Release, Routes, Withdrawn};
+use curlewpoint_catalogue::{asyncapi, etag, openapi, render, Catalogue, Release, Routes, WithdrawnMethods};
 use curlewpoint_config::{milliseconds, Config};
 use curlewpoint_trigger::Effect;
 use serde_json::Value;
@@ -12,8 +12,8 @@
 
 use crate::events::Event;
 
-/// Everything that the endpoints need of a catalogue. Prepared before it becomes active, so that the engine's task does not
-/// wait for it.
+/// Everything that the endpoints need of a catalogue. Prepared before it becomes active, so that the engine's task does
+/// not wait for it.
 pub(crate) struct PreparedMethods {
     pub catalogue: Arc<Catalogue>,
     pub routes: Routes<String>,
@@ -26,7 +26,7 @@
 impl PreparedMethods {
     pub fn from_config(config: &Config) -> Result<PreparedMethods, ReloadError> {
         let invalid = |messages: Vec<String>| ReloadError::InvalidCatalogue(messages.join("; "));
-        let catalogue = Catalogue::of(config)
+        let catalogue = Catalogue::from_config(config)
             .map_err(|errors| invalid(errors.iter().map(ToString::to_string).collect()))?;
         let mut routes = Routes::new('/');
         for method in catalogue.methods() {
@@ -41,9 +41,9 @@
         let effect = |name: &String| match config.method_value(name, "effect") {
             "idempotent" => Effect::Idempotent,
             "tokened" => {
-                let span = milliseconds(config.method_value(name, "memory-span")).unwrap_or(0.0);
-                let everywhere = config.method_value(name, "group") == "all";
-                Effect::Tokened { everywhere, span: Time::from_ms(span) }
+                let token_lifetime = milliseconds(config.method_value(name, "memory-span")).unwrap_or(0.0);
+                let all_workers = config.method_value(name, "group") == "all";
+                Effect::Tokened { all_workers, token_lifetime: Time::from_ms(token_lifetime) }
             }
             _ => Effect::SideEffecting,
         };
@@ -56,7 +56,7 @@
 pub(crate) struct ActiveMethods {
     pub release: Release,
     pub prepared: Arc<PreparedMethods>,
-    pub withdrawn: Withdrawn,
+    pub withdrawn: WithdrawnMethods,
 }
 
 /// Why a reload was rejected. The active methods stay as they are.
@@ -91,8 +91,8 @@
 }
 
 impl ReloadHandle {
-    /// Serves the methods of this configuration from now on. Nothing else in it may differ from the configuration at the
-    /// start. On any error the active methods stay, and one log line states the reason.
+    /// Serves the methods of this configuration from now on. Nothing else in it may differ from the configuration at
+    /// the start. On any error the active methods stay, and one log line states the reason.
     pub async fn reload(&self, config: Config) -> Result<Release, ReloadError> {
         let result = self.apply(config).await;
         match &result {
--- a/crates/curlewpoint-rig/src/figures.rs
+++ b/crates/curlewpoint-rig/src/figures.rs
@@ -4,7 +4,7 @@
 
 use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_engine::Answer;
-use curlewpoint_lab::Seen;
+use curlewpoint_lab::TranscriptEvent;
 use curlewpoint_wire::Kind;
 
 use crate::calls::CALL_KEY_BIT;
@@ -100,7 +100,7 @@
     /// `began`: when the schedulers were started. `faults_end`: when the last fault had ended. `excused`: the spans in which schedulers
     /// were down or stopped.
     pub fn collect(
-        log: &[RecordedEvent], seen: &[(Time, Seen)], began: Time, faults_end: Time, end: Time,
+        log: &[RecordedEvent], seen: &[(Time, TranscriptEvent)], began: Time, faults_end: Time, end: Time,
         instances: usize, excused: &[(String, Time, Time)],
     ) -> Figures {
         let mut f = Figures::default();
@@ -160,7 +160,7 @@
             2.0 * late_bytes as f64 / instances as f64 / ((end - late_start).ms() / 1000.0);
     }
 
-    fn add_client_events(&mut self, seen: &[(Time, Seen)], began: Time) {
+    fn add_client_events(&mut self, seen: &[(Time, TranscriptEvent)], began: Time) {
         let mut asked: BTreeMap<u64, Time> = BTreeMap::new();
         let mut half_seconds: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
         let half_second = |at: Time| (at - began).0 / 5_000;
@@ -170,12 +170,12 @@
         };
         for (at, seen) in seen {
             match seen {
-                Seen::Asked { key, .. } => {
+                TranscriptEvent::RpcSent { key, .. } => {
                     asked.insert(*key, *at);
                     count(*at, 0);
                     half_seconds.entry(half_second(*at)).or_default().0 += 1;
                 }
-                Seen::Final { key, answer } => {
+                TranscriptEvent::FinalAnswer { key, answer } => {
                     let Some(at) = asked.remove(key) else { continue };
                     match answer {
                         Answer::Ok => {
@@ -186,7 +186,7 @@
                         Answer::Aborted => count(at, 3),
                     }
                 }
-                Seen::Refused { key, .. } => {
+                TranscriptEvent::Refused { key, .. } => {
                     if let Some(at) = asked.remove(key) {
                         count(at, 4);
                     }
@@ -201,15 +201,17 @@
 
     /// Measures the time to a first ok answer; `ready` names each restarted scheduler and when it was ready.
     pub fn add_restarts(
-        &mut self, seen: &[(Time, Seen)], ready: &[(String, Time)], delays: &SchedulingDelays,
+        &mut self, seen: &[(Time, TranscriptEvent)], ready: &[(String, Time)], delays: &SchedulingDelays,
     ) {
         let stalls = directory::stalls(seen);
         let first_ok = |(restarted, at): &(String, Time)| {
             let mut asked: BTreeSet<u64> = BTreeSet::new();
             for (then, seen) in seen.iter().filter(|(then, _)| then >= at) {
                 match seen {
-                    Seen::Asked { key, scheduler, .. } if scheduler == restarted => drop(asked.insert(*key)),
-                    Seen::Final { key, answer: Answer::Ok } if asked.contains(key) => {
+                    TranscriptEvent::RpcSent { key, scheduler, .. } if scheduler == restarted => {
+                        asked.insert(*key);
+                    }
+                    TranscriptEvent::FinalAnswer { key, answer: Answer::Ok } if asked.contains(key) => {
                         let machine_delay =
                             directory::delay_between(&stalls, delays.get(restarted), *at, *then);
                         return Some(*then - *at - machine_delay);
@@ -226,18 +228,18 @@
     }
 
     /// Measures the calls of a function that is called at all schedulers.
-    pub fn add_called_function(&mut self, seen: &[(Time, Seen)]) {
+    pub fn add_called_function(&mut self, seen: &[(Time, TranscriptEvent)]) {
         let mut scheduler_of_call: BTreeMap<u64, &str> = BTreeMap::new();
         let mut first: BTreeMap<&str, Option<Time>> = BTreeMap::new();
         let mut began = None;
         for (at, seen) in seen {
             match seen {
-                Seen::Asked { key, scheduler, .. } if key & CALL_KEY_BIT != 0 => {
+                TranscriptEvent::RpcSent { key, scheduler, .. } if key & CALL_KEY_BIT != 0 => {
                     began = began.or(Some(*at));
                     scheduler_of_call.insert(*key, scheduler);
                     first.entry(scheduler).or_insert(None);
                 }
-                Seen::Final { key, answer: Answer::Ok } => {
+                TranscriptEvent::FinalAnswer { key, answer: Answer::Ok } => {
                     let first = scheduler_of_call.get(key).and_then(|scheduler| first.get_mut(scheduler));
                     first.into_iter().for_each(|t| *t = t.or(Some(*at)));
                 }
@@ -336,10 +338,10 @@
 }
 
 /// Times until 50% and 99% of the instances had received a first list.
-fn first_list_times(seen: &[(Time, Seen)], instances: usize, began: Time) -> [Option<Time>; 2] {
+fn first_list_times(seen: &[(Time, TranscriptEvent)], instances: usize, began: Time) -> [Option<Time>; 2] {
     let mut first: BTreeMap<&str, Time> = BTreeMap::new();
     for (at, seen) in seen {
-        if let Seen::Told { scheduler, .. } = seen {
+        if let TranscriptEvent::ListEntrySent { scheduler, .. } = seen {
             first.entry(scheduler).or_insert(*at);
         }
     }
@@ -350,17 +352,19 @@
 
 /// Time from the first scheduler that received a worker's drain or end until 99% of the live ones had, the longest of all such
 /// changes.
-fn drain_spread(seen: &[(Time, Seen)], instances: usize, excused: &[(String, Time, Time)]) -> Option<Time> {
+fn drain_spread(
+    seen: &[(Time, TranscriptEvent)], instances: usize, excused: &[(String, Time, Time)],
+) -> Option<Time> {
     const MAX_SPREAD: Time = Time(30_000);
     let mut changes: Vec<(Time, BTreeMap<&str, Time>)> = Vec::new();
     // The current change of each worker. A worker that was ready again in between gets a new one.
     let mut current_change: BTreeMap<&str, usize> = BTreeMap::new();
     for (at, seen) in seen {
-        let Seen::Told { scheduler, worker, standing } = seen else { continue };
+        let TranscriptEvent::ListEntrySent { scheduler, worker, lifecycle } = seen else { continue };
         if worker.starts_with(IDLE_WORKER_PREFIX) {
             continue;
         }
-        if *standing == Lifecycle::Ready {
+        if *lifecycle == Lifecycle::Ready {
             current_change.remove(worker.as_str());
             continue;
         }
--- a/crates/curlewpoint-rig/src/figures/directory.rs
+++ b/crates/curlewpoint-rig/src/figures/directory.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use curlewpoint::types::Time;
-use curlewpoint_lab::Seen;
+use curlewpoint_lab::TranscriptEvent;
 use curlewpoint_wire::{Kind, PREFIX_BYTES};
 
 use super::is_peer;
@@ -71,9 +71,9 @@
 }
 
 /// The spans during which the rig's own process was stalled.
-pub(super) fn stalls(seen: &[(Time, Seen)]) -> Vec<(Time, Time)> {
-    let of = |(at, seen): &(Time, Seen)| match seen {
-        Seen::Stalled { scheduler: None, since } => Some((*since, *at)),
+pub(super) fn stalls(seen: &[(Time, TranscriptEvent)]) -> Vec<(Time, Time)> {
+    let of = |(at, seen): &(Time, TranscriptEvent)| match seen {
+        TranscriptEvent::Stalled { scheduler: None, since } => Some((*since, *at)),
         _ => None,
     };
     seen.iter().filter_map(of).collect()
@@ -99,8 +99,8 @@
     /// `budget`: bytes per second that each instance may send; `None` for no limit. `excused`: the spans in which instances were
     /// down or stopped.
     pub fn collect(
-        log: &[RecordedEvent], seen: &[(Time, Seen)], budget: Option<f64>, delays: &SchedulingDelays,
-        end: Time, excused: &[(String, Time, Time)],
+        log: &[RecordedEvent], seen: &[(Time, TranscriptEvent)], budget: Option<f64>,
+        delays: &SchedulingDelays, end: Time, excused: &[(String, Time, Time)],
     ) -> DirectoryFigures {
         let mut figures = DirectoryFigures::default();
         let stalls = stalls(seen);
--- a/crates/curlewpoint-rig/src/figures/directory/tests.rs
+++ b/crates/curlewpoint-rig/src/figures/directory/tests.rs
@@ -18,7 +18,9 @@
     (Time(at), from.into(), to.into(), event)
 }
 
-fn figures_of(log: &[RecordedEvent], seen: &[(Time, Seen)], delays: &SchedulingDelays) -> DirectoryFigures {
+fn figures_of(
+    log: &[RecordedEvent], seen: &[(Time, TranscriptEvent)], delays: &SchedulingDelays,
+) -> DirectoryFigures {
     DirectoryFigures::collect(log, seen, Some(BUDGET), delays, Time(1_000_000), &[])
 }
 
@@ -80,10 +82,10 @@
 #[test]
 fn stalls_raise_the_send_limit_by_their_duration_and_scheduling_delays_by_at_most_a_second() {
     let log = [frame(104_000, "front-1", "front-2", Kind::DIRECTORY_UPDATE, 10 * BUDGET as usize, &[])];
-    let limit = |seen: &[(Time, Seen)], delays: &SchedulingDelays| {
+    let limit = |seen: &[(Time, TranscriptEvent)], delays: &SchedulingDelays| {
         figures_of(&log, seen, delays).over_limit.expect("far over").max_bytes
     };
-    let stall = |since, at| [(Time(at), Seen::Stalled { scheduler: None, since: Time(since) })];
+    let stall = |since, at| [(Time(at), TranscriptEvent::Stalled { scheduler: None, since: Time(since) })];
     let none = SchedulingDelays::new();
     assert_eq!(limit(&stall(90_000, 105_000), &none), MAX_BYTES as f64 + 1_500.0);
     assert_eq!(limit(&stall(70_000, 90_000), &none), MAX_BYTES as f64);
--- a/crates/curlewpoint-rig/src/figures/spans.rs
+++ b/crates/curlewpoint-rig/src/figures/spans.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 
 use curlewpoint::types::Time;
-use curlewpoint_lab::Seen;
+use curlewpoint_lab::TranscriptEvent;
 use curlewpoint_wire::Kind;
 
 use super::{is_peer, is_worker};
@@ -93,8 +93,8 @@
 impl SpanCost {
     /// Computes the cost between two usage samples; `workers` is the number of workers.
     pub fn measure(
-        name: &str, from: &UsageSample, to: &UsageSample, log: &[RecordedEvent], seen: &[(Time, Seen)],
-        workers: usize,
+        name: &str, from: &UsageSample, to: &UsageSample, log: &[RecordedEvent],
+        seen: &[(Time, TranscriptEvent)], workers: usize,
     ) -> SpanCost {
         let (duration, n) = (to.at - from.at, to.usage.len());
         let within = |at: Time| from.at <= at && at < to.at;
@@ -157,14 +157,16 @@
     }
 
     /// Measures the calls sent within the span and returns their number.
-    fn measure_calls(&mut self, from: Time, to: Time, seen: &[(Time, Seen)]) -> usize {
+    fn measure_calls(&mut self, from: Time, to: Time, seen: &[(Time, TranscriptEvent)]) -> usize {
         let (mut asked, mut arrived, mut ran) =
             <(BTreeMap<u64, Time>, BTreeMap<_, _>, BTreeMap<_, _>)>::default();
         for (at, seen) in seen {
             match seen {
-                Seen::Asked { key, .. } if from <= *at && *at < to => drop(asked.insert(*key, *at)),
-                Seen::Arrived { key, .. } => drop(arrived.entry(*key).or_insert(*at)),
-                Seen::Ran { key, .. } => drop(ran.entry(*key).or_insert(*at)),
+                TranscriptEvent::RpcSent { key, .. } if from <= *at && *at < to => {
+                    asked.insert(*key, *at);
+                }
+                TranscriptEvent::AttemptArrived { key, .. } => drop(arrived.entry(*key).or_insert(*at)),
+                TranscriptEvent::Executed { key, .. } => drop(ran.entry(*key).or_insert(*at)),
                 _ => {}
             }
         }
--- a/crates/curlewpoint-rig/src/offline_optimum.rs
+++ b/crates/curlewpoint-rig/src/offline_optimum.rs
@@ -17,7 +17,7 @@
 impl OfflineOptimum {
     pub fn of(s: &Script) -> OfflineOptimum {
         let share: f64 = s.methods.values().map(|m| m.0).sum::<f64>().max(1e-9);
-        let weighted_mean = |of: &dyn Fn(&curlewpoint_lab::stand::Trade) -> f64| {
+        let weighted_mean = |of: &dyn Fn(&curlewpoint_lab::test_servers::MethodCost) -> f64| {
             s.methods.values().map(|(part, trade)| part * of(trade)).sum::<f64>() / share
         };
         let fetch_ms = weighted_mean(&|t| t.load_ms * t.fetch_share);
@@ -35,7 +35,7 @@
             }
         }
         copy_rates.sort_by(|a, b| b.total_cmp(a));
-        let parallel_fetches = (s.store_lines as usize).max(1);
+        let parallel_fetches = (s.store_parallel_fetches as usize).max(1);
         let (mut served, mut unmet, mut previous_ready) = (0.0, 0.0, 0.0);
         for (index, rate) in copy_rates.into_iter().enumerate() {
             let ready = (index / parallel_fetches + 1) as f64 * fetch_ms + start_ms;
@@ -59,7 +59,7 @@
         let mut s = FleetScenario::shipped("start").expect("a shipped scenario").script;
         // Two models with 50 RPCs per second each. A copy serves 20 per second, the store fetches one model at a time in 240 ms,
         // and a start takes 160 ms: copies are up at 400, 640, 880, 1,120, 1,360 and 1,600 ms and serve 20, 20, 20, 20, 10 and 10.
-        (s.rate, s.models, s.zipf, s.store_lines) = (100.0, 2, 0.0, 1.0);
+        (s.rate, s.models, s.zipf, s.store_parallel_fetches) = (100.0, 2, 0.0, 1.0);
         let b = OfflineOptimum::of(&s);
         let steady = b.steady.expect("the rate is reached").ms();
         assert!((steady - 1_600.0).abs() < 0.2 && b.loads == 6, "{b:?}");
--- a/crates/curlewpoint-rig/src/relay.rs
+++ b/crates/curlewpoint-rig/src/relay.rs
@@ -6,7 +6,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use curlewpoint::types::Time;
 use curlewpoint_fleet::frames::read_entries;
-use curlewpoint_lab::{Record, Seen};
+use curlewpoint_lab::{Transcript, TranscriptEvent};
 use curlewpoint_wire::{Codec, Field, Frame, Kind};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -156,20 +156,20 @@
 
 impl DeliveredLists {
     /// Follows a frame forwarded to `to`. At the end of a list newer than any delivered before, records its rows as received.
-    fn follow(&self, record: &Record, to: &str, partial: &mut PartialList, f: &Frame) {
+    fn follow(&self, record: &Transcript, to: &str, partial: &mut PartialList, f: &Frame) {
         match f.kind {
             Kind::LIST_BEGIN => {
                 let version = f.get_int(Field::EPOCH).ok().zip(f.get_int(Field::LIST_VERSION).ok());
                 *partial = PartialList { version, rows: Vec::new() };
             }
             Kind::LIST_ENTRY => {
-                let standing = match f.get_int(Field::LIFECYCLE) {
+                let lifecycle = match f.get_int(Field::LIFECYCLE) {
                     Ok(1) => curlewpoint::types::Lifecycle::Draining,
                     Ok(2) => curlewpoint::types::Lifecycle::Gone,
                     _ => curlewpoint::types::Lifecycle::Ready,
                 };
                 if let Ok(worker) = f.get_text(Field::WORKER) {
-                    partial.rows.push((worker.to_owned(), standing));
+                    partial.rows.push((worker.to_owned(), lifecycle));
                 }
             }
             Kind::LIST_ENTRIES => {
@@ -183,8 +183,12 @@
                     return;
                 }
                 delivered.insert(to.to_owned(), version);
-                for (worker, standing) in rows {
-                    record.add(Seen::Told { scheduler: to.to_owned(), worker, standing });
+                for (worker, lifecycle) in rows {
+                    record.add(TranscriptEvent::ListEntrySent {
+                        scheduler: to.to_owned(),
+                        worker,
+                        lifecycle,
+                    });
                 }
             }
             _ => {}
@@ -254,13 +258,13 @@
 pub struct RelayContext {
     pub rules: Rules,
     pub log: RelayLog,
-    pub record: Record,
+    pub record: Transcript,
     delivered_lists: DeliveredLists,
     observations: ObservationTracker,
 }
 
 impl RelayContext {
-    pub fn new(rules: Rules, record: Record) -> RelayContext {
+    pub fn new(rules: Rules, record: Transcript) -> RelayContext {
         let (log, delivered_lists, observations) = Default::default();
         RelayContext { rules, log, record, delivered_lists, observations }
     }
--- a/crates/curlewpoint-rig/src/run.rs
+++ b/crates/curlewpoint-rig/src/run.rs
@@ -7,10 +7,13 @@
 
 use curlewpoint::types::{Lifecycle, Time};
 use curlewpoint_config::{bytes, Config};
-use curlewpoint_emulator::{Row, StoreSpec};
+use curlewpoint_emulator::{ListEntry, StoreSpec};
 use curlewpoint_engine::id_of;
-use curlewpoint_lab::stand::{ListStand, StoreStand, WorkerStand};
-use curlewpoint_lab::{client, judge, Entrance, Record, Seen, Shared as Load, Terms, Traffic, Verdict};
+use curlewpoint_lab::test_servers::{TestListService, TestStore, TestWorker};
+use curlewpoint_lab::{
+    check_rules, generate_load, ClientProtocol, RuleParameters, SharedTraffic as Load, Traffic, Transcript,
+    TranscriptEvent, Verdict,
+};
 use oorandom::Rand64;
 use rustix::process::Signal;
 use tokio::task::JoinSet;
@@ -90,10 +93,10 @@
     ports: Ports,
     context: RelayContext,
     rng: Rand64,
-    list: ListStand,
+    list: TestListService,
     list_relay: Relay,
-    store: StoreStand,
-    workers: Vec<WorkerStand>,
+    store: TestStore,
+    workers: Vec<TestWorker>,
     worker_relays: Vec<Relay>,
     starts: Vec<u64>,
     drained: BTreeSet<usize>,
@@ -134,7 +137,7 @@
     let mut runner = Runner::prepare(settings).await?;
     let began = runner.context.record.now();
     let mut stall_monitor = JoinSet::new();
-    stall_monitor.spawn(runner.context.record.clone().feel_the_pulse());
+    stall_monitor.spawn(runner.context.record.clone().watch_runtime_stalls());
     let clients = runner.start_all().await?;
     let schedulers_up = runner.context.record.now();
     runner.faults_end = schedulers_up;
@@ -156,27 +159,32 @@
 impl Runner {
     async fn prepare(settings: ScenarioRun) -> std::io::Result<Runner> {
         std::fs::create_dir_all(&settings.folder)?;
-        let record = Record::default();
+        let record = Transcript::default();
         let context = RelayContext::new(Rules::default(), record.clone());
         let s = &settings.scenario.script;
         let any = "127.0.0.1:0";
-        let spec = StoreSpec { lines: s.store_lines, thrash: s.store_thrash, most: s.store_most };
-        let store = StoreStand::start(any, &record, spec).await?;
-        let list = ListStand::start(any, &record, s.list_late).await?;
+        let spec = StoreSpec {
+            parallel_fetches: s.store_parallel_fetches,
+            overload_penalty: s.store_overload_penalty,
+            max_fetches: s.store_max_fetches,
+        };
+        let store = TestStore::start(any, &record, spec).await?;
+        let list = TestListService::start(any, &record, s.list_delay).await?;
         let list_relay =
             Relay::start("list", Some(list.address), settings.scenario.list_accept_rate, &context).await?;
         let config =
             parse_config(&scheduler_config(&settings, 0, any, any, &list_relay.address.to_string(), None))?;
         let spec = s.worker_spec(&config);
-        let trades = s.trades();
+        let method_costs = s.method_costs();
         let (mut workers, mut worker_relays) = (Vec::new(), Vec::new());
         for index in 0..s.workers {
             let (name, seed) = (format!("w-{index:03}"), settings.seed * 1000 + index as u64);
-            let trades = Arc::clone(&trades);
-            let worker = WorkerStand::start(any, &name, &record, spec, trades, store.address, seed).await?;
+            let method_costs = Arc::clone(&method_costs);
+            let worker =
+                TestWorker::start(any, &name, &record, spec, method_costs, store.address, seed).await?;
             if settings.scenario.cold {
-                worker.die();
-                worker.begin(true);
+                worker.kill();
+                worker.start_process(true);
             }
             worker_relays.push(Relay::start(&name, Some(worker.address), None, &context).await?);
             workers.push(worker);
@@ -207,11 +215,11 @@
             std::fs::write(&i.config, text)?;
         }
         let load = Traffic {
-            times: 1.0,
+            rate_factor: 1.0,
             shares: vec![1.0 / n as f64; n],
-            scan: 0.0,
+            scan_share: 0.0,
             addresses: (0..n).map(|index| SocketAddr::from(([127, 0, 0, 1], ports[index]))).collect(),
-            over: false,
+            finished: false,
         };
         let runner = Runner {
             rng: Rand64::new(u128::from(settings.seed)),
@@ -255,19 +263,24 @@
                 "10.111.122.133:7100".to_owned(),
             );
             let (zone, cell) = (format!("zone-{:02}", index % 16), format!("cell-{:02}", index % 64));
-            let standing = Lifecycle::Draining;
-            runner.list.set(&name, Row { address, standing, start: 1, since: None, zone, cell, size: 1.0 });
+            let lifecycle = Lifecycle::Draining;
+            runner.list.set_entry(
+                &name,
+                ListEntry { address, lifecycle, start_id: 1, started_at: None, zone, cell, size: 1.0 },
+            );
         }
         Ok(runner)
     }
 
-    fn list_worker(&self, index: usize, standing: Lifecycle, since: Option<Time>) {
+    fn list_worker(&self, index: usize, lifecycle: Lifecycle, since: Option<Time>) {
         let s = &self.settings.scenario.script;
         let cell = index * s.cells / s.workers;
         let (zone, cell) = (format!("zone-{}", cell % s.zones), format!("cell-{cell}"));
         let (address, start) = (self.worker_relays[index].address.to_string(), self.starts[index]);
-        self.list
-            .set(&self.workers[index].name, Row { address, standing, start, since, zone, cell, size: 1.0 });
+        self.list.set_entry(
+            &self.workers[index].name,
+            ListEntry { address, lifecycle, start_id: start, started_at: since, zone, cell, size: 1.0 },
+        );
     }
 
     /// Starts all schedulers at once with their clients, and waits until they are up.
@@ -278,7 +291,7 @@
             let (record, load) = (self.context.record.clone(), Arc::clone(&self.load));
             let mut script = self.settings.scenario.script.clone();
             script.seed = self.settings.seed;
-            clients.spawn(client(index, Entrance::Native, record, load, script, config.clone()));
+            clients.spawn(generate_load(index, ClientProtocol::Native, record, load, script, config.clone()));
             self.start(index);
         }
         while let Some(started) = self.starting.join_next().await {
@@ -393,7 +406,9 @@
         let now = self.context.record.now();
         let name = self.instances[index].name.clone();
         self.excused.push((name.clone(), now, until + RECOVERY_GRACE));
-        self.context.record.add(Seen::Held { who: name, until: until + RECOVERY_GRACE });
+        self.context
+            .record
+            .add(TranscriptEvent::Suspended { component: name, until: until + RECOVERY_GRACE });
     }
 
     async fn execute(&mut self, at: Time, step: Step) -> std::io::Result<()> {
@@ -413,14 +428,16 @@
             Step::KillFirstRun(process, name) => {
                 process.signal(Signal::KILL);
                 let until = self.context.record.now() + RECOVERY_GRACE;
-                self.context.record.add(Seen::Held { who: name, until });
+                self.context.record.add(TranscriptEvent::Suspended { component: name, until });
             }
             Step::RestartWorker(index) => {
-                self.workers[index].begin(true);
+                self.workers[index].start_process(true);
                 self.starts[index] += 1;
                 self.list_worker(index, Lifecycle::Ready, Some(self.context.record.now()));
             }
-            Step::SetLifecycle(index, standing) => self.list.standing(&self.workers[index].name, standing),
+            Step::SetLifecycle(index, lifecycle) => {
+                self.list.set_lifecycle(&self.workers[index].name, lifecycle)
+            }
             Step::SampleUsage(index) => {
                 let sample = self.sample_usage();
                 self.usage_samples.entry(index).or_default().push(sample);
@@ -478,7 +495,7 @@
     async fn apply_event(&mut self, at: Time, e: FaultEvent) -> std::io::Result<()> {
         let now = self.context.record.now();
         let end = at + e.duration;
-        self.context.record.add(Seen::Scripted { what: format!("{e:?}") });
+        self.context.record.add(TranscriptEvent::Scripted { description: format!("{e:?}") });
         match e.action {
             Action::Cut | Action::Delay | Action::Slow => {
                 let effect = match e.action {
@@ -578,10 +595,10 @@
                 for index in self.choose(remaining, e.part) {
                     self.drained.insert(index);
                     if e.action == Action::Drain {
-                        self.list.standing(&self.workers[index].name, Lifecycle::Draining);
+                        self.list.set_lifecycle(&self.workers[index].name, Lifecycle::Draining);
                         continue;
                     }
-                    self.workers[index].die();
+                    self.workers[index].kill();
                     self.schedule(at + Time(10_000), Step::SetLifecycle(index, Lifecycle::Gone));
                     self.schedule(end.max(at + Time(10_001)), Step::RestartWorker(index));
                 }
@@ -624,7 +641,7 @@
     /// Stops the load, ends the schedulers by SIGTERM, and judges the run.
     async fn finish(mut self, began: Time, mut clients: JoinSet<()>) -> std::io::Result<Outcome> {
         let end = self.context.record.now();
-        lock_traffic(&self.load).over = true;
+        lock_traffic(&self.load).finished = true;
         while let Some(started) = self.starting.join_next().await {
             self.scheduler_started(started)?;
         }
@@ -658,15 +675,16 @@
         while clients.join_next().await.is_some() {}
         while self.repeated_calls.join_next().await.is_some() {}
         let s = &self.settings.scenario.script;
-        let mut terms = Terms::of(&parse_config(&std::fs::read_to_string(&self.instances[0].config)?)?);
+        let mut terms =
+            RuleParameters::from_config(&parse_config(&std::fs::read_to_string(&self.instances[0].config)?)?);
         for (index, w) in self.workers.iter().enumerate() {
             let cell = index * s.cells / s.workers;
             terms.groups.insert(w.name.clone(), (format!("cell-{cell}"), format!("zone-{}", cell % s.zones)));
             terms.capacity.insert(w.name.clone(), s.cores);
         }
         terms.work = s.methods.iter().map(|(m, (_, t))| (m.clone(), t.work_ms)).collect();
-        let (seen, log) = (self.context.record.all(), self.context.log.all());
-        let verdict = judge(&terms, &seen);
+        let (seen, log) = (self.context.record.events(), self.context.log.all());
+        let verdict = check_rules(&terms, &seen);
         let n = self.instances.len();
         let mut figures = Figures::collect(&log, &seen, began, self.faults_end, end, n, &self.excused);
         let budget =
@@ -681,7 +699,8 @@
                 figures.spans.push(SpanCost::measure(&span.name, from, to, &log, &seen, self.workers.len()));
             }
         }
-        (figures.refused_fetches, figures.fetches) = (self.store.turned_away(), self.store.asked());
+        (figures.refused_fetches, figures.fetches) =
+            (self.store.rejected_fetches(), self.store.requested_fetches());
         missed.extend(figures.directory.over_limit.as_ref().map(|s| s.describe(began)));
         for (limit, limit_value) in &self.settings.scenario.limits {
             missed.extend(exceeded(*limit, *limit_value, &figures, self.settings.peers));
--- a/crates/curlewpoint-rig/src/scale/fleet_part.rs
+++ b/crates/curlewpoint-rig/src/scale/fleet_part.rs
@@ -28,23 +28,23 @@
 }
 
 /// What so many rows of a list take in memory, measured on ten books; none: the system does not tell.
-pub fn book_bytes(rows: usize) -> Option<f64> {
-    const BOOKS: usize = 10;
+pub fn endpoint_table_bytes(rows: usize) -> Option<f64> {
+    const TABLES: usize = 10;
     let before = resident()?;
-    let books: Vec<EndpointTable> = (0..BOOKS)
+    let tables: Vec<EndpointTable> = (0..TABLES)
         .map(|_| {
-            let mut book = EndpointTable::new(rows);
-            book.begin(0, 1, 1, None);
+            let mut table = EndpointTable::new(rows);
+            table.begin(0, 1, 1, None);
             (0..rows).for_each(|no| {
                 let (name, entry) = row_of(no, 1);
-                book.push_entry(0, &name, entry);
+                table.push_entry(0, &name, entry);
             });
-            book.finish(0, ListSource::Service);
-            book
+            table.finish(0, ListSource::Service);
+            table
         })
         .collect();
-    let grown = resident()?.saturating_sub(before) as f64 / BOOKS as f64;
-    drop(books);
+    let grown = resident()?.saturating_sub(before) as f64 / TABLES as f64;
+    drop(tables);
     Some(grown)
 }
 
@@ -96,7 +96,7 @@
 }
 
 /// Between two looks at whether all is right.
-const LOOK: Time = Time(1_000);
+const CHECK_INTERVAL: Time = Time(1_000);
 /// A fault is played under load for so long at its beginning and before its end: an hour's calls would take hours.
 const LOADED: Time = Time(150_000);
 
@@ -254,8 +254,8 @@
             let so_far = self.world.now - began;
             let loaded = so_far < LOADED || so_far + LOADED >= most;
             match budget.filter(|_| loaded) {
-                Some(_) => load.pass(&mut self.world, self.n, LOOK),
-                None => self.world.run(LOOK),
+                Some(_) => load.pass(&mut self.world, self.n, CHECK_INTERVAL),
+                None => self.world.run(CHECK_INTERVAL),
             }
             let so_far = self.world.now - began;
             // What is right before the fault has been noticed is not yet right again.
@@ -352,8 +352,8 @@
     let note = |at: &mut Option<Time>, so_far, good| *at = at.or(Some(so_far).filter(|_| good));
     loop {
         match terms.directory_budget {
-            Some(_) => load.pass(&mut world, n, LOOK),
-            None => world.run(LOOK),
+            Some(_) => load.pass(&mut world, n, CHECK_INTERVAL),
+            None => world.run(CHECK_INTERVAL),
         }
         let so_far = world.now - began;
         // Nobody has begun to know of another in the first second.
--- a/crates/curlewpoint-rig/src/scale/measure.rs
+++ b/crates/curlewpoint-rig/src/scale/measure.rs
@@ -1,26 +1,26 @@
 use serde_json::{json, Value};
 
-/// One figure of one size.
+/// One measured value at one fleet size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Measure {
     pub role: String,
     pub name: String,
     pub unit: String,
     pub value: f64,
-    /// A count, or bytes: the same again from the same seed. Else a time or a size of the machine's.
+    /// Whether the value is a count or bytes, which the same seed reproduces, rather than a time or memory size of the machine.
     pub exact: bool,
 }
 
-/// What was measured at one size.
+/// The values measured at one fleet size.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Measurements {
     pub schedulers: usize,
     pub measures: Vec<Measure>,
-    /// What did not come as it should, and what was left out.
+    /// Unmet expectations and omissions.
     pub notes: Vec<String>,
 }
 
-/// Collects measures of one role.
+/// Adds measures of one role.
 pub struct Ledger<'a> {
     outcome: &'a mut Measurements,
     role: &'static str,
@@ -39,13 +39,13 @@
         self.measures.iter().find(|m| m.role == role && m.name == name).map(|m| m.value)
     }
 
-    /// Takes in what another part has measured at the same size.
+    /// Adds the measurements of another part at the same size.
     pub fn merge(&mut self, other: Measurements) {
         self.measures.extend(other.measures);
         self.notes.extend(other.notes);
     }
 
-    /// Those that the same seed gives again.
+    /// The measures that the same seed reproduces.
     pub fn exact(&self) -> Vec<&Measure> {
         self.measures.iter().filter(|m| m.exact).collect()
     }
@@ -56,7 +56,7 @@
         json!({"schedulers": self.schedulers, "measures": measures, "notes": self.notes})
     }
 
-    /// Reads what `to_json` wrote; none: it is something else.
+    /// Parses the output of `to_json`; `None` if it has another form.
     pub fn of_json(v: &Value) -> Option<Measurements> {
         let text = |v: &Value| v.as_str().map(str::to_owned);
         let measure = |m: &Value| {
@@ -78,19 +78,19 @@
 
 impl Ledger<'_> {
     fn put(&mut self, name: &str, unit: &str, value: f64, exact: bool) {
-        // One that is no number is none: JSON has no way to write it.
+        // Infinite values and NaN are dropped because JSON cannot represent them.
         if value.is_finite() {
             let (role, name, unit) = (self.role.to_owned(), name.to_owned(), unit.to_owned());
             self.outcome.measures.push(Measure { role, name, unit, value, exact });
         }
     }
 
-    /// A count, or bytes.
+    /// Adds a count or a number of bytes.
     pub fn count(&mut self, name: &str, unit: &str, value: f64) {
         self.put(name, unit, value, true);
     }
 
-    /// A time or a size that the machine has a say in.
+    /// Adds a time or memory size that depends on the machine.
     pub fn rough(&mut self, name: &str, unit: &str, value: Option<f64>) {
         if let Some(value) = value {
             self.put(name, unit, value, false);
--- a/crates/curlewpoint-rig/src/scale/steps.rs
+++ b/crates/curlewpoint-rig/src/scale/steps.rs
@@ -1,4 +1,4 @@
-//! The whole load grown in step with the schedulers: which budget or promise breaks first.
+//! Which budget breaks first when the load grows in proportion to the schedulers.
 
 use std::fmt::Write as _;
 
@@ -9,27 +9,27 @@
 use crate::scale::plan;
 use crate::scale::simulation::BOUNDS;
 
-/// What a fleet keeps of hints, as in `curlewpoint-fleet`.
-const HINTS_KEPT: f64 = 65_536.0;
-/// Members that a fleet keeps for each instance that may live, as in `curlewpoint-fleet`; the settings' defaults.
-const RECORDS: f64 = 4.0;
-const MOST_INSTANCES: f64 = 1_000.0;
-const MOST_LINKS: f64 = 512.0;
-/// Those that ended are kept for so many minutes at most.
-const KEPT_FOR: f64 = 10.0;
-const DAY: f64 = 86_400.0;
+/// Number of hints that a member keeps, as in `curlewpoint-fleet`.
+const MAX_HINTS: f64 = 65_536.0;
+/// Member records kept per permitted instance, as in `curlewpoint-fleet`, and the defaults of the settings.
+const RECORDS_PER_INSTANCE: f64 = 4.0;
+const DEFAULT_MAX_INSTANCES: f64 = 1_000.0;
+const DEFAULT_MAX_LINKS: f64 = 512.0;
+/// Minutes for which records of ended instances are kept at most.
+const ENDED_RECORD_MINUTES: f64 = 10.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// One budget or promise against all sizes.
+/// One budget compared with what is used at each fleet size.
 pub struct Row {
     pub what: String,
     pub budget: f64,
     pub unit: &'static str,
-    /// What is spent at each size; none: not measured.
+    /// Use at each size; `None` if not measured.
     pub spent: Vec<Option<f64>>,
 }
 
 impl Row {
-    /// The first size at which it breaks, and by what factor.
+    /// The first size at which the budget is exceeded, and by what factor.
     pub fn breaks(&self, sizes: &[usize]) -> Option<(usize, f64)> {
         let at =
             |(n, s): (&usize, &Option<f64>)| s.filter(|s| *s > self.budget).map(|s| (*n, s / self.budget));
@@ -37,18 +37,20 @@
     }
 }
 
-/// The step table.
+/// All budgets against all fleet sizes.
 pub struct Table {
     pub sizes: Vec<usize>,
     pub rows: Vec<Row>,
 }
 
-/// Bytes a second that restarts and changes cost one at the plan's rates. A change of the configuration is taken to cost
-/// what a changed row of the list does, and a machine that is restarted to change its row three times; the end of a run
-/// is told as its start is.
+/// Bytes per second that restarts and changes cost an instance at the plan's rates. A configuration change is assumed to cost as
+/// much as a changed list row, a restarted machine to change its row three times, and the end of a run to be announced like its
+/// start.
 fn churn(o: &Measurements) -> Option<f64> {
-    let records = 2.0 * o.get(FLEET, "one starts: record bytes of each other")? * plan::RESTARTS / DAY;
-    let rows = o.get(FLEET, "a changed row: bytes sent")? * (plan::CHANGES + 3.0 * plan::RESTARTS) / DAY;
+    let records =
+        2.0 * o.get(FLEET, "one starts: record bytes of each other")? * plan::RESTARTS / SECONDS_PER_DAY;
+    let rows =
+        o.get(FLEET, "a changed row: bytes sent")? * (plan::CHANGES + 3.0 * plan::RESTARTS) / SECONDS_PER_DAY;
     Some(records + rows)
 }
 
@@ -92,20 +94,25 @@
             let fleet = o.get(FLEET, "memory of records, list and links")?;
             Some((fleet + o.get(MODULE, "memory of the module")?) / 1e6)
         });
-        row("records kept (default most-instances x 4)", MOST_INSTANCES * RECORDS, "", &|o| {
-            Some(o.schedulers as f64 + plan::RESTARTS * KEPT_FOR / 1440.0)
+        row(
+            "records kept (default most-instances x 4)",
+            DEFAULT_MAX_INSTANCES * RECORDS_PER_INSTANCE,
+            "",
+            &|o| Some(o.schedulers as f64 + plan::RESTARTS * ENDED_RECORD_MINUTES / 1440.0),
+        );
+        row("instances at a time (default most-instances)", DEFAULT_MAX_INSTANCES, "", &|o| {
+            Some(o.schedulers as f64)
         });
-        row("instances at a time (default most-instances)", MOST_INSTANCES, "", &|o| {
+        row("links at a peer to begin with, all starting", DEFAULT_MAX_LINKS, "", &|o| {
             Some(o.schedulers as f64)
         });
-        row("links at a peer to begin with, all starting", MOST_LINKS, "", &|o| Some(o.schedulers as f64));
-        row("rows of hints kept, 0.3 seen a second each", HINTS_KEPT, "", &|o| {
+        row("rows of hints kept, 0.3 seen a second each", MAX_HINTS, "", &|o| {
             Some(plan::SEEN[1] * o.schedulers as f64 * BOUNDS.hint_lifetime.ms() / 1000.0)
         });
         Table { sizes, rows }
     }
 
-    /// The row that breaks at the smallest size, by the larger factor where several do.
+    /// The budget exceeded at the smallest size; among several, the one exceeded by the largest factor.
     pub fn first(&self) -> Option<(&Row, usize, f64)> {
         let broken = self.rows.iter().filter_map(|r| r.breaks(&self.sizes).map(|(n, f)| (r, n, f)));
         broken.min_by(|a, b| a.1.cmp(&b.1).then(b.2.total_cmp(&a.2)))
--- a/crates/curlewpoint-rig/src/scale/tally.rs
+++ b/crates/curlewpoint-rig/src/scale/tally.rs
@@ -4,13 +4,13 @@
 use curlewpoint_wire::Kind;
 use rustix::time::{clock_gettime, ClockId};
 
-/// Frames and bytes by kind. Bytes are those of encoded frames; TCP's and IP's own are not among them.
+/// Frames and bytes by kind. Bytes are those of encoded frames, without TCP and IP headers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     kinds: BTreeMap<Kind, (u64, u64)>,
 }
 
-/// Kinds as they are reported together.
+/// Groups of kinds that are reported together.
 pub const GROUPS: [(&str, &[Kind]); 6] = [
     ("beats", &[Kind::HEARTBEAT]),
     ("members", &[Kind::MEMBER]),
@@ -41,18 +41,18 @@
         kinds.iter().map(of).fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     }
 
-    /// Frames and bytes in all.
+    /// Total frames and bytes.
     pub fn all(&self) -> (u64, u64) {
         self.kinds.values().fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     }
 
-    /// Frames and bytes of one of the `GROUPS`; none of another name.
+    /// Frames and bytes of one of the `GROUPS`; zero for an unknown name.
     pub fn group(&self, name: &str) -> (u64, u64) {
         GROUPS.iter().find(|g| g.0 == name).map_or((0, 0), |g| self.of(g.1))
     }
 }
 
-/// Processor time of this thread, less what reading the clock costs.
+/// Measures processor time of this thread, minus the cost of reading the clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Meter {
     reading: Duration,
@@ -64,7 +64,7 @@
 }
 
 impl Meter {
-    /// Finds out what a reading costs.
+    /// Measures the cost of reading the clock.
     pub fn new() -> Meter {
         const READINGS: u32 = 2_000;
         let began = thread_time();
@@ -74,7 +74,7 @@
         Meter { reading: (thread_time() - began) / READINGS }
     }
 
-    /// What the work returns, and the processor time of this thread that it took.
+    /// Runs `work` and returns its result and the processor time of this thread that it took.
     pub fn time<R>(&self, work: impl FnOnce() -> R) -> (R, Duration) {
         let began = thread_time();
         let done = work();
@@ -88,7 +88,7 @@
     }
 }
 
-/// The resident size of this process, in bytes; none where the system does not tell it.
+/// The resident size of this process in bytes; `None` if the system does not report it.
 pub fn resident() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"))?;
--- a/crates/curlewpoint-rig/src/scenario.rs
+++ b/crates/curlewpoint-rig/src/scenario.rs
@@ -1,6 +1,6 @@
 use curlewpoint::types::Time;
 use curlewpoint_config::{milliseconds, read_lines, share, ConfigErrors, Line};
-use curlewpoint_lab::{Complain, Script};
+use curlewpoint_lab::{ReportError, Script};
 
 macro_rules! shipped_scenarios {
     ($($name:literal)*) => {
@@ -187,16 +187,16 @@
     /// Parses a scenario. What it leaves out of the fleet and the load comes from `base.part`. Reports all errors at once.
     pub fn parse(name: &str, text: &str) -> Result<FleetScenario, ConfigErrors> {
         let base = read_lines("base.part", BASE_SCRIPT, |lines, report_error| {
-            Script::of_lines(Script::default(), lines, report_error, &mut |_, _| false)
+            Script::from_lines(Script::default(), lines, report_error, &mut |_, _| false)
         })?;
         read_lines(name, text, |lines, report_error| {
             let (mut cold, mut list_accept_rate, mut idle_rows) = (false, None, 0);
             let (mut events, mut spans, mut limits) = (Vec::new(), Vec::new(), Vec::new());
-            let script = Script::of_lines(
+            let script = Script::from_lines(
                 base,
                 lines,
                 report_error,
-                &mut |line: &Line, report_error: &mut Complain| {
+                &mut |line: &Line, report_error: &mut ReportError| {
                     let value = line.words.get(1).map_or("", |w| w.text.as_str());
                     let parsed = match line.name() {
                         "at" => parse_event(line).map(|event| events.push(event)),
--- a/crates/curlewpoint-rig/tests/relay.rs
+++ b/crates/curlewpoint-rig/tests/relay.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use curlewpoint::types::Time;
-use curlewpoint_lab::Record;
+use curlewpoint_lab::Transcript;
 use curlewpoint_link::{handshake, listen, Link, LinkLimits};
 use curlewpoint_rig::{Effect, Relay, RelayContext, RelayEvent, Rules};
 use curlewpoint_wire::{Field, Frame, Kind};
@@ -42,7 +42,7 @@
 
 fn context() -> (Rules, RelayContext) {
     let rules = Rules::default();
-    (rules.clone(), RelayContext::new(rules, Record::default()))
+    (rules.clone(), RelayContext::new(rules, Transcript::default()))
 }
 
 /// Guards against frames lost or reordered by a one-way cut, and against a cut that also blocks the other direction.
