--- a/crates/curlewpoint-cli/tests/nodes.rs
+++ b/crates/curlewpoint-cli/tests/nodes.rs
@@ -1,5 +1,5 @@
-//! Nodes as processes of their own, on loopback, at moments that cross. What clients wrote and read, and what workers
-//! heard and said, is judged by the checker that the tests on sockets use.
+//! Runs nodes as processes on loopback and tests races between signals, connections and requests. All traffic of clients
+//! and workers is checked with the transcript checker of the socket tests.
 
 mod test_servers;
 
@@ -11,317 +11,328 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
+use serde_json::{json, Value};
 use test_servers::transcript::ConnState;
 use test_servers::*;
-use serde_json::{json, Value};
 
-/// Guards against a stop that ends a node by the signal itself, which counts as a crash: here it comes while the node
-/// reads what it is told, before it serves.
+/// Guards against a node killed by a stop signal that arrives during startup, while the startup configuration is read.
+/// The platform counts death by a signal as a crash.
 #[test]
-fn a_stop_before_it_is_ready_ends_it_well() {
-    let file = file("early");
-    let _ = std::fs::remove_file(&file);
-    assert!(Command::new("mkfifo").arg(&file).status().expect("mkfifo runs").success());
-    let mut child = run(&file, 256, "");
-    let log = log(&mut child);
-    let mut node = Node { child, file, address: String::new(), log };
-    // Opened from here once it is open over there.
-    let mut pipe = File::options().write(true).open(&node.file).unwrap();
+fn a_stop_signal_during_startup_exits_with_0() {
+    let config_file = config_file("early");
+    let _ = std::fs::remove_file(&config_file);
+    assert!(Command::new("mkfifo").arg(&config_file).status().expect("mkfifo runs").success());
+    let mut child = run(&config_file, 256, "");
+    let log = log_lines(&mut child);
+    let mut node = Node { child, config_file, address: String::new(), log };
+    // The open blocks until the node has opened the pipe for reading.
+    let mut pipe = File::options().write(true).open(&node.config_file).unwrap();
     signal(&node.child, "TERM");
-    pipe.write_all(told(7, "127.0.0.1:9", &[], 256, settings(1)).to_string().as_bytes()).unwrap();
+    pipe.write_all(startup_config(7, "127.0.0.1:9", &[], 256, settings(1)).to_string().as_bytes()).unwrap();
     drop(pipe);
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// Guards the descriptors that are a worker's, the directory's and the usual clients' against crowds that connect and
-/// say nothing, or ask once and stay, while the directory says nothing either.
+/// Guards against idle clients that use up the descriptors reserved for workers, discovery and active clients. Half of
+/// them send nothing, the others one request; discovery does not respond either.
 #[test]
-fn idle_crowds_leave_room_for_dials_the_directory_and_usual_clients() {
-    let book = Book::default();
-    let (at, calls) = worker(&book);
-    let silent = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let first = told(7, &silent.local_addr().unwrap().to_string(), &[at], 64, settings(1));
-    let node = Node::start("crowd", &first, 64);
-    let crowd: Vec<Client> = (0..120)
+fn idle_clients_leave_descriptors_for_workers_discovery_and_active_clients() {
+    let transcript = SharedTranscript::default();
+    let (at, calls) = start_worker(&transcript);
+    let silent_discovery = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let config =
+        startup_config(7, &silent_discovery.local_addr().unwrap().to_string(), &[at], 64, settings(1));
+    let node = Node::start("idle", &config, 64);
+    let idle_clients: Vec<Client> = (0..120)
         .map(|no| {
-            let mut idle = Client::new(&node.address, &book);
+            let mut idle = Client::new(&node.address, &transcript);
             if no % 2 == 0 {
-                // Some of the crowd may be turned away with this unread.
-                let _ = idle.stream.write_all(&row(&["CHECK", "1", ""]));
+                // The node may close some of these connections before it reads this.
+                let _ = idle.stream.write_all(&encode(&["CHECK", "1", ""]));
             }
             idle
         })
         .collect();
-    for no in 1..=8 {
-        let mut usual = Client::new(&node.address, &book);
-        usual.says(&call(1, no));
-        assert!(usual.has_all());
-        assert_eq!(usual.told().as_bytes(), row(&["1", "good", "", ""]));
+    for id in 1..=8 {
+        let mut active = Client::new(&node.address, &transcript);
+        active.send(&call(1, id));
+        assert!(active.receive_all_replies());
+        assert_eq!(active.received().as_bytes(), encode(&["1", "good", "", ""]));
     }
     assert_eq!(calls.lock().unwrap().len(), 8);
-    let moved = UdpSocket::bind("127.0.0.1:0").unwrap();
-    moved.set_read_timeout(Some(STEP)).unwrap();
-    let mut anew = first;
-    anew["resolver"] = json!(moved.local_addr().unwrap().to_string());
-    std::fs::write(&node.file, anew.to_string()).unwrap();
+    let new_discovery = UdpSocket::bind("127.0.0.1:0").unwrap();
+    new_discovery.set_read_timeout(Some(STEP_TIMEOUT)).unwrap();
+    let mut new_config = config;
+    new_config["resolver"] = json!(new_discovery.local_addr().unwrap().to_string());
+    std::fs::write(&node.config_file, new_config.to_string()).unwrap();
     signal(&node.child, "HUP");
-    moved.recv(&mut [0; 512]).expect("the directory is asked at its new place");
-    drop(crowd);
-    book.keeps_the_rule();
+    new_discovery.recv(&mut [0; 512]).expect("a query at the new discovery address");
+    drop(idle_clients);
+    transcript.assert_no_violations();
 }
 
-/// What has connected, and said nothing, a part of a request or all of it, while the node is held before it reads.
-fn unread(node: &Node, book: &Book) -> Vec<Client> {
+/// Suspends the node with SIGSTOP and connects clients that send nothing, a part of a request, or all of it.
+fn connect_while_suspended(node: &Node, transcript: &SharedTranscript) -> Vec<Client> {
     signal(&node.child, "STOP");
     let bytes = call(1, 100);
     [0, 1, bytes.len() / 2, bytes.len()]
         .map(|cut| {
-            let mut client = Client::new(&node.address, book);
-            client.says(&bytes[..cut]);
+            let mut client = Client::new(&node.address, transcript);
+            client.send(&bytes[..cut]);
             client
         })
         .into()
 }
 
-/// A node on the same port as the one that has ended. It is ready at once, and the request that was not answered is
-/// served, under an id of its own as a client's retry has, once.
-fn starts_again(name: &str, told: &Value, before: &str, book: &Book) -> Node {
-    let mut told = told.clone();
-    told["listen"] = json!(before);
-    let node = Node::start(name, &told, 256);
+/// Starts a node on the port of the one that ended. It must be ready at once and serve the retry of the unanswered
+/// request, which has a new id.
+fn restart(name: &str, config: &Value, before: &str, transcript: &SharedTranscript) -> Node {
+    let mut config = config.clone();
+    config["listen"] = json!(before);
+    let node = Node::start(name, &config, 256);
     assert_eq!(node.address, before, "on the same port");
-    let mut client = Client::new(before, book);
-    client.says(&row(&["CHECK", "1", ""]));
-    assert!(client.has_all());
-    assert_eq!(client.told().as_bytes(), row(&["1", "fit", "", ""]));
-    client.says(&call(2, 200));
-    assert!(client.has_all());
-    assert!(client.told().ends_with(&String::from_utf8(row(&["2", "good", "", ""])).unwrap()));
+    let mut client = Client::new(before, transcript);
+    client.send(&encode(&["CHECK", "1", ""]));
+    assert!(client.receive_all_replies());
+    assert_eq!(client.received().as_bytes(), encode(&["1", "fit", "", ""]));
+    client.send(&call(2, 200));
+    assert!(client.receive_all_replies());
+    assert!(client.received().ends_with(&String::from_utf8(encode(&["2", "good", "", ""])).unwrap()));
     node
 }
 
-/// Guards against requests that are lost without a trace, or run twice, where a node is killed between the machine's
-/// accepting a connection and its own first reading; and against a port that is not to be had after it.
+/// Guards against requests that are lost or run twice when a node is killed after the kernel accepted a connection and
+/// before the node read from it, and against a port that cannot be bound again afterwards.
 #[test]
-fn killed_right_after_an_accept() {
-    let book = Book::default();
-    let (at, calls) = worker(&book);
-    let first = told(7, "127.0.0.1:9", &[at], 256, settings(1));
-    let mut node = Node::start("killed", &first, 256);
-    // Served before, so that connections to the worker and of clients are open.
-    let mut served = Client::new(&node.address, &book);
-    served.says(&call(1, 1));
-    assert!(served.has_all());
-    let mut clients = unread(&node, &book);
+fn a_kill_right_after_an_accept_loses_and_repeats_nothing() {
+    let transcript = SharedTranscript::default();
+    let (at, calls) = start_worker(&transcript);
+    let config = startup_config(7, "127.0.0.1:9", &[at], 256, settings(1));
+    let mut node = Node::start("killed", &config, 256);
+    // Opens a connection to the worker and leaves a client connection open.
+    let mut served = Client::new(&node.address, &transcript);
+    served.send(&call(1, 1));
+    assert!(served.receive_all_replies());
+    let mut clients = connect_while_suspended(&node, &transcript);
     signal(&node.child, "KILL");
     node.child.wait().unwrap();
     for client in &mut clients {
-        while client.reads() {}
-        assert_eq!(client.told(), "", "a dead node has said something");
+        while client.receive() {}
+        assert_eq!(client.received(), "", "a killed node sent data");
     }
-    assert_eq!(calls.lock().unwrap().len(), 1, "nothing of what it had not read");
-    let again = starts_again("killed-again", &first, &node.address, &book);
-    assert_eq!(calls.lock().unwrap().len(), 2, "each once");
+    assert_eq!(calls.lock().unwrap().len(), 1, "an unread request reached the worker");
+    let again = restart("killed-again", &config, &node.address, &transcript);
+    assert_eq!(calls.lock().unwrap().len(), 2, "each request runs once");
     drop((again, served));
-    book.keeps_the_rule();
+    transcript.assert_no_violations();
 }
 
-/// The twin: it is told to stop in that instant. What came whole is answered, all else closed in order, and it exits 0.
+/// Guards against lost requests and connection resets when a stop signal arrives right after an accept. Complete requests
+/// are answered, the other connections are closed in order, and the node exits with 0.
 #[test]
-fn stopped_right_after_an_accept() {
-    let book = Book::default();
-    let (at, calls) = worker(&book);
-    let first = told(7, "127.0.0.1:9", &[at], 256, settings(1));
-    let mut node = Node::start("stopped", &first, 256);
-    let mut clients = unread(&node, &book);
+fn a_stop_right_after_an_accept_answers_complete_requests() {
+    let transcript = SharedTranscript::default();
+    let (at, calls) = start_worker(&transcript);
+    let config = startup_config(7, "127.0.0.1:9", &[at], 256, settings(1));
+    let mut node = Node::start("stopped", &config, 256);
+    let mut clients = connect_while_suspended(&node, &transcript);
     signal(&node.child, "TERM");
     signal(&node.child, "CONT");
     for (no, client) in clients.iter_mut().enumerate() {
-        while client.reads() {}
-        let want = if no == 3 { row(&["1", "good", "", ""]) } else { vec![] };
-        assert_eq!(client.told().as_bytes(), want);
+        while client.receive() {}
+        let want = if no == 3 { encode(&["1", "good", "", ""]) } else { vec![] };
+        assert_eq!(client.received().as_bytes(), want);
         assert!(!client.was_reset, "closed, not reset");
     }
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
-    let again = starts_again("stopped-again", &first, &node.address, &book);
-    assert_eq!(calls.lock().unwrap().len(), 2, "each once");
+    let again = restart("stopped-again", &config, &node.address, &transcript);
+    assert_eq!(calls.lock().unwrap().len(), 2, "each request runs once");
     drop(again);
-    book.keeps_the_rule();
+    transcript.assert_no_violations();
 }
 
-/// Guards against a process that is up and serves nobody, unnoticed: here its list names nobody and the directory says
-/// nothing. Each request is answered, one line says what is wrong, and once the directory answers it serves.
+/// Guards against a running node that serves no RPC without reporting it: its endpoint list is empty and discovery does
+/// not respond. Each request must be answered, one log line reports the failure, and the node recovers once discovery
+/// responds.
 #[test]
-fn one_that_serves_nobody_says_so_and_gets_out() {
-    let book = Book::default();
-    let (at, calls) = worker(&book);
-    let (tell, events) = mpsc::channel();
-    let since = Arc::<AtomicU64>::default();
-    let silent = Arc::new(AtomicBool::new(true));
-    let asked = move |no| {
-        let _ = tell.send(no);
+fn a_node_without_workers_logs_it_once_and_recovers() {
+    let transcript = SharedTranscript::default();
+    let (at, calls) = start_worker(&transcript);
+    let (sender, events) = mpsc::channel();
+    let cold_since = Arc::<AtomicU64>::default();
+    let is_silent = Arc::new(AtomicBool::new(true));
+    let on_query = move |node| {
+        let _ = sender.send(node);
     };
-    let resolver = directory(0, vec![at], Arc::clone(&since), Arc::clone(&silent), asked);
-    let node = Node::start("nobody", &told(7, &resolver, &[], 256, settings(1)), 256);
-    let mut client = Client::new(&node.address, &book);
-    client.says(&row(&["CHECK", "1", ""]));
-    assert!(client.has_all());
-    // Two calls for each question that is put to the directory in vain, for four seconds by the node's own clock.
+    let resolver = start_discovery(0, vec![at], Arc::clone(&cold_since), Arc::clone(&is_silent), on_query);
+    let node = Node::start("nobody", &startup_config(7, &resolver, &[], 256, settings(1)), 256);
+    let mut client = Client::new(&node.address, &transcript);
+    client.send(&encode(&["CHECK", "1", ""]));
+    assert!(client.receive_all_replies());
+    // Two calls for each unanswered discovery query: four seconds by the node's clock.
     let mut tag = 1;
     for _ in 0..20 {
-        events.recv_timeout(STEP).expect("it asks on");
+        events.recv_timeout(STEP_TIMEOUT).expect("discovery queries continue");
         for _ in 0..2 {
             tag += 1;
-            client.says(&call(tag, tag));
+            client.send(&call(tag, tag));
         }
     }
-    assert!(client.has_all(), "it goes on answering");
-    assert!(!client.told().contains("good"));
-    let before = node.logs("no RPC succeeds");
+    assert!(client.receive_all_replies(), "each call is answered");
+    assert!(!client.received().contains("good"));
+    let before = node.wait_for_log("no RPC succeeds");
     assert_eq!(before.iter().filter(|l| l.contains("gives no valid response")).count(), 1, "{before:#?}");
-    since.store(1, Ordering::Release);
-    silent.store(false, Ordering::Release);
-    let mut between = node.logs("discovery is available again");
-    while !client.told().contains("good") {
-        events.recv_timeout(STEP).expect("it asks on");
+    cold_since.store(1, Ordering::Release);
+    is_silent.store(false, Ordering::Release);
+    let mut between = node.wait_for_log("discovery is available again");
+    while !client.received().contains("good") {
+        events.recv_timeout(STEP_TIMEOUT).expect("discovery queries continue");
         tag += 1;
-        client.says(&call(tag, tag));
-        assert!(client.has_all());
+        client.send(&call(tag, tag));
+        assert!(client.receive_all_replies());
     }
-    between.extend(node.logs("RPCs succeed again"));
-    assert!(!between.iter().any(|l| l.contains("no RPC succeeds")), "said twice: {between:#?}");
+    between.extend(node.wait_for_log("RPCs succeed again"));
+    assert!(!between.iter().any(|l| l.contains("no RPC succeeds")), "logged twice: {between:#?}");
     assert!(!calls.lock().unwrap().is_empty());
-    book.keeps_the_rule();
+    transcript.assert_no_violations();
 }
 
-/// The same of one whose descriptors are gone, fewer than it was told it has: a crowd that has sent a part of a request
-/// each holds them all. One line says so; who has a request is served once the crowd's time is up.
+/// Guards against a node that runs out of descriptors without reporting it. Its limit is lower than the startup
+/// configuration states, and clients with partial requests hold all descriptors. One log line reports it; a complete
+/// request is served once these clients time out.
 #[test]
-fn one_whose_descriptors_are_gone_says_so_and_gets_out() {
-    let book = Book::default();
-    let (at, calls) = worker(&book);
-    let node = Node::start("gone", &told(7, "127.0.0.1:9", &[at], 256, settings(1)), 48);
-    // So that there is a connection to the worker.
-    let mut first = Client::new(&node.address, &book);
-    first.says(&call(1, 1));
-    assert!(first.has_all());
-    let mut crowd: Vec<Client> = (0..60).map(|_| Client::new(&node.address, &book)).collect();
-    crowd.iter_mut().for_each(|client| client.says(b"*"));
-    let before = node.logs("no room for clients");
+fn a_node_out_of_descriptors_logs_it_once_and_recovers() {
+    let transcript = SharedTranscript::default();
+    let (at, calls) = start_worker(&transcript);
+    let node = Node::start("gone", &startup_config(7, "127.0.0.1:9", &[at], 256, settings(1)), 48);
+    // Opens a connection to the worker.
+    let mut first = Client::new(&node.address, &transcript);
+    first.send(&call(1, 1));
+    assert!(first.receive_all_replies());
+    let mut partial_clients: Vec<Client> = (0..60).map(|_| Client::new(&node.address, &transcript)).collect();
+    partial_clients.iter_mut().for_each(|client| client.send(b"*"));
+    let before = node.wait_for_log("no room for clients");
     assert!(!before.iter().any(|l| l.contains("no room")));
-    let mut usual = Client::new(&node.address, &book);
-    usual.says(&call(1, 2));
-    assert!(usual.has_all());
-    assert_eq!(usual.told().as_bytes(), row(&["1", "good", "", ""]));
-    for client in &mut crowd {
-        while client.reads() {}
-        assert_eq!(client.told(), "");
+    let mut active = Client::new(&node.address, &transcript);
+    active.send(&call(1, 2));
+    assert!(active.receive_all_replies());
+    assert_eq!(active.received().as_bytes(), encode(&["1", "good", "", ""]));
+    for client in &mut partial_clients {
+        while client.receive() {}
+        assert_eq!(client.received(), "");
     }
     assert_eq!(calls.lock().unwrap().len(), 2);
-    book.keeps_the_rule();
+    transcript.assert_no_violations();
 }
 
-/// What the main thread of a story waits for: a node asks its directory, or has answered so many calls.
+/// An event for the main thread of the test: a node sent a discovery query, or a number of replies.
 enum Event {
-    Asked(usize),
-    Answered(usize, usize),
+    Queried(usize),
+    Replied(usize, usize),
 }
 
-/// Guards against processes that push a cold worker over together, as with engines in made-up time (cold.rs there), and
-/// against one among them that gets no share: here on sockets, all demand turned to one worker at the moment that it is
-/// listed. Clients go by their node's questions to its directory, five calls to each, so that a machine that is slow is
-/// slow for both.
+/// Guards against node processes that together overload a cold worker, and against one process that gets no share of it.
+/// All demand moves to the cold worker at the moment that it is listed. Each client sends five calls per discovery query of
+/// its node, so that a slow machine slows both. The engine has the same test in simulated time (cold.rs).
 #[test]
-fn thirty_processes_keep_to_a_cold_workers_budget_and_each_has_its_share() {
+fn thirty_processes_share_the_capacity_of_a_cold_worker() {
     const NODES: usize = 30;
-    const WARM: usize = 3;
-    const CALLS: u64 = 5;
-    // Questions, five a second: until all is warm, and from the start of the cold one until shares are compared.
-    const TO_WARM: usize = 10;
-    const TO_SHARE: usize = 25;
-    let book = Book::default();
-    let workers: Vec<_> = (0..=WARM).map(|_| worker(&book)).collect();
+    const WARM_WORKERS: usize = 3;
+    const CALLS_PER_QUERY: u64 = 5;
+    // Discovery queries, five a second: before the cold worker starts, and from then until the shares are compared.
+    const QUERIES_BEFORE_START: usize = 10;
+    const QUERIES_AFTER_START: usize = 25;
+    let transcript = SharedTranscript::default();
+    let workers: Vec<_> = (0..=WARM_WORKERS).map(|_| start_worker(&transcript)).collect();
     let addresses: Vec<String> = workers.iter().map(|(at, _)| at.clone()).collect();
-    let since = Arc::<AtomicU64>::default();
-    let (tell, events) = mpsc::channel();
+    let cold_since = Arc::<AtomicU64>::default();
+    let (sender, events) = mpsc::channel();
     let nodes: Vec<Node> = (0..NODES)
         .map(|no| {
-            let tell = tell.clone();
-            let asked = move |no| drop(tell.send(Event::Asked(no)));
-            let resolver = directory(no, addresses.clone(), Arc::clone(&since), Arc::default(), asked);
-            let told = told(no as u64 + 1, &resolver, &addresses[..WARM], 256, settings(NODES));
-            Node::start(&format!("cold-{no}"), &told, 256)
+            let sender = sender.clone();
+            let on_query = move |node| drop(sender.send(Event::Queried(node)));
+            let resolver =
+                start_discovery(no, addresses.clone(), Arc::clone(&cold_since), Arc::default(), on_query);
+            let config =
+                startup_config(no as u64 + 1, &resolver, &addresses[..WARM_WORKERS], 256, settings(NODES));
+            Node::start(&format!("cold-{no}"), &config, 256)
         })
         .collect();
-    let mut clients: Vec<Client> = nodes.iter().map(|node| Client::new(&node.address, &book)).collect();
+    let mut clients: Vec<Client> = nodes.iter().map(|node| Client::new(&node.address, &transcript)).collect();
     for (no, client) in clients.iter().enumerate() {
-        let (mut answers, tell, book) = (client.stream.try_clone().unwrap(), tell.clone(), book.clone());
-        let at = client.no;
+        let (mut answers, sender, transcript) =
+            (client.stream.try_clone().unwrap(), sender.clone(), transcript.clone());
+        let at = client.index;
         std::thread::spawn(move || {
-            let mut some = [0; 4096];
-            while let Ok(n) = answers.read(&mut some) {
-                book.look(|r| match n {
+            let mut buffer = [0; 4096];
+            while let Ok(n) = answers.read(&mut buffer) {
+                transcript.with(|r| match n {
                     0 => r.conns[at].state = ConnState::ClosedByScheduler,
-                    n => r.conns[at].received.extend_from_slice(&some[..n]),
+                    n => r.conns[at].received.extend_from_slice(&buffer[..n]),
                 });
-                // An answer's row begins with the one asterisk that it holds.
-                let rows = some[..n].iter().filter(|b| **b == b'*').count();
-                if n == 0 || tell.send(Event::Answered(no, rows)).is_err() {
+                // A reply contains one asterisk, its first byte.
+                let replies = buffer[..n].iter().filter(|b| **b == b'*').count();
+                if n == 0 || sender.send(Event::Replied(no, replies)).is_err() {
                     return;
                 }
             }
         });
     }
-    let (mut asked, mut sent, mut answered) = ([0; NODES], [0; NODES], [0; NODES]);
-    let mut next = |calls: bool, asked: &mut [usize; NODES], sent: &mut [usize; NODES]| {
-        match events.recv_timeout(STEP).expect("nodes ask and answer") {
-            Event::Answered(no, rows) => answered[no] += rows,
-            Event::Asked(no) => {
-                asked[no] += 1;
-                for _ in 0..if calls { CALLS } else { 0 } {
+    let (mut queries, mut sent, mut answered) = ([0; NODES], [0; NODES], [0; NODES]);
+    let mut next = |calls: bool, queries: &mut [usize; NODES], sent: &mut [usize; NODES]| {
+        match events.recv_timeout(STEP_TIMEOUT).expect("queries or replies") {
+            Event::Replied(no, replies) => answered[no] += replies,
+            Event::Queried(no) => {
+                queries[no] += 1;
+                for _ in 0..if calls { CALLS_PER_QUERY } else { 0 } {
                     sent[no] += 1;
-                    clients[no].says(&call(sent[no] as u64, (no as u64 + 1) << 32 | sent[no] as u64));
+                    clients[no].send(&call(sent[no] as u64, (no as u64 + 1) << 32 | sent[no] as u64));
                 }
             }
         }
         answered
     };
-    // Warm: so many answers are known to each that their rates say what a worker takes.
-    let begun = Instant::now();
-    while asked.iter().any(|n| *n < TO_WARM) {
-        next(true, &mut asked, &mut sent);
+    // Each node learns the rate of a warm worker from its replies.
+    let warm_up_start = Instant::now();
+    while queries.iter().any(|n| *n < QUERIES_BEFORE_START) {
+        next(true, &mut queries, &mut sent);
     }
-    let taken = workers[..WARM].iter().map(|(_, calls)| calls.lock().unwrap().len()).sum::<usize>() as f64;
-    let a_second = taken / begun.elapsed().as_secs_f64() / WARM as f64;
+    let warm_calls =
+        workers[..WARM_WORKERS].iter().map(|(_, calls)| calls.lock().unwrap().len()).sum::<usize>() as f64;
+    let calls_per_second = warm_calls / warm_up_start.elapsed().as_secs_f64() / WARM_WORKERS as f64;
     let start = Instant::now();
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    since.store(wall, Ordering::Release);
-    asked = [0; NODES];
-    while asked.iter().any(|n| *n < TO_SHARE) {
-        next(true, &mut asked, &mut sent);
+    let start_unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+    cold_since.store(start_unix_ms, Ordering::Release);
+    queries = [0; NODES];
+    while queries.iter().any(|n| *n < QUERIES_AFTER_START) {
+        next(true, &mut queries, &mut sent);
     }
-    let took = start.elapsed();
-    // All that is open is answered: it has its own time.
-    while next(false, &mut asked, &mut sent) != sent {}
-    let calls = workers[WARM].1.lock().unwrap().clone();
+    let measured = start.elapsed();
+    // Waits for the replies to all open calls.
+    while next(false, &mut queries, &mut sent) != sent {}
+    let calls = workers[WARM_WORKERS].1.lock().unwrap().clone();
     let ages: Vec<f64> = calls.iter().map(|(at, _)| (*at - start).as_secs_f64() * 1_000.0).collect();
-    let capacity = |age: f64| (0.2 + 0.8 * age / WARM_WITHIN).min(1.0);
-    for (no, from) in ages.iter().enumerate().filter(|(_, from)| **from + FALL <= WARM_WITHIN) {
-        let n = 2.0 * (capacity(*from) + capacity(from + FALL)) / 2.0 * FALL / 1_000.0 * a_second;
-        let there = ages[no..].iter().take_while(|at| **at < from + FALL).count() as f64;
-        assert!(there <= n + 2.0 * n.sqrt() + 2.0, "{there} in the window from {from:.0} ms, budget {n:.1}");
+    let capacity = |age: f64| (0.2 + 0.8 * age / WARM_WITHIN_MS).min(1.0);
+    for (no, from) in ages.iter().enumerate().filter(|(_, from)| **from + FALL_WINDOW_MS <= WARM_WITHIN_MS) {
+        let n = 2.0 * (capacity(*from) + capacity(from + FALL_WINDOW_MS)) / 2.0 * FALL_WINDOW_MS / 1_000.0
+            * calls_per_second;
+        let received = ages[no..].iter().take_while(|at| **at < from + FALL_WINDOW_MS).count() as f64;
+        assert!(
+            received <= n + 2.0 * n.sqrt() + 2.0,
+            "{received} in the window from {from:.0} ms, budget {n:.1}"
+        );
     }
     let mut served = [0; NODES];
     calls
         .iter()
-        .filter(|(at, _)| *at <= start + took)
+        .filter(|(at, _)| *at <= start + measured)
         .for_each(|(_, id)| served[(id >> 32) as usize - 1] += 1);
-    let (least, mean) = (*served.iter().min().unwrap(), served.iter().sum::<usize>() as f64 / NODES as f64);
+    let (min, mean) = (*served.iter().min().unwrap(), served.iter().sum::<usize>() as f64 / NODES as f64);
     println!(
-        "a warm worker took {a_second:.0} a second, the cold one {} in {took:.1?}; mean of a process {mean:.1}, least {least}",
+        "warm worker: {calls_per_second:.0} calls per second; cold worker: {} calls in {measured:.1?}; per process: mean {mean:.1}, min {min}",
         calls.len()
     );
-    assert!(mean >= 10.0, "the ramp is not kept by sending nothing");
-    assert!(least as f64 >= mean / 2.0, "one serves {least}, the mean is {mean:.1}: {served:?}");
-    book.keeps_the_rule();
+    assert!(mean >= 10.0, "too few calls reached the cold worker");
+    assert!(min as f64 >= mean / 2.0, "min {min}, mean {mean:.1}: {served:?}");
+    transcript.assert_no_violations();
 }
