--- a/crates/curlewpoint-catalogue/src/documents.rs
+++ b/crates/curlewpoint-catalogue/src/documents.rs
@@ -176,6 +176,7 @@
     operation
 }
 
+/// Generates the OpenAPI document.
 pub fn openapi(catalogue: &Catalogue) -> Value {
     let paths: Map<String, Value> =
         catalogue.methods().map(|m| (method_path(&m.name), json!({"post": operation(m)}))).collect();
@@ -187,25 +188,25 @@
     })
 }
 
-/// The channels of the AMQP door: a queue a method, and the queue that the requester names for the answer.
+/// Generates the AsyncAPI document: for each method its request queue, and the reply queue that the client names.
 pub fn asyncapi(catalogue: &Catalogue) -> Value {
     let (mut channels, mut operations) = (Map::new(), Map::new());
     for m in catalogue.methods() {
         let message = |payload: &Payload, description: &str, headers: Value, properties: Value| json!({"contentType": payload.media_type(), "summary": description, "payload": schema_of(payload), "headers": headers, "x-amqp-properties": properties});
-        let asks = json!({
+        let request_properties = json!({
             "message_id": "Required. Names the message; a repeat has the same one.",
             "reply_to": "Required. The queue for the answer.",
             "expiration": "Milliseconds that the requester waits; absent: the method's deadline.",
             "timestamp": "When it was sent, in seconds since 1970: what has passed since is taken off.",
         });
-        let says = json!({"correlation_id": "The message_id of what it answers."});
-        let asked = json!({"type": "object", "required": ["model"], "properties": {"model": {"type": "string", "minLength": 1, "maxLength": 1024}, "tenant": {"type": "string", "maxLength": 1024}}});
-        let answered = json!({"type": "object", "required": ["answer"], "properties": {"answer": {"enum": ["ok", "denied", "aborted"]}, "why": {"type": "string"}}});
+        let answer_properties = json!({"correlation_id": "The message_id of what it answers."});
+        let request_headers = json!({"type": "object", "required": ["model"], "properties": {"model": {"type": "string", "minLength": 1, "maxLength": 1024}, "tenant": {"type": "string", "maxLength": 1024}}});
+        let answer_headers = json!({"type": "object", "required": ["answer"], "properties": {"answer": {"enum": ["ok", "denied", "aborted"]}, "why": {"type": "string"}}});
         let queue = format!("curlewpoint.{}", m.name);
-        let address = json!({"address": queue, "messages": {"request": message(&m.request, &m.summary, asked, asks)}, "bindings": {"amqp": {"is": "queue", "queue": {"name": queue, "durable": true, "exclusive": false, "autoDelete": false}}}});
-        channels.insert(m.name.clone(), address);
-        let answers = json!({"address": null, "messages": {"answer": message(&m.answer, "The one final answer; a body only where it is ok.", answered, says)}});
-        channels.insert(format!("{}.answer", m.name), answers);
+        let request_channel = json!({"address": queue, "messages": {"request": message(&m.request, &m.summary, request_headers, request_properties)}, "bindings": {"amqp": {"is": "queue", "queue": {"name": queue, "durable": true, "exclusive": false, "autoDelete": false}}}});
+        channels.insert(m.name.clone(), request_channel);
+        let answer_channel = json!({"address": null, "messages": {"answer": message(&m.answer, "The one final answer; a body only where it is ok.", answer_headers, answer_properties)}});
+        channels.insert(format!("{}.answer", m.name), answer_channel);
         let reference = |channel: &str, message: &str| json!({"$ref": format!("#/channels/{channel}/messages/{message}")});
         let reply = format!("{}.answer", m.name);
         operations.insert(
--- a/crates/curlewpoint-cli/src/commands/soak.rs
+++ b/crates/curlewpoint-cli/src/commands/soak.rs
@@ -49,10 +49,10 @@
         if plan.system_calls.is_empty() { "no failing calls" } else { &plan.system_calls },
         if verdict.violations.is_empty() { "rules kept" } else { "BROKEN" },
     );
-    let chances: Vec<String> = verdict.checks.iter().map(|(rule, n)| format!("{rule:?} {n}")).collect();
-    println!("  judged: {}", chances.join(", "));
-    for fault in &report.harness_errors {
-        println!("  not counted: {fault}");
+    let checks: Vec<String> = verdict.checks.iter().map(|(rule, n)| format!("{rule:?} {n}")).collect();
+    println!("  judged: {}", checks.join(", "));
+    for error in &report.harness_errors {
+        println!("  not counted: {error}");
     }
     if verdict.violations.is_empty() {
         return;
--- a/crates/curlewpoint-cli/tests/common/mod.rs
+++ b/crates/curlewpoint-cli/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The program as its users call it.
+//! Runs the program by its command line.
 
 use std::process::{Command, Output};
 use std::sync::{Mutex, PoisonError};
@@ -7,15 +7,15 @@
     Command::new(env!("CARGO_BIN_EXE_curlewpoint"))
 }
 
-/// Plays want the machine for themselves: one at a time, whatever else runs.
-static STAGE: Mutex<()> = Mutex::new(());
+/// Scenarios need the machine for themselves: only one runs at a time.
+static SCENARIO_LOCK: Mutex<()> = Mutex::new(());
 
-/// Plays with so many schedulers, always from the same seed: the exit code, and all that was told.
-pub fn play(name: &str, schedulers: &str, more: &[&str]) -> (Option<i32>, String) {
-    let _alone = STAGE.lock().unwrap_or_else(PoisonError::into_inner);
+/// Runs a fleet scenario with a fixed seed. Returns the exit code and the output.
+pub fn run_scenario(name: &str, schedulers: &str, args: &[&str]) -> (Option<i32>, String) {
+    let _guard = SCENARIO_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let mut c = program();
-    c.args(["fleet", "play", name, "--schedulers", schedulers, "--seed", "7"]).args(more);
-    let Output { status, stdout, stderr } = c.output().expect("it runs");
-    let told = String::from_utf8_lossy(&stdout).into_owned() + &String::from_utf8_lossy(&stderr);
-    (status.code(), told)
+    c.args(["fleet", "play", name, "--schedulers", schedulers, "--seed", "7"]).args(args);
+    let Output { status, stdout, stderr } = c.output().expect("the program runs");
+    let output = String::from_utf8_lossy(&stdout).into_owned() + &String::from_utf8_lossy(&stderr);
+    (status.code(), output)
 }
--- a/crates/curlewpoint-cli/tests/crashes.rs
+++ b/crates/curlewpoint-cli/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! A scheduler is killed (a process, SIGKILL) at every step between a message's delivery and its end.
+//! Kills a scheduler process with SIGKILL at each step between the delivery of a message and the end of its processing.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -24,56 +24,56 @@
     "curlewpoint.dead",
 ];
 
-/// A scheduler; it is killed with its test.
-struct Serving(Child);
+/// A scheduler process. Dropping it kills the process.
+struct SchedulerProcess(Child);
 
-impl Drop for Serving {
+impl Drop for SchedulerProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-impl Serving {
-    /// Ends it in order, with nothing open.
-    async fn end(mut self) {
+impl SchedulerProcess {
+    /// Stops the scheduler with SIGTERM while no RPC is open, and checks that it exits with 0.
+    async fn stop(mut self) {
         let sent = Command::new("kill").args(["-s", "TERM", &self.0.id().to_string()]).status();
         assert!(sent.expect("kill runs").success());
-        let ended = tokio::task::spawn_blocking(move || self.0.wait().expect("it ends").code());
-        assert_eq!(ended.await.expect("it is waited for"), Some(0));
+        let exit = tokio::task::spawn_blocking(move || self.0.wait().expect("the process exits").code());
+        assert_eq!(exit.await.expect("the wait completes"), Some(0));
     }
 }
 
-struct Fleet {
+struct TestSystem {
     broker: TestBroker,
     list: TestListService,
     folder: PathBuf,
 }
 
-impl Drop for Fleet {
+impl Drop for TestSystem {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Fleet {
-    async fn start(test: &str, worker: &ScriptedWorker) -> Fleet {
+impl TestSystem {
+    async fn start(test: &str, worker: &ScriptedWorker) -> TestSystem {
         let broker = TestBroker::start("127.0.0.1:0", &QUEUES).await.expect("loopback");
         let list =
             TestListService::start("127.0.0.1:0", &Transcript::default(), Time(0)).await.expect("loopback");
         let (zone, cell) = ("z".to_owned(), "c".to_owned());
-        let (address, standing) = (worker.address.to_string(), Lifecycle::Ready);
+        let (address, lifecycle) = (worker.address.to_string(), Lifecycle::Ready);
         list.set_entry(
             &worker.name,
-            ListEntry { address, lifecycle: standing, start_id: 1, started_at: None, zone, cell, size: 1.0 },
+            ListEntry { address, lifecycle, start_id: 1, started_at: None, zone, cell, size: 1.0 },
         );
         let folder = std::env::temp_dir().join(format!("curlewpoint-crash-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        Fleet { broker, list, folder }
+        TestSystem { broker, list, folder }
     }
 
-    /// Starts a scheduler as a process; its journal is its own.
-    fn serve(&self, name: &str) -> Serving {
+    /// Starts a scheduler process with a journal of its own.
+    fn start_scheduler(&self, name: &str) -> SchedulerProcess {
         let amqp = format!(
             "amqp {{\n  address {}\n  journal {name}.journal\n  amqp-back-off 20ms\n}}\n",
             self.broker.address
@@ -89,14 +89,15 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()
-            .expect("it starts");
+            .expect("the process starts");
         let mut line = String::new();
         let _ = BufReader::new(child.stdout.as_mut().expect("piped")).read_line(&mut line);
         assert!(line.starts_with("serving"), "{line}");
-        Serving(child)
+        SchedulerProcess(child)
     }
 
-    fn ask(&self, method: &str) {
+    /// Publishes the message to the queue of a method.
+    fn publish(&self, method: &str) {
         let mut headers = FieldTable::default();
         headers.insert("model".into(), AMQPValue::LongString("births".into()));
         let properties = AMQPProperties::default()
@@ -108,113 +109,114 @@
     }
 
     /// Waits until one of these queues has a message.
-    async fn waiting(&self, queues: &[&str]) {
-        let came =
+    async fn wait_for_message(&self, queues: &[&str]) {
+        let result =
             tokio::time::timeout(Duration::from_secs(30), self.broker.wait_for_messages(queues, 1)).await;
-        assert!(came.is_ok(), "nothing came to {queues:?}");
+        assert!(result.is_ok(), "no message in {queues:?}");
     }
 }
 
-fn word(m: &Message) -> String {
+/// The kind of answer in the headers of a message.
+fn answer_kind(m: &Message) -> String {
     match m.properties.headers().as_ref().and_then(|h| h.inner().get("answer")) {
         Some(AMQPValue::LongString(s)) => s.to_string(),
         _ => String::new(),
     }
 }
 
-/// Where the scheduler is killed.
+/// The step at which the scheduler is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// The message has just been delivered: its intent may be written or not, its attempt be sent or not.
+    /// The message has just been delivered. Its intent may be written and its attempt sent, or not.
     Delivered,
-    /// A worker has the attempt.
+    /// A worker has received the attempt.
     CalledOut,
-    /// The worker has answered, and the answer may have been read or not.
+    /// The worker has answered. The scheduler may have read the answer or not.
     WorkerAnswered,
-    /// The commit of answer and acknowledgement has reached the broker, which has not done it.
+    /// The commit of answer and acknowledgement has reached the broker, which has not executed it.
     CommitSent,
-    /// The broker has done it, and its word was not read.
+    /// The broker has executed the commit, and the scheduler has not read the confirmation.
     CommitDone,
 }
 
-/// Who gets the message next.
+/// The scheduler that receives the message next.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Next {
-    /// The same instance, started anew with its journal.
+enum Successor {
+    /// The same instance, restarted with its journal.
     Same,
-    /// Another one, which runs already.
+    /// Another instance, which is already running.
     Another,
-    /// Nobody for a while; then another one.
-    NobodyYet,
+    /// Another instance, started some time after the kill.
+    Delayed,
 }
 
 const STEPS: [Step; 5] =
     [Step::Delivered, Step::CalledOut, Step::WorkerAnswered, Step::CommitSent, Step::CommitDone];
 
-async fn crash(method: &str, step: Step, next: Next) {
+async fn crash(method: &str, step: Step, next: Successor) {
     let mut worker = ScriptedWorker::start("a").await;
-    let fleet = Fleet::start(&format!("{method}-{step:?}-{next:?}"), &worker).await;
-    let first = fleet.serve("front-1");
-    let what = format!("{method}, killed at {step:?}, next is {next:?}");
-    let mut ran = BTreeMap::from([("m1".to_owned(), 0)]);
-    let delivered = fleet.broker.next_delivery().await;
+    let system = TestSystem::start(&format!("{method}-{step:?}-{next:?}"), &worker).await;
+    let first = system.start_scheduler("front-1");
+    let case = format!("{method}, killed at {step:?}, next is {next:?}");
+    let mut runs_by_token = BTreeMap::from([("m1".to_owned(), 0)]);
+    let delivered = system.broker.next_delivery().await;
     let commit = match step {
         Step::CommitSent | Step::CommitDone => {
-            Some(fleet.broker.silence_at_commit(step == Step::CommitDone).await)
+            Some(system.broker.silence_at_commit(step == Step::CommitDone).await)
         }
         _ => None,
     };
-    fleet.ask(method);
-    delivered.await.expect("it is delivered");
+    system.publish(method);
+    delivered.await.expect("the message is delivered");
     if step != Step::Delivered {
-        let asked = worker.next_attempt().await;
-        *ran.entry(asked.1.get_text(Field::TOKEN).expect("it has one").to_owned()).or_default() += 1;
+        let attempt = worker.next_attempt().await;
+        *runs_by_token.entry(attempt.1.get_text(Field::TOKEN).expect("a token").to_owned()).or_default() += 1;
         if step != Step::CalledOut {
-            worker.respond(&asked, Outcome::Ok);
+            worker.respond(&attempt, Outcome::Ok);
         }
         if let Some(commit) = commit {
-            commit.await.expect("it comes");
+            commit.await.expect("the commit arrives");
         }
     }
-    let another = (next == Next::Another).then(|| fleet.serve("front-2"));
-    // SIGKILL, and the process is gone.
+    let another = (next == Successor::Another).then(|| system.start_scheduler("front-2"));
+    // Kills the process with SIGKILL.
     drop(first);
     let another = match next {
-        Next::Same => Some(fleet.serve("front-1")),
-        Next::Another => another,
-        Next::NobodyYet => {
-            fleet.waiting(&[&format!("curlewpoint.{method}"), "office"]).await;
-            Some(fleet.serve("front-2"))
+        Successor::Same => Some(system.start_scheduler("front-1")),
+        Successor::Another => another,
+        Successor::Delayed => {
+            system.wait_for_message(&[&format!("curlewpoint.{method}"), "office"]).await;
+            Some(system.start_scheduler("front-2"))
         }
     };
-    // The worker serves whatever comes from here on, and counts it, until the one that is left has ended in order: after that
-    // nothing can come any more.
+    // The worker answers and counts all further attempts until the remaining scheduler has stopped; after that none can
+    // arrive.
     tokio::select! {
         () = async {
-            fleet.waiting(&["office"]).await;
-            another.expect("one is left").end().await;
+            system.wait_for_message(&["office"]).await;
+            another.expect("a remaining scheduler").stop().await;
         } => {}
         () = async {
             loop {
-                let asked = worker.next_attempt().await;
-                *ran.entry(asked.1.get_text(Field::TOKEN).unwrap_or("").to_owned()).or_default() += 1;
-                if worker.peers.contains_key(&asked.0) {
-                    worker.respond(&asked, Outcome::Ok);
+                let attempt = worker.next_attempt().await;
+                *runs_by_token.entry(attempt.1.get_text(Field::TOKEN).unwrap_or("").to_owned()).or_default() += 1;
+                if worker.peers.contains_key(&attempt.0) {
+                    worker.respond(&attempt, Outcome::Ok);
                 }
             }
-        } => unreachable!("it has no end"),
+        } => unreachable!("the worker loop does not end"),
     }
-    let answers = fleet.broker.messages("office").await;
-    let (times, told) = (ran["m1"], word(&answers[0]));
-    assert_eq!(answers.len(), 1, "{what}: one final answer");
+    let answers = system.broker.messages("office").await;
+    let (runs, answer) = (runs_by_token["m1"], answer_kind(&answers[0]));
+    assert_eq!(answers.len(), 1, "{case}: one final answer");
     if method != "read-fields" {
-        assert!(times <= 1, "{what}: ran {times} times");
-        assert!(told != "denied" || times == 0, "{what}: denied, and it ran");
+        assert!(runs <= 1, "{case}: ran {runs} times");
+        assert!(answer != "denied" || runs == 0, "{case}: denied although it ran");
     }
-    assert!(told != "ok" || times > 0, "{what}: ok, and it never ran");
+    assert!(answer != "ok" || runs > 0, "{case}: ok although it never ran");
     match (method, step) {
-        ("read-fields", _) | (_, Step::CommitDone) => assert_eq!(told, "ok", "{what}"),
-        (_, Step::CalledOut) => assert_eq!(told, "aborted", "{what}"),
+        ("read-fields", _) | (_, Step::CommitDone) => assert_eq!(answer, "ok", "{case}"),
+        (_, Step::CalledOut) => assert_eq!(answer, "aborted", "{case}"),
         _ => {}
     }
 }
@@ -222,11 +224,11 @@
 #[test_case("issue-extract" ; "side effecting")]
 #[test_case("read-register" ; "tokened")]
 #[test_case("read-fields" ; "idempotent")]
-fn a_kill_at_any_step_leaves_one_answer_and_no_effect_twice(method: &str) {
+fn a_kill_at_any_step_gives_one_answer_and_no_repeated_effect(method: &str) {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
         for step in STEPS {
-            for next in [Next::Same, Next::Another, Next::NobodyYet] {
+            for next in [Successor::Same, Successor::Another, Successor::Delayed] {
                 crash(method, step, next).await;
             }
         }
--- a/crates/curlewpoint-cli/tests/nodes.rs
+++ b/crates/curlewpoint-cli/tests/nodes.rs
@@ -38,15 +38,20 @@
 #[test]
 fn idle_clients_leave_descriptors_for_workers_discovery_and_active_clients() {
     let transcript = SharedTranscript::default();
-    let (at, calls) = start_worker(&transcript);
+    let (worker_address, calls) = start_worker(&transcript);
     let silent_discovery = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let config =
-        startup_config(7, &silent_discovery.local_addr().unwrap().to_string(), &[at], 64, settings(1));
+    let config = startup_config(
+        7,
+        &silent_discovery.local_addr().unwrap().to_string(),
+        &[worker_address],
+        64,
+        settings(1),
+    );
     let node = Node::start("idle", &config, 64);
     let idle_clients: Vec<Client> = (0..120)
-        .map(|no| {
+        .map(|index| {
             let mut idle = Client::new(&node.address, &transcript);
-            if no % 2 == 0 {
+            if index % 2 == 0 {
                 // The node may close some of these connections before it reads this.
                 let _ = idle.stream.write_all(&encode(&["CHECK", "1", ""]));
             }
@@ -106,8 +111,8 @@
 #[test]
 fn a_kill_right_after_an_accept_loses_and_repeats_nothing() {
     let transcript = SharedTranscript::default();
-    let (at, calls) = start_worker(&transcript);
-    let config = startup_config(7, "127.0.0.1:9", &[at], 256, settings(1));
+    let (worker_address, calls) = start_worker(&transcript);
+    let config = startup_config(7, "127.0.0.1:9", &[worker_address], 256, settings(1));
     let mut node = Node::start("killed", &config, 256);
     // Opens a connection to the worker and leaves a client connection open.
     let mut served = Client::new(&node.address, &transcript);
@@ -132,15 +137,15 @@
 #[test]
 fn a_stop_right_after_an_accept_answers_complete_requests() {
     let transcript = SharedTranscript::default();
-    let (at, calls) = start_worker(&transcript);
-    let config = startup_config(7, "127.0.0.1:9", &[at], 256, settings(1));
+    let (worker_address, calls) = start_worker(&transcript);
+    let config = startup_config(7, "127.0.0.1:9", &[worker_address], 256, settings(1));
     let mut node = Node::start("stopped", &config, 256);
     let mut clients = connect_while_suspended(&node, &transcript);
     signal(&node.child, "TERM");
     signal(&node.child, "CONT");
-    for (no, client) in clients.iter_mut().enumerate() {
+    for (index, client) in clients.iter_mut().enumerate() {
         while client.receive() {}
-        let want = if no == 3 { encode(&["1", "good", "", ""]) } else { vec![] };
+        let want = if index == 3 { encode(&["1", "good", "", ""]) } else { vec![] };
         assert_eq!(client.received().as_bytes(), want);
         assert!(!client.was_reset, "closed, not reset");
     }
@@ -157,14 +162,15 @@
 #[test]
 fn a_node_without_workers_logs_it_once_and_recovers() {
     let transcript = SharedTranscript::default();
-    let (at, calls) = start_worker(&transcript);
+    let (worker_address, calls) = start_worker(&transcript);
     let (sender, events) = mpsc::channel();
     let cold_since = Arc::<AtomicU64>::default();
     let is_silent = Arc::new(AtomicBool::new(true));
     let on_query = move |node| {
         let _ = sender.send(node);
     };
-    let resolver = start_discovery(0, vec![at], Arc::clone(&cold_since), Arc::clone(&is_silent), on_query);
+    let resolver =
+        start_discovery(0, vec![worker_address], Arc::clone(&cold_since), Arc::clone(&is_silent), on_query);
     let node = Node::start("nobody", &startup_config(7, &resolver, &[], 256, settings(1)), 256);
     let mut client = Client::new(&node.address, &transcript);
     client.send(&encode(&["CHECK", "1", ""]));
@@ -203,8 +209,9 @@
 #[test]
 fn a_node_out_of_descriptors_logs_it_once_and_recovers() {
     let transcript = SharedTranscript::default();
-    let (at, calls) = start_worker(&transcript);
-    let node = Node::start("gone", &startup_config(7, "127.0.0.1:9", &[at], 256, settings(1)), 48);
+    let (worker_address, calls) = start_worker(&transcript);
+    let node =
+        Node::start("gone", &startup_config(7, "127.0.0.1:9", &[worker_address], 256, settings(1)), 48);
     // Opens a connection to the worker.
     let mut first = Client::new(&node.address, &transcript);
     first.send(&call(1, 1));
@@ -244,35 +251,35 @@
     const QUERIES_AFTER_START: usize = 25;
     let transcript = SharedTranscript::default();
     let workers: Vec<_> = (0..=WARM_WORKERS).map(|_| start_worker(&transcript)).collect();
-    let addresses: Vec<String> = workers.iter().map(|(at, _)| at.clone()).collect();
+    let addresses: Vec<String> = workers.iter().map(|(address, _)| address.clone()).collect();
     let cold_since = Arc::<AtomicU64>::default();
     let (sender, events) = mpsc::channel();
     let nodes: Vec<Node> = (0..NODES)
-        .map(|no| {
+        .map(|index| {
             let sender = sender.clone();
             let on_query = move |node| drop(sender.send(Event::Queried(node)));
             let resolver =
-                start_discovery(no, addresses.clone(), Arc::clone(&cold_since), Arc::default(), on_query);
+                start_discovery(index, addresses.clone(), Arc::clone(&cold_since), Arc::default(), on_query);
             let config =
-                startup_config(no as u64 + 1, &resolver, &addresses[..WARM_WORKERS], 256, settings(NODES));
-            Node::start(&format!("cold-{no}"), &config, 256)
+                startup_config(index as u64 + 1, &resolver, &addresses[..WARM_WORKERS], 256, settings(NODES));
+            Node::start(&format!("cold-{index}"), &config, 256)
         })
         .collect();
     let mut clients: Vec<Client> = nodes.iter().map(|node| Client::new(&node.address, &transcript)).collect();
-    for (no, client) in clients.iter().enumerate() {
+    for (index, client) in clients.iter().enumerate() {
         let (mut answers, sender, transcript) =
             (client.stream.try_clone().unwrap(), sender.clone(), transcript.clone());
-        let at = client.index;
+        let client_index = client.index;
         std::thread::spawn(move || {
             let mut buffer = [0; 4096];
             while let Ok(n) = answers.read(&mut buffer) {
                 transcript.with(|r| match n {
-                    0 => r.conns[at].state = ConnState::ClosedByScheduler,
-                    n => r.conns[at].received.extend_from_slice(&buffer[..n]),
+                    0 => r.conns[client_index].state = ConnState::ClosedByScheduler,
+                    n => r.conns[client_index].received.extend_from_slice(&buffer[..n]),
                 });
                 // A reply contains one asterisk, its first byte.
                 let replies = buffer[..n].iter().filter(|b| **b == b'*').count();
-                if n == 0 || sender.send(Event::Replied(no, replies)).is_err() {
+                if n == 0 || sender.send(Event::Replied(index, replies)).is_err() {
                     return;
                 }
             }
@@ -281,12 +288,13 @@
     let (mut queries, mut sent, mut answered) = ([0; NODES], [0; NODES], [0; NODES]);
     let mut next = |calls: bool, queries: &mut [usize; NODES], sent: &mut [usize; NODES]| {
         match events.recv_timeout(STEP_TIMEOUT).expect("queries or replies") {
-            Event::Replied(no, replies) => answered[no] += replies,
-            Event::Queried(no) => {
-                queries[no] += 1;
+            Event::Replied(index, replies) => answered[index] += replies,
+            Event::Queried(index) => {
+                queries[index] += 1;
                 for _ in 0..if calls { CALLS_PER_QUERY } else { 0 } {
-                    sent[no] += 1;
-                    clients[no].send(&call(sent[no] as u64, (no as u64 + 1) << 32 | sent[no] as u64));
+                    sent[index] += 1;
+                    clients[index]
+                        .send(&call(sent[index] as u64, (index as u64 + 1) << 32 | sent[index] as u64));
                 }
             }
         }
@@ -313,10 +321,11 @@
     let calls = workers[WARM_WORKERS].1.lock().unwrap().clone();
     let ages: Vec<f64> = calls.iter().map(|(at, _)| (*at - start).as_secs_f64() * 1_000.0).collect();
     let capacity = |age: f64| (0.2 + 0.8 * age / WARM_WITHIN_MS).min(1.0);
-    for (no, from) in ages.iter().enumerate().filter(|(_, from)| **from + FALL_WINDOW_MS <= WARM_WITHIN_MS) {
+    for (index, from) in ages.iter().enumerate().filter(|(_, from)| **from + FALL_WINDOW_MS <= WARM_WITHIN_MS)
+    {
         let n = 2.0 * (capacity(*from) + capacity(from + FALL_WINDOW_MS)) / 2.0 * FALL_WINDOW_MS / 1_000.0
             * calls_per_second;
-        let received = ages[no..].iter().take_while(|at| **at < from + FALL_WINDOW_MS).count() as f64;
+        let received = ages[index..].iter().take_while(|at| **at < from + FALL_WINDOW_MS).count() as f64;
         assert!(
             received <= n + 2.0 * n.sqrt() + 2.0,
             "{received} in the window from {from:.0} ms, budget {n:.1}"
--- a/crates/curlewpoint-cli/tests/processes.rs
+++ b/crates/curlewpoint-cli/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The program as processes of its own, by its command line and signals.
+//! Tests the program as processes, by its command line and signals.
 
 use std::io::{BufRead, BufReader, Write};
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
     Command::new(env!("CARGO_BIN_EXE_curlewpoint"))
 }
 
-/// A process that tells where it listens; it is killed with its test.
+/// A process that prints its listening address. Dropping it kills the process.
 struct Process {
     child: Child,
     lines: std::io::Lines<BufReader<std::process::ChildStdout>>,
@@ -28,19 +28,19 @@
     fn start(args: &[&str]) -> Process {
         let mut start = program();
         start.args(args).env("CURLEWPOINT_LOG", "debug").stdout(Stdio::piped()).stderr(Stdio::piped());
-        let mut child = start.spawn().expect("it starts");
+        let mut child = start.spawn().expect("the process starts");
         let errors = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let (tell, log) = mpsc::channel();
-        std::thread::spawn(move || errors.map_while(Result::ok).for_each(|l| drop(tell.send(l))));
+        let (sender, log) = mpsc::channel();
+        std::thread::spawn(move || errors.map_while(Result::ok).for_each(|l| drop(sender.send(l))));
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
         let first = lines.next().expect("a line").expect("text");
         let address = first.rsplit(' ').next().expect("an address").to_owned();
         Process { child, lines, address, log }
     }
 
-    /// Waits for a line in its log.
-    fn logs(&self, what: &str) {
-        assert!(self.log.iter().any(|line| line.contains(what)), "the log ended without {what}");
+    /// Waits for a log line that contains the text.
+    fn wait_for_log(&self, text: &str) {
+        assert!(self.log.iter().any(|line| line.contains(text)), "the log ended without {text}");
     }
 
     fn signal(&self, name: &str) {
@@ -49,7 +49,7 @@
     }
 }
 
-struct Fleet {
+struct TestSystem {
     _store: Process,
     _worker: Process,
     _list: Process,
@@ -57,14 +57,14 @@
     folder: PathBuf,
 }
 
-impl Drop for Fleet {
+impl Drop for TestSystem {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A gateway with its stand-ins; an extract takes so long.
-fn fleet(name: &str, work: &str) -> Fleet {
+/// Starts a gateway with its test servers. `work` is the run time of an extract.
+fn start_system(name: &str, work: &str) -> TestSystem {
     let folder = std::env::temp_dir().join(format!("curlewpoint-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let write = |file: &str, text: &str| {
@@ -85,7 +85,7 @@
         ),
     );
     let gateway = Process::start(&["serve", &config]);
-    Fleet { _store: store, _worker: worker, _list: list, gateway, folder }
+    TestSystem { _store: store, _worker: worker, _list: list, gateway, folder }
 }
 
 fn call(address: &str) -> Command {
@@ -99,107 +99,115 @@
 }
 
 #[test]
-fn a_call_is_answered_and_a_stop_ends_with_nothing_lost() {
-    let mut f = fleet("stop", "1ms");
-    let Output { status, stdout, stderr } = call(&f.gateway.address).output().expect("it runs");
+fn a_call_is_answered_and_a_stop_loses_nothing() {
+    let mut f = start_system("stop", "1ms");
+    let Output { status, stdout, stderr } = call(&f.gateway.address).output().expect("the program runs");
     assert_eq!((status.code(), text(&stdout).as_str()), (Some(0), "scan of page 1"), "{}", text(&stderr));
     f.gateway.signal("TERM");
-    assert_eq!(f.gateway.child.wait().expect("it ends").code(), Some(0));
+    assert_eq!(f.gateway.child.wait().expect("the process exits").code(), Some(0));
     let last = f.gateway.lines.next().expect("a line").expect("text");
     assert_eq!(last, "stopped: taken 1 ok 1 denied 0 aborted 0 left 0 refused 0");
 }
 
-/// What it has taken is answered although the signal came first; a scheduler that is killed leaves its client without.
+/// Guards against a stop that leaves open calls unanswered. After a kill the client gets no answer.
 #[test]
-fn a_stop_answers_what_is_open_and_a_kill_does_not() {
+fn a_stop_answers_open_calls_and_a_kill_does_not() {
     for (signal, answered) in [("TERM", true), ("KILL", false)] {
-        let mut f = fleet(&format!("open-{signal}"), "900ms");
-        let open =
-            call(&f.gateway.address).stdout(Stdio::piped()).stderr(Stdio::null()).spawn().expect("it starts");
-        f.gateway.logs("attempt");
+        let mut f = start_system(&format!("open-{signal}"), "900ms");
+        let open = call(&f.gateway.address)
+            .stdout(Stdio::piped())
+            .stderr(Stdio::null())
+            .spawn()
+            .expect("the process starts");
+        f.gateway.wait_for_log("attempt");
         f.gateway.signal(signal);
-        let Output { status, stdout, .. } = open.wait_with_output().expect("it ends");
+        let Output { status, stdout, .. } = open.wait_with_output().expect("the process exits");
         assert_eq!(status.code(), Some(if answered { 0 } else { 5 }), "{signal}: {}", text(&stdout));
-        let ended = f.gateway.child.wait().expect("it ends").code();
+        let ended = f.gateway.child.wait().expect("the process exits").code();
         assert_eq!(ended, answered.then_some(0), "{signal}");
     }
 }
 
-/// The whole way over a broker, by the command line alone.
+/// Tests a call over a broker from end to end, by the command line only.
 #[test]
 fn a_trigger_is_answered_over_a_broker() {
-    let f = fleet("trigger", "1ms");
+    let f = start_system("trigger", "1ms");
     let queues = ["curlewpoint.issue-extract", "curlewpoint.dead", "replies"];
     let args: Vec<&str> = queues.iter().flat_map(|q| ["--queue", q]).collect();
     let broker = Process::start(&[&["broker", "127.0.0.1:0"], &args[..]].concat());
-    let good = std::fs::read_to_string(f.folder.join("gateway.conf")).expect("written");
+    let valid = std::fs::read_to_string(f.folder.join("gateway.conf")).expect("written");
     let path = f.folder.join("consumes.conf");
     let amqp = format!("amqp {{\n  address {}\n  journal consumes.journal\n}}\n", broker.address);
-    std::fs::write(&path, good.replace("front-1", "front-2") + &amqp).expect("written");
-    let consumes = Process::start(&["serve", &path.display().to_string()]);
-    consumes.logs("connected to the broker");
-    let trigger = |more: &[&str]| {
+    std::fs::write(&path, valid.replace("front-1", "front-2") + &amqp).expect("written");
+    let consumer = Process::start(&["serve", &path.display().to_string()]);
+    consumer.wait_for_log("connected to the broker");
+    let trigger = |extra: &[&str]| {
         let to =
             [&broker.address[..], "issue-extract", "births", "--reply-to", "replies", "--body", "page 1"];
-        program().arg("trigger").args(to).args(more).output().expect("it runs")
+        program().arg("trigger").args(to).args(extra).output().expect("the program runs")
     };
     let out = trigger(&["--id", "m1"]);
     assert_eq!((out.status.code(), text(&out.stdout).as_str()), (Some(0), "page 1"), "{}", text(&out.stderr));
     let out = trigger(&["--tenant", "nobody", "--left", "0ms"]);
-    assert_eq!(out.status.code(), Some(3), "it came too late: {}", text(&out.stderr));
-    consumes.signal("TERM");
-    let mut consumes = consumes;
-    assert_eq!(consumes.child.wait().expect("it ends").code(), Some(0));
+    assert_eq!(out.status.code(), Some(3), "its time was up: {}", text(&out.stderr));
+    consumer.signal("TERM");
+    let mut consumer = consumer;
+    assert_eq!(consumer.child.wait().expect("the process exits").code(), Some(0));
 }
 
-/// SIGHUP reads the file anew: one at fault changes nothing, one that is good does, and a call goes on meanwhile.
+/// SIGHUP reloads the file: an invalid one changes nothing, a valid one replaces the methods, and open calls continue.
 #[test]
-fn a_reload_by_signal_serves_other_methods_or_leaves_those_in_force() {
-    let f = fleet("hup", "900ms");
+fn a_reload_by_signal_replaces_the_methods_or_keeps_the_active_ones() {
+    let f = start_system("hup", "900ms");
     let path = f.folder.join("gateway.conf");
-    let good = std::fs::read_to_string(&path).expect("written");
+    let valid = std::fs::read_to_string(&path).expect("written");
     let change = |text: &str, logged: &str| {
         std::fs::write(&path, text).expect("written");
         f.gateway.signal("HUP");
-        f.gateway.logs(logged);
+        f.gateway.wait_for_log(logged);
     };
-    let open = call(&f.gateway.address).stdout(Stdio::piped()).spawn().expect("it starts");
-    f.gateway.logs("attempt");
+    let open = call(&f.gateway.address).stdout(Stdio::piped()).spawn().expect("the process starts");
+    f.gateway.wait_for_log("attempt");
     change(
-        &good.replace("deadline 5s\n}", "deadline 5s\n"),
+        &valid.replace("deadline 5s\n}", "deadline 5s\n"),
         "reload refused, the methods in force stay: error",
     );
-    change(&good.replace("name front-1", "name front-2"), "this changes only at a restart: name");
-    change(&good.replace("issue-extract", "issue-extracts"), "reloaded");
-    let Output { status, stdout, .. } = open.wait_with_output().expect("it ends");
+    change(&valid.replace("name front-1", "name front-2"), "this changes only at a restart: name");
+    change(&valid.replace("issue-extract", "issue-extracts"), "reloaded");
+    let Output { status, stdout, .. } = open.wait_with_output().expect("the process exits");
     assert_eq!((status.code(), text(&stdout).as_str()), (Some(0), "scan of page 1"));
-    let gone = call(&f.gateway.address).output().expect("it runs");
-    assert!(!gone.status.success() && text(&gone.stderr).contains("withdrawn"), "{}", text(&gone.stderr));
-    change(&good, "reloaded");
-    assert!(call(&f.gateway.address).output().expect("it runs").status.success());
+    let withdrawn = call(&f.gateway.address).output().expect("the program runs");
+    assert!(
+        !withdrawn.status.success() && text(&withdrawn.stderr).contains("withdrawn"),
+        "{}",
+        text(&withdrawn.stderr)
+    );
+    change(&valid, "reloaded");
+    assert!(call(&f.gateway.address).output().expect("the program runs").status.success());
 }
 
 #[test]
-fn a_faulty_configuration_starts_nothing_and_tells_all_faults() {
+fn an_invalid_configuration_starts_nothing_and_reports_all_errors() {
     let folder = std::env::temp_dir().join(format!("curlewpoint-faulty-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("gateway.conf");
     std::fs::write(&path, "name a\nlisten here\nlist 127.0.0.1:1\nnmae b\n").expect("written");
     for command in ["check", "serve"] {
-        let Output { status, stderr, stdout } = program().arg(command).arg(&path).output().expect("it runs");
-        let told = text(&stderr);
-        assert_eq!((status.code(), stdout.len()), (Some(2), 0), "{told}");
+        let Output { status, stderr, stdout } =
+            program().arg(command).arg(&path).output().expect("the program runs");
+        let output = text(&stderr);
+        assert_eq!((status.code(), stdout.len()), (Some(2), 0), "{output}");
         for want in
             ["'here' is not an address", "did you mean name?", "no method is given", "gateway.conf:2:8"]
         {
-            assert!(told.contains(want), "{want}: {told}");
+            assert!(output.contains(want), "{want}: {output}");
         }
     }
     std::fs::remove_dir_all(&folder).expect("removed");
 }
 
 #[test]
-fn a_release_that_breaks_its_clients_is_told_apart_by_its_exit_code() {
+fn a_breaking_release_is_reported_by_the_exit_code() {
     let folder = std::env::temp_dir().join(format!("curlewpoint-diff-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let write = |file: &str, text: &str| std::fs::write(folder.join(file), text).expect("written");
@@ -224,71 +232,73 @@
         write("old.conf", &config("old.json"));
         write("new.conf", &config(schema));
         let (old, new) = (folder.join("old.conf"), folder.join("new.conf"));
-        let out = program().args(["describe", "diff"]).args([old, new]).output().expect("it runs");
-        let told = text(&out.stdout) + &text(&out.stderr);
-        assert_eq!(out.status.code(), Some(code), "{told}");
-        assert!(told.contains(want), "{told}");
+        let out = program().args(["describe", "diff"]).args([old, new]).output().expect("the program runs");
+        let output = text(&out.stdout) + &text(&out.stderr);
+        assert_eq!(out.status.code(), Some(code), "{output}");
+        assert!(output.contains(want), "{output}");
     }
     std::fs::remove_dir_all(&folder).expect("removed");
 }
 
-/// A journal is listed with what the next start would do, and one that was damaged is said to be.
+/// Tests that a journal is listed with the action of the next start, and that damage is reported.
 #[test]
 fn a_journal_is_listed_and_verified() {
     use curlewpoint::types::Time;
     use curlewpoint_journal::{Journal, JournalLimits, RecordVisitor};
     use curlewpoint_trigger::{AnswerKind, FinalAnswer, MessageKey};
-    struct Nobody;
-    impl RecordVisitor for Nobody {
+    struct IgnoreRecords;
+    impl RecordVisitor for IgnoreRecords {
         fn intent(&mut self, _: MessageKey, _: Time) {}
         fn answer(&mut self, _: MessageKey, _: Time, _: FinalAnswer) {}
     }
     let path = std::env::temp_dir().join(format!("curlewpoint-journal-{}", std::process::id()));
-    let journal = Journal::open(&path, JournalLimits::default(), &mut Nobody).expect("it opens");
+    let journal =
+        Journal::open(&path, JournalLimits::default(), &mut IgnoreRecords).expect("the journal opens");
     let name = |id: &str| MessageKey { id: id.to_owned(), reply_to: "office".to_owned() };
     journal.write_intent(&name("sent"), Time(1), |_| {});
     let aborted = FinalAnswer { kind: AnswerKind::Aborted, reason: String::new(), body: Default::default() };
     journal.write_answer(&name("told"), Time(2), &aborted);
-    let run = |what: &str| program().args(["journal", what]).arg(&path).output().expect("it runs");
+    let run =
+        |command: &str| program().args(["journal", command]).arg(&path).output().expect("the program runs");
     let busy = run("verify");
-    assert_eq!(busy.status.code(), Some(1), "a scheduler holds it");
+    assert_eq!(busy.status.code(), Some(1), "the journal is locked");
     drop(journal);
     let listed = text(&run("list").stdout);
     let lines: Vec<&str> = listed.lines().collect();
     assert!(lines[0].starts_with("sent  office") && lines[0].contains("may have been sent"), "{listed}");
     assert!(lines[1].starts_with("told  office") && lines[1].contains("answered Aborted"), "{listed}");
     assert!(lines[2].contains("intact, 2 records"), "{listed}");
-    let mut bytes = std::fs::read(&path).expect("it is there");
-    // The first half of the file holds the store's own pages, all of them checked.
+    let mut bytes = std::fs::read(&path).expect("the journal exists");
+    // Damages bytes throughout the file, whose first half holds checksummed pages of the store.
     bytes.iter_mut().skip(64).step_by(97).for_each(|b| *b ^= 0x55);
     std::fs::write(&path, bytes).expect("written");
-    let told = run("verify");
-    assert_eq!(told.status.code(), Some(1), "{}", text(&told.stdout));
+    let output = run("verify");
+    assert_eq!(output.status.code(), Some(1), "{}", text(&output.stdout));
     std::fs::remove_file(&path).expect("removed");
 }
 
 #[test]
-fn nobody_there_is_told_plainly() {
-    let out = program().args(["call", "127.0.0.1:1", "m", "m"]).output().expect("it runs");
+fn an_unreachable_scheduler_is_reported_in_one_line() {
+    let out = program().args(["call", "127.0.0.1:1", "m", "m"]).output().expect("the program runs");
     assert_eq!(out.status.code(), Some(5));
     assert_eq!(text(&out.stderr).lines().count(), 1, "{}", text(&out.stderr));
 }
 
-/// As many clients as the cap connect at once, as far as this machine's descriptors go; each is answered.
+/// Guards against refused clients below the limit: as many connect at once as the limit and the descriptors allow.
 #[test]
 fn ten_thousand_clients_connect_at_once() {
     use std::io::Read;
     use std::net::TcpStream;
-    let f = fleet("many", "1ms");
+    let f = start_system("many", "1ms");
     let limits = std::fs::read_to_string("/proc/self/limits").unwrap_or_default();
     let files = limits.lines().find(|l| l.starts_with("Max open files"));
     let files: usize = files.and_then(|l| l.split_whitespace().nth(3)?.parse().ok()).unwrap_or(1024);
-    let many = 10_000.min(files - 200);
-    // A hello: length, kind 1, head of 2 fields (version 1, and the name), written by hand.
+    let clients = 10_000.min(files - 200);
+    // A HELLO frame: length, kind 1, and two fields (version 1 and the name).
     let hello = [0, 0, 0, 9, 0, 1, 0, 5, 1, 1, 2, 0x61, b'x'];
-    let all: Vec<TcpStream> = (0..many)
+    let all: Vec<TcpStream> = (0..clients)
         .map(|_| {
-            let mut stream = TcpStream::connect(&f.gateway.address).expect("it accepts");
+            let mut stream = TcpStream::connect(&f.gateway.address).expect("the gateway accepts");
             stream.write_all(&hello).expect("written");
             stream
         })
@@ -296,40 +306,41 @@
     for mut stream in &all {
         let mut head = [0; 6];
         stream.read_exact(&mut head).expect("a hello");
-        assert_eq!(head[5], 1, "a hello, no fault");
+        assert_eq!(head[5], 1, "a HELLO, not a FAULT");
     }
     drop(all);
-    let out = call(&f.gateway.address).output().expect("it runs");
+    let out = call(&f.gateway.address).output().expect("the program runs");
     assert_eq!(out.status.code(), Some(0), "{}", text(&out.stderr));
 }
 
-/// Guards against a node that ends, or loses its directory, when its file is replaced; and one that ends badly when told to.
+/// Guards against a node that exits, or loses its discovery address, when its startup configuration is replaced, and
+/// against a failing exit after a stop signal.
 #[test]
-fn a_node_reads_its_file_anew_and_ends_well() {
+fn a_node_rereads_its_startup_configuration_and_exits_with_0() {
     let file = std::env::temp_dir().join(format!("curlewpoint-node-{}.json", std::process::id()));
-    let told = |resolver: &str| {
+    let startup_config = |resolver: &str| {
         format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"7","resolver":"{resolver}","settings":{{}},
             "limits":{{"cores":1.0,"memory_mb":64,"sockets":256}},"known":{{"cursor":0,"cmds":[]}}}}"#
         )
     };
-    std::fs::write(&file, told("127.0.0.1:9")).unwrap();
+    std::fs::write(&file, startup_config("127.0.0.1:9")).unwrap();
     let mut node = Process::start(&["node", &file.display().to_string()]);
     std::fs::write(&file, "{ half a fi").unwrap();
     node.signal("HUP");
-    node.logs("keeping the current discovery address");
-    std::fs::write(&file, told("127.0.0.1:10")).unwrap();
+    node.wait_for_log("keeping the current discovery address");
+    std::fs::write(&file, startup_config("127.0.0.1:10")).unwrap();
     node.signal("HUP");
-    node.logs("the discovery address is now 127.0.0.1:10");
-    // One that was half written at the signal is read again once it is whole.
+    node.wait_for_log("the discovery address is now 127.0.0.1:10");
+    // A file that is half written at the signal is read again once it is complete.
     std::fs::write(&file, "{ half a fi").unwrap();
     node.signal("HUP");
-    node.logs("cannot read the startup configuration yet");
-    std::fs::write(&file, told("127.0.0.1:11")).unwrap();
-    node.logs("the discovery address is now 127.0.0.1:11");
-    std::net::TcpStream::connect(&node.address).expect("it still serves");
+    node.wait_for_log("cannot read the startup configuration yet");
+    std::fs::write(&file, startup_config("127.0.0.1:11")).unwrap();
+    node.wait_for_log("the discovery address is now 127.0.0.1:11");
+    std::net::TcpStream::connect(&node.address).expect("the node still serves");
     node.signal("TERM");
-    node.logs("stopped");
+    node.wait_for_log("stopped");
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
     let _ = std::fs::remove_file(file);
 }
