--- a/crates/curlewpoint-cli/tests/nodes.rs
+++ b/crates/curlewpoint-cli/tests/nodes.rs
@@ -240,7 +240,7 @@
 
 /// Guards against node processes that together overload a cold worker, and against one process that gets no share of it.
 /// All demand moves to the cold worker at the moment that it is listed. Each client sends five calls per discovery query of
-/// its node, so that a slow machine slows both. The engine has the same test in simulated time (cold.rs).
+/// its node, so that a slow machine slows both. The engine has the same test in simulated time (cold_workers.rs).
 #[test]
 fn thirty_processes_share_the_capacity_of_a_cold_worker() {
     const NODES: usize = 30;
