--- a/crates/curlewpoint-rig/src/scale/place.rs
+++ b/crates/curlewpoint-rig/src/scale/place.rs
@@ -1,14 +1,14 @@
 use curlewpoint::types::Time;
 
-/// Regions, and zones in all: 4 in the first, 3 in each other.
+/// Number of regions and of zones: 4 zones in the first region, 3 in each other.
 pub const REGIONS: usize = 5;
 pub const ZONES: usize = 16;
 
-/// Ways between two instances, one way; assumptions, as the plan names none: within a zone, between zones of a region,
-/// between regions, in tenths of a millisecond.
+/// Assumed one-way latencies in tenths of a millisecond, as the plan gives none: within a zone, between zones of a region, and
+/// between regions.
 pub const WAYS: [Time; 3] = [Time(3), Time(10), Time(400)];
 
-/// A zone, spread over the instances in turn.
+/// The zone of an instance, assigned round-robin.
 pub fn zone_of(instance: usize) -> usize {
     instance % ZONES
 }
@@ -18,8 +18,8 @@
     zone % REGIONS
 }
 
-/// One way between two instances, the same each time, so that what is sent on one link keeps its order; up to half as
-/// much again by the link.
+/// One-way latency between two instances. It is constant for a link, so that the link keeps its order, and up to 50% longer
+/// than the base latency, depending on the link.
 pub fn way(a: usize, b: usize, link: u64) -> Time {
     let (x, y) = (zone_of(a), zone_of(b));
     let base = match (x == y, region_of(x) == region_of(y)) {
