--- a/crates/curlewpoint-rig/src/scale/mod.rs
+++ b/crates/curlewpoint-rig/src/scale/mod.rs
@@ -1,8 +1,7 @@
-//! Hollow schedulers, many in one process: the real state machines and the real frames, a made-up network and time.
+//! Simulates many schedulers in one process: real state machines and frames, simulated network and time.
 //!
-//! Bytes are those of the frames that a real link would carry; processor time is that of the thread inside the state
-//! machine, the encoder and the decoder; memory is told by differences of the resident size. Counts and bytes are the
-//! same again from the same seed.
+//! Bytes are those of the frames that a real link would carry. Processor time is that of the thread inside the state machine,
+//! the encoder and the decoder. Memory is the growth of the resident size. The same seed gives the same counts and bytes.
 
 mod fit;
 mod fleet_part;
@@ -28,10 +27,10 @@
 pub use tally::{resident, Meter, Tally, GROUPS};
 pub use worker_part::{borne, Borne, Choice, Scene};
 
-/// Sizes that can be played.
+/// Range of the number of schedulers in a simulated fleet.
 pub const MIN_SCHEDULERS: usize = 16;
 pub const MAX_SCHEDULERS: usize = 4_000;
-/// Bytes a second of a link that can be played.
+/// Range of a link's rate in bytes per second.
 pub const LINK_RATES: std::ops::RangeInclusive<u64> = 1_000..=1_000_000_000;
-/// Bytes a second of a directory of copies that can be played.
+/// Range of the copy directory's budget in bytes per second.
 pub const DIRECTORY_BUDGETS: std::ops::RangeInclusive<u64> = 100..=1_000_000;
--- a/crates/curlewpoint-rig/src/scale/module_part.rs
+++ b/crates/curlewpoint-rig/src/scale/module_part.rs
@@ -1,4 +1,4 @@
-//! What a call costs the decision module, by workers and functions, on the real module: processor time of the thread.
+//! Measures the processor time that a call costs the real decision module, by number of workers and functions.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 use crate::scale::plan;
 use crate::scale::tally::{resident, Meter};
 
-const TICK: TimerId = TimerId(u64::MAX >> 1);
-/// The module looks around so often.
-const BETWEEN_TICKS: Time = Time(200);
-/// An answer comes so long after its attempt.
-const ANSWER: Time = Time(400);
+const TICK_TIMER: TimerId = TimerId(u64::MAX >> 1);
+/// Interval of the module's ticks.
+const TICK_INTERVAL: Time = Time(200);
+/// Time from an attempt to its answer.
+const ANSWER_DELAY: Time = Time(400);
 
-/// Remembers what was asked for.
+/// Records the actions that the module requests.
 #[derive(Default)]
-struct Desk {
+struct RecordingHost {
     attempts: Vec<(RpcId, WorkerId)>,
     probes: Vec<WorkerId>,
     loads: Vec<(WorkerId, FunctionId)>,
     seen: u64,
 }
 
-impl Host for Desk {
+impl Host for RecordingHost {
     fn attempt(&mut self, rpc: RpcId, worker: WorkerId, _: Time) {
         self.attempts.push((rpc, worker));
     }
@@ -48,15 +48,15 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// What a call cost the module.
+/// Cost of calls in the module.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     pub workers: usize,
     pub functions: usize,
     pub calls: u64,
-    /// In the call that takes an RPC and chooses its worker.
+    /// Processor time of receiving RPCs and choosing their workers.
     pub choice: Duration,
-    /// In all others: ends of attempts, probes and loads, and looks around.
+    /// Processor time of everything else: ends of attempts, probes and loads, and ticks.
     pub rest: Duration,
     /// Growth of the resident size, in bytes.
     pub memory: Option<u64>,
@@ -66,7 +66,7 @@
 }
 
 impl Cost {
-    /// Microseconds a call, with the choice of the worker and without.
+    /// Microseconds per call, with and without choosing the worker.
     pub fn us(&self) -> (f64, f64) {
         let each = |d: Duration| d.as_secs_f64() * 1e6 / self.calls.max(1) as f64;
         (each(self.choice + self.rest), each(self.rest))
@@ -77,8 +77,8 @@
     no.wrapping_add(1).wrapping_mul(salt)
 }
 
-/// Drives one module: `workers` in its list, `functions` asked for by a power law, calls at the plan's rate, each
-/// answered from a warm copy; `calls` of them are measured after half as many that are not.
+/// Drives one module with `workers` in its list and `functions` requested by a power law, at the plan's call rate, each call
+/// answered from a warm copy. Measures `calls` calls after half as many for warm-up.
 pub fn module_cost(seed: u64, schedulers: usize, workers: usize, functions: usize, calls: u64) -> Cost {
     let meter = Meter::new();
     let before = resident();
@@ -92,17 +92,17 @@
         "loadInfo": {"how": "pull", "names": ["utilization", "outstanding", "x0"]},
     });
     let settings = settings.as_object().cloned().unwrap_or_default();
-    let mut module = Scheduler::start(Desk::default(), u128::from(seed), settings);
+    let mut module = Scheduler::start(RecordingHost::default(), u128::from(seed), settings);
     let mut now = Time(1_000_000);
     for no in 0..workers as u64 {
         let worker = WorkerId(id(no, 0x9e37_79b9_7f4a_7c15));
         module.worker_listed(now, worker, Lifecycle::Ready, Time(0), ZoneId(0), CellId(0), 1.0);
     }
     module.list_received(now, None);
-    // All have been up for a minute.
+    // All workers have been up for a minute.
     for _ in 0..3_000 {
-        now = now + BETWEEN_TICKS;
-        module.timer_fired(now, TICK);
+        now = now + TICK_INTERVAL;
+        module.timer_fired(now, TICK_TIMER);
     }
     let mut rng = Rand64::new(u128::from(seed) + 2);
     let mut cost = Cost { workers, functions, ..Cost::default() };
@@ -115,9 +115,9 @@
         }
         now = now + between;
         let mut rest = Duration::ZERO;
-        if now - ticked >= BETWEEN_TICKS {
+        if now - ticked >= TICK_INTERVAL {
             ticked = now;
-            rest += meter.time(|| module.timer_fired(now, TICK)).1;
+            rest += meter.time(|| module.timer_fired(now, TICK_TIMER)).1;
         }
         let rank = (functions as f64).powf(rng.rand_float()) as u64;
         let function = FunctionId(id(rank, 0xbf58_476d_1ce4_e5b9));
@@ -133,7 +133,7 @@
             .time(|| {
                 for (rpc, _) in attempts {
                     let (no, ok, warm) = (AttemptNumber(0), Outcome::Ok, CopyReport::Warm);
-                    module.attempt_ended(now, rpc, no, ok, ANSWER, true, warm, 1, &report);
+                    module.attempt_ended(now, rpc, no, ok, ANSWER_DELAY, true, warm, 1, &report);
                 }
                 probes.into_iter().for_each(|worker| module.load_report_received(now, worker, &report));
                 for (worker, function) in loads {
