--- a/crates/curlewpoint-rig/src/scale/fit.rs
+++ b/crates/curlewpoint-rig/src/scale/fit.rs
@@ -1,24 +1,24 @@
-//! A line or a parabola through sizes, by least squares, and how far its forecast is from what was played.
+//! Least-squares fit of a line or parabola over fleet sizes, and how far its forecast is from the measured values.
 
-/// Sizes up to this are fitted, larger ones are forecast.
+/// Largest fleet size that is fitted; larger ones are forecast.
 pub const FITTED: usize = 1_000;
-/// A forecast further off than this is told.
+/// Relative error beyond which a forecast is marked as off.
 pub const OFF: f64 = 0.25;
-/// The square is taken in where a line misses by this part of the mean somewhere, and it cuts the sum of squares to a
-/// quarter.
+/// The quadratic term is used if the line misses a point by more than the first part of the mean and the term reduces the sum of
+/// squares to at most the second part.
 const SHOWS: (f64, f64) = (0.03, 0.25);
 
 /// `constant + linear * n + square * n^2`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fit {
     pub terms: [f64; 3],
-    /// Measured less fitted, by size.
+    /// Measured minus fitted value, by size.
     pub residuals: Vec<(usize, f64)>,
-    /// Sizes beyond the fit: size, forecast, played.
+    /// Sizes beyond the fit: size, forecast and measured value.
     pub forecasts: Vec<(usize, f64, f64)>,
 }
 
-/// Solves for as many terms as `terms`; none: the sizes do not tell so many.
+/// Solves the normal equations for `terms` terms; `None` if the points don't determine them.
 fn solve(points: &[(f64, f64)], terms: usize) -> Option<[f64; 3]> {
     if points.len() < terms {
         return None;
@@ -59,7 +59,7 @@
     /// Fits sizes up to `FITTED` and forecasts the others. None: fewer than two sizes to fit.
     pub fn of(points: &[(usize, f64)]) -> Option<Fit> {
         let (small, large): (Vec<_>, Vec<_>) = points.iter().partition(|(n, _)| *n <= FITTED);
-        // In thousands, that the sums stay alike in size.
+        // Sizes in thousands keep the sums within a similar magnitude.
         let scaled: Vec<(f64, f64)> = small.iter().map(|(n, y)| (*n as f64 / 1000.0, *y)).collect();
         let of = |terms| {
             let [a, b, c] = solve(&scaled, terms)?;
@@ -70,7 +70,7 @@
         let mut terms = of(2)?;
         let mean = small.iter().map(|(_, y)| y.abs()).sum::<f64>() / small.len() as f64;
         let worst = small.iter().map(|(n, y)| (y - value(&terms, *n as f64)).abs()).fold(0.0, f64::max);
-        // Three sizes lie on a parabola whatever they are: it takes one more to show.
+        // Any three points lie on a parabola, so four are needed to show one.
         if small.len() > 3 && worst > SHOWS.0 * mean {
             if let Some(bent) = of(3).filter(|t| squares(t) <= SHOWS.1 * squares(&terms)) {
                 terms = bent;
@@ -86,7 +86,7 @@
     terms[0] + terms[1] * n + terms[2] * n * n
 }
 
-/// By what part of what was played a forecast is off.
+/// Relative error of a forecast against the measured value.
 pub fn off(forecast: f64, played: f64) -> f64 {
     if played == 0.0 {
         return if forecast.abs() < 1e-9 { 0.0 } else { f64::INFINITY };
--- a/crates/curlewpoint-rig/src/scale/parts.rs
+++ b/crates/curlewpoint-rig/src/scale/parts.rs
@@ -3,7 +3,7 @@
 use curlewpoint::types::Time;
 
 use crate::scale::fleet_part::{
-    all_start, book_bytes, rows_held, settle, Load, OneSecond, Rate, Settled, SECOND, WHOLE_LISTS,
+    all_start, endpoint_table_bytes, rows_held, settle, Load, OneSecond, Rate, Settled, SECOND, WHOLE_LISTS,
 };
 use crate::scale::measure::{Ledger, Measurements};
 use crate::scale::module_part::module_cost;
@@ -159,7 +159,7 @@
     let times = effort.times;
     // First of all: what a fleet has freed would be taken up again by the books, and grow nothing. What they free is a
     // hundredth of what the fleet takes.
-    let left_out = if times { book_bytes(plan::workers(n) - rows_held(n)) } else { None };
+    let left_out = if times { endpoint_table_bytes(plan::workers(n) - rows_held(n)) } else { None };
     let mut fleet = settled(seed, n, effort.simulation, outcome);
     if times {
         let per_row = fleet.memory.zip(left_out).map(|(held, left)| held + left);
--- a/crates/curlewpoint-rig/src/scale/report.rs
+++ b/crates/curlewpoint-rig/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! Figures of all sizes beside each other, as text and as JSON.
+//! The measurements of all fleet sizes side by side, as text and as JSON.
 
 use std::fmt::Write as _;
 
@@ -9,13 +9,13 @@
 use crate::scale::plan;
 use crate::scale::steps::Table;
 
-/// All that was measured from one seed.
+/// All measurements from one seed.
 pub struct Report {
     pub seed: u64,
     pub outcomes: Vec<Measurements>,
 }
 
-/// Short enough to read, long enough to tell a difference.
+/// Formats a value with a precision that suits its magnitude.
 fn short(v: f64) -> String {
     match v.abs() {
         x if x >= 1000.0 => format!("{v:.0}"),
@@ -26,7 +26,7 @@
 }
 
 impl Report {
-    /// Each figure once, role by role, in the order in which they were measured first.
+    /// Each measure once, grouped by role, in the order of first measurement.
     fn names(&self) -> Vec<&Measure> {
         let mut all: Vec<&Measure> = Vec::new();
         for m in self.outcomes.iter().flat_map(|o| &o.measures) {
--- a/crates/curlewpoint-rig/src/scale/simulation.rs
+++ b/crates/curlewpoint-rig/src/scale/simulation.rs
@@ -15,26 +15,25 @@
 use crate::scale::place;
 use crate::scale::tally::{Meter, Tally};
 
-/// Links opened by peers count from here.
-const THEIRS: u64 = 1 << 63;
+/// First id of links opened by peers.
+const FIRST_PEER_LINK: u64 = 1 << 63;
 const FLEET: &str = "scale";
 /// As the gateway's.
-const MOST_FRAME: usize = 64 << 10;
+const MAX_FRAME_BYTES: usize = 64 << 10;
 /// Peers to begin with.
-const PEERS: usize = 3;
+const SEED_PEERS: usize = 3;
 const TICK: Time = Time(1_000);
 /// Tenths of a millisecond in a second.
 const SECOND: u64 = 10_000;
-/// Assumed of a link where nothing else is told: 100 Mbit/s.
+/// Default link rate in bytes per second: 100 Mbit/s.
 pub const DEFAULT_LINK_RATE: u64 = 12_500_000;
 /// As the gateway's `dial-limit`.
 const DIAL_LIMIT: Time = Time(2_500);
 /// One way to the list service.
-const SERVICE_WAY: Time = Time(20);
+const SERVICE_LATENCY: Time = Time(20);
 const EPOCH: u64 = 1;
 
-/// Bounds of a hollow instance: as the settings' defaults, but for the number of members and links, which are set to
-/// what the plan's size needs.
+/// Limits of a simulated instance: the settings' defaults, except that the numbers of members and links fit the planned size.
 pub const BOUNDS: FleetLimits = FleetLimits {
     max_instances: 8_192,
     max_inbound_links: 4_096,
@@ -44,7 +43,7 @@
     exchange_hints: true,
 };
 
-enum Act {
+enum DriverAction {
     Dial(LinkId, String),
     Close(LinkId),
     Say(LinkId, BytesMut),
@@ -52,25 +51,25 @@
     AskService(BytesMut),
 }
 
-/// The hands of one fleet: encodes what it says, as the gateway does, and counts it.
+/// Driver of one simulated fleet member: encodes its frames as the gateway does, and counts them.
 #[derive(Default)]
-struct Hands {
+struct SimulatedDriver {
     now: Time,
-    acts: Vec<Act>,
+    actions: Vec<DriverAction>,
     sent: Tally,
-    /// Links on which the directory has said something.
+    /// Links on which directory frames were sent.
     directory: BTreeSet<LinkId>,
     list: Option<(u64, u64)>,
     rows: u64,
     hints: u64,
 }
 
-impl Hands {
+impl SimulatedDriver {
     fn say(&mut self, link: LinkId, frame: &Frame) {
-        if !matches!(self.acts.last(), Some(Act::Say(on, _)) if *on == link) {
-            self.acts.push(Act::Say(link, BytesMut::new()));
+        if !matches!(self.actions.last(), Some(DriverAction::Say(on, _)) if *on == link) {
+            self.actions.push(DriverAction::Say(link, BytesMut::new()));
         }
-        let Some(Act::Say(_, bytes)) = self.acts.last_mut() else { return };
+        let Some(DriverAction::Say(_, bytes)) = self.actions.last_mut() else { return };
         let before = bytes.len();
         Codec::encode_header(frame, bytes);
         bytes.extend_from_slice(&frame.body);
@@ -78,12 +77,12 @@
     }
 }
 
-impl FleetDriver for Hands {
+impl FleetDriver for SimulatedDriver {
     fn dial(&mut self, link: LinkId, address: &str) {
-        self.acts.push(Act::Dial(link, address.to_owned()));
+        self.actions.push(DriverAction::Dial(link, address.to_owned()));
     }
     fn close(&mut self, link: LinkId) {
-        self.acts.push(Act::Close(link));
+        self.actions.push(DriverAction::Close(link));
     }
     fn refuse(&mut self, link: LinkId, why: &str) {
         self.say(link, &Frame::new(Kind::FAULT).text(Field::REASON, why));
@@ -117,12 +116,12 @@
         self.say(link, &frames::list_end_frame());
     }
     fn set_watching(&mut self, on: bool) {
-        self.acts.push(Act::Watch(on));
+        self.actions.push(DriverAction::Watch(on));
     }
     fn request_service_list(&mut self, held: Option<(u64, u64)>) {
         let mut bytes = BytesMut::new();
         Codec::encode_header(&frames::list_request_frame(held), &mut bytes);
-        self.acts.push(Act::AskService(bytes));
+        self.actions.push(DriverAction::AskService(bytes));
     }
     fn deliver_list_begin(&mut self, version: (u64, u64), _: Option<u64>) {
         self.list = Some(version);
@@ -145,7 +144,7 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// What a hollow instance has sent and got, and the processor time in its state machine and its frames.
+/// What a simulated instance sent and received, and the processor time of its state machine and frame codec.
 #[derive(Clone, Debug, Default)]
 pub struct Spent {
     pub sent: Tally,
@@ -158,15 +157,15 @@
     pub directory_peers: usize,
 }
 
-struct Hollow {
+struct SimulatedInstance {
     fleet: Fleet,
-    hands: Hands,
-    /// Another for each start.
-    life: u64,
+    driver: SimulatedDriver,
+    /// Incremented with each start.
+    start_number: u64,
     alive: bool,
-    /// The far ends: instance, its life, its link.
+    /// The remote end of each link: instance, its start number and its link id.
     links: BTreeMap<LinkId, (usize, u64, LinkId)>,
-    /// Until when what was said on a link is on its way out.
+    /// When each link has transmitted everything sent so far.
     busy: BTreeMap<LinkId, Time>,
     serial: u64,
     watching: bool,
@@ -191,7 +190,7 @@
     at: Time,
     no: u64,
     to: usize,
-    life: u64,
+    start_number: u64,
     what: What,
 }
 
@@ -212,15 +211,15 @@
     }
 }
 
-/// Many hollow instances in one made-up network, with one event queue. The same seed gives the same events again.
+/// Many simulated instances in a simulated network with one event queue. The same seed gives the same events.
 pub struct Simulation {
     pub now: Time,
-    all: Vec<Hollow>,
+    all: Vec<SimulatedInstance>,
     addresses: BTreeMap<String, usize>,
     events: BinaryHeap<Reverse<Event>>,
     next: u64,
     rng: Rand64,
-    told: u64,
+    configured_instances: u64,
     /// Instances on different sides cannot reach each other.
     sides: Vec<u8>,
     /// The list service: names and rows, its version, and what changed with each.
@@ -232,12 +231,12 @@
     meter: Meter,
 }
 
-/// What a world is played with.
+/// Settings of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SimulationSettings {
-    /// Bytes that one link carries in a second, one way.
+    /// Bytes per second that a link carries in each direction.
     pub link_rate: u64,
-    /// Bytes a second that the directory of copies may send at each instance; none: hints go round the rings.
+    /// Bytes per second that each instance may send for the copy directory; `None` sends hints round the rings.
     pub directory_budget: Option<u64>,
 }
 
@@ -256,7 +255,7 @@
     format!("10.{zone}.{}.{}:7100", instance >> 8, instance & 255)
 }
 
-/// A row of the list as it is made up: names and addresses as long as a plan's would be.
+/// A simulated list row with names and addresses of realistic length.
 pub(crate) fn row_of(worker: usize, start: u64) -> (String, EndpointEntry) {
     let zone = place::zone_of(worker);
     let entry = EndpointEntry {
@@ -272,8 +271,8 @@
 }
 
 impl Simulation {
-    /// No instance yet; a list of so many workers at the service. `told`: the number of instances in the files.
-    pub fn new(seed: u64, told: u64, rows: usize, terms: SimulationSettings) -> Simulation {
+    /// No instance yet; a list of so many workers at the service. `configured_instances`: the number of instances in the files.
+    pub fn new(seed: u64, configured_instances: u64, rows: usize, terms: SimulationSettings) -> Simulation {
         Simulation {
             now: Time(10_000_000),
             all: Vec::new(),
@@ -281,7 +280,7 @@
             events: BinaryHeap::new(),
             next: 0,
             rng: Rand64::new(u128::from(seed)),
-            told,
+            configured_instances,
             sides: Vec::new(),
             rows: (0..rows).map(|w| row_of(w, 1)).collect(),
             version: 1,
@@ -293,35 +292,44 @@
     }
 
     fn plan(&mut self, delay: Time, to: usize, what: What) {
-        let life = self.all[to].life;
-        self.plan_for(delay, to, life, what);
+        let start_number = self.all[to].start_number;
+        self.plan_for(delay, to, start_number, what);
     }
 
-    fn plan_for(&mut self, delay: Time, to: usize, life: u64, what: What) {
+    fn plan_for(&mut self, delay: Time, to: usize, start_number: u64, what: What) {
         self.next += 1;
-        self.events.push(Reverse(Event { at: self.now + delay, no: self.next, to, life, what }));
+        self.events.push(Reverse(Event { at: self.now + delay, no: self.next, to, start_number, what }));
     }
 
     fn begin(&mut self, instance: usize) -> Fleet {
-        let peers: Vec<String> = (0..PEERS).map(address_of).collect();
+        let peers: Vec<String> = (0..SEED_PEERS).map(address_of).collect();
         let (run, seed) = (RunId(self.rng.rand_u64()), u128::from(self.rng.rand_u64()));
         let (name, address) = (name_of(instance), address_of(instance));
-        let mut fleet = Fleet::start(self.now, FLEET, (&name, run), &address, peers, self.told, BOUNDS, seed);
+        let mut fleet = Fleet::start(
+            self.now,
+            FLEET,
+            (&name, run),
+            &address,
+            peers,
+            self.configured_instances,
+            BOUNDS,
+            seed,
+        );
         if let Some(bytes) = self.terms.directory_budget {
             fleet.enable_directory(self.now, bytes);
         }
         fleet
     }
 
-    /// One more instance, which knows nothing, from `delay` on.
+    /// Adds an instance without knowledge that starts after `delay`.
     pub fn add(&mut self, delay: Time) -> usize {
         let no = self.all.len();
         let fleet = self.begin(no);
-        let (hands, links, busy, spent) = Default::default();
-        self.all.push(Hollow {
+        let (driver, links, busy, spent) = Default::default();
+        self.all.push(SimulatedInstance {
             fleet,
-            hands,
-            life: 1,
+            driver,
+            start_number: 1,
             alive: true,
             links,
             busy,
@@ -336,7 +344,7 @@
         no
     }
 
-    /// So many instances that know each other from the start, as after hours; links are not open yet.
+    /// Creates `n` instances that already know each other, as after hours; links are not open yet.
     pub fn settled(seed: u64, n: usize, rows: usize, terms: SimulationSettings) -> Simulation {
         let mut world = Simulation::new(seed, n as u64, rows, terms);
         for _ in 0..n {
@@ -347,22 +355,22 @@
             (0..n).map(|i| (world.all[i].fleet.own_id(), name_of(i), address_of(i))).collect();
         let now = world.now;
         for no in 0..n {
-            let Hollow { fleet, hands, .. } = &mut world.all[no];
-            hands.now = now;
-            let (link, known) = (LinkId(THEIRS), n as u64);
-            fleet.link_accepted(now, hands, link);
-            // Another instance has told it of all, on a link that is gone by now.
+            let SimulatedInstance { fleet, driver, .. } = &mut world.all[no];
+            driver.now = now;
+            let (link, known) = (LinkId(FIRST_PEER_LINK), n as u64);
+            fleet.link_accepted(now, driver, link);
+            // It has learned of all members from another instance over a link that is closed by now.
             let (id, name, address) = &all[(no + 1) % n];
             if world.terms.directory_budget.is_some() {
-                fleet.directory_join_received(now, hands, link, false);
+                fleet.directory_join_received(now, driver, link, false);
             }
-            fleet.join_received(now, hands, link, FLEET, *id, name, address, MemberState::default(), known);
+            fleet.join_received(now, driver, link, FLEET, *id, name, address, MemberState::default(), known);
             for (id, name, address) in &all {
-                fleet.member_received(now, hands, link, *id, name, address, MemberState::default());
+                fleet.member_received(now, driver, link, *id, name, address, MemberState::default());
             }
-            fleet.link_down(now, hands, link);
-            hands.acts.clear();
-            hands.sent = Tally::default();
+            fleet.link_down(now, driver, link);
+            driver.actions.clear();
+            driver.sent = Tally::default();
         }
         world
     }
@@ -375,32 +383,32 @@
         self.all.is_empty()
     }
 
-    /// What each has spent since the last time; the counts begin anew.
+    /// Returns what each instance used since the last call and resets the counts.
     pub fn take_spent(&mut self) -> Vec<Spent> {
         self.service = Tally::default();
-        let take = |h: &mut Hollow| {
+        let take = |h: &mut SimulatedInstance| {
             let mut spent = std::mem::take(&mut h.spent);
-            spent.sent.merge(&std::mem::take(&mut h.hands.sent));
-            spent.hints_taken = std::mem::take(&mut h.hands.hints);
-            spent.directory_peers = std::mem::take(&mut h.hands.directory).len();
+            spent.sent.merge(&std::mem::take(&mut h.driver.sent));
+            spent.hints_taken = std::mem::take(&mut h.driver.hints);
+            spent.directory_peers = std::mem::take(&mut h.driver.directory).len();
             spent
         };
         self.all.iter_mut().map(take).collect()
     }
 
-    fn call(&mut self, to: usize, work: impl FnOnce(&mut Fleet, Time, &mut Hands)) {
+    fn call(&mut self, to: usize, work: impl FnOnce(&mut Fleet, Time, &mut SimulatedDriver)) {
         let now = self.now;
         let h = &mut self.all[to];
-        h.hands.now = now;
-        let ((), cpu) = self.meter.time(|| work(&mut h.fleet, now, &mut h.hands));
+        h.driver.now = now;
+        let ((), cpu) = self.meter.time(|| work(&mut h.fleet, now, &mut h.driver));
         h.spent.cpu += cpu;
-        let acts = std::mem::take(&mut h.hands.acts);
-        for act in acts {
+        let actions = std::mem::take(&mut h.driver.actions);
+        for act in actions {
             self.act(to, act);
         }
     }
 
-    /// When so many bytes more have left on a link.
+    /// Returns when `bytes` more have been transmitted on a link.
     fn out_by(&mut self, from: usize, link: LinkId, bytes: usize) -> Time {
         let (now, span) = (self.now, bytes as u64 * SECOND / self.terms.link_rate.max(1));
         let busy = self.all[from].busy.entry(link).or_insert(now);
@@ -408,50 +416,50 @@
         *busy
     }
 
-    fn act(&mut self, from: usize, act: Act) {
+    fn act(&mut self, from: usize, act: DriverAction) {
         match act {
-            Act::Dial(link, address) => {
-                // A handshake there and back, and the hellos.
+            DriverAction::Dial(link, address) => {
+                // TCP handshake there and back, then the HELLO frames.
                 let far = self.addresses.get(&address).copied();
                 let way = far.map_or(Time(0), |far| place::way(from, far, link.0));
                 self.plan(Time(3 * way.0), from, What::Dialled(link, address));
             }
-            Act::Close(link) => {
-                if let Some((peer, life, far)) = self.all[from].links.remove(&link) {
-                    // Behind all that was said on it.
+            DriverAction::Close(link) => {
+                if let Some((peer, start_number, far)) = self.all[from].links.remove(&link) {
+                    // The close arrives after everything sent on the link.
                     let out = self.out_by(from, link, 0) - self.now;
                     self.all[from].busy.remove(&link);
                     let way = place::way(from, peer, link.0 ^ far.0);
-                    self.plan_for(out + way, peer, life, What::Down(far));
+                    self.plan_for(out + way, peer, start_number, What::Down(far));
                 }
             }
-            Act::Say(link, bytes) => {
-                let Some(&(peer, life, far)) = self.all[from].links.get(&link) else { return };
-                // What is sent into a cut is as good as lost, for the link is given up before it heals.
+            DriverAction::Say(link, bytes) => {
+                let Some(&(peer, start_number, far)) = self.all[from].links.get(&link) else { return };
+                // Bytes sent into a cut are dropped: the link is given up before the cut heals.
                 if self.sides[from] == self.sides[peer] {
                     let out = self.out_by(from, link, bytes.len()) - self.now;
                     let way = place::way(from, peer, link.0 ^ far.0);
-                    self.plan_for(out + way, peer, life, What::Bytes(far, bytes));
+                    self.plan_for(out + way, peer, start_number, What::Bytes(far, bytes));
                 }
             }
-            Act::Watch(on) => {
+            DriverAction::Watch(on) => {
                 let h = &mut self.all[from];
                 h.watching = on;
                 h.connection += 1;
                 let connection = h.connection;
                 if on {
-                    self.plan(SERVICE_WAY, from, What::ServiceUp(connection));
+                    self.plan(SERVICE_LATENCY, from, What::ServiceUp(connection));
                 }
             }
-            Act::AskService(bytes) => {
+            DriverAction::AskService(bytes) => {
                 self.all[from].spent.service.add(Kind::WATCH, bytes.len());
                 let connection = self.all[from].connection;
-                self.plan(SERVICE_WAY, from, What::Asked(connection, bytes));
+                self.plan(SERVICE_LATENCY, from, What::Asked(connection, bytes));
             }
         }
     }
 
-    /// Lets so much time pass.
+    /// Advances the simulation by `span`.
     pub fn run(&mut self, span: Time) {
         let until = self.now + span;
         while self.events.peek().is_some_and(|Reverse(e)| e.at <= until) {
@@ -462,9 +470,9 @@
         self.now = until;
     }
 
-    fn step(&mut self, Event { to, life, what, .. }: Event) {
+    fn step(&mut self, Event { to, start_number, what, .. }: Event) {
         let h = &self.all[to];
-        if !h.alive || h.life != life {
+        if !h.alive || h.start_number != start_number {
             if let What::In(_, dialler, their_life, theirs) = what {
                 self.plan_for(DIAL_LIMIT, dialler, their_life, What::Down(theirs));
             }
@@ -488,7 +496,7 @@
             }
             What::Bytes(link, bytes) => {
                 if self.all[to].links.contains_key(&link) {
-                    let got = self.hear(to, Some(link), bytes);
+                    let got = self.receive(to, Some(link), bytes);
                     self.all[to].spent.got.merge(&got);
                 }
             }
@@ -500,18 +508,18 @@
             What::Asked(connection, bytes) => self.asked(to, connection, bytes),
             What::Service(connection, bytes) => {
                 if self.all[to].connection == connection && self.all[to].watching {
-                    let got = self.hear(to, None, bytes);
+                    let got = self.receive(to, None, bytes);
                     self.all[to].spent.service.merge(&got);
                 }
             }
         }
     }
 
-    /// Reads what has come, by the real decoder; what cannot be read ends the link.
-    fn hear(&mut self, to: usize, on: Option<LinkId>, mut bytes: BytesMut) -> Tally {
+    /// Decodes received bytes with the real decoder; an invalid frame closes the link.
+    fn receive(&mut self, to: usize, on: Option<LinkId>, mut bytes: BytesMut) -> Tally {
         let mut got = Tally::default();
         self.call(to, |fleet, now, out| {
-            let mut codec = Codec { max_frame_bytes: MOST_FRAME };
+            let mut codec = Codec { max_frame_bytes: MAX_FRAME_BYTES };
             loop {
                 let before = bytes.len();
                 let Ok(Some(f)) = codec.decode(&mut bytes) else { break };
@@ -540,11 +548,11 @@
         };
         let h = &mut self.all[far];
         h.serial += 1;
-        let theirs = LinkId(THEIRS | h.serial);
-        let far_life = h.life;
-        let life = self.all[from].life;
+        let theirs = LinkId(FIRST_PEER_LINK | h.serial);
+        let far_life = h.start_number;
+        let start_number = self.all[from].start_number;
         self.all[from].links.insert(link, (far, far_life, theirs));
-        // Both say hello; what the other says comes behind it on the same way.
+        // Both sides send HELLO; later frames follow it on the same path.
         for (a, b) in [(from, far), (far, from)] {
             let hello =
                 Frame::new(Kind::HELLO).int(Field::VERSION, VERSION).text(Field::INSTANCE, &name_of(a));
@@ -553,7 +561,7 @@
             self.all[a].spent.sent.add(Kind::HELLO, bytes.len());
             self.all[b].spent.got.add(Kind::HELLO, bytes.len());
         }
-        self.plan(Time(0), far, What::In(theirs, from, life, link));
+        self.plan(Time(0), far, What::In(theirs, from, start_number, link));
         self.plan(Time(0), from, What::Up(link));
     }
 
@@ -563,7 +571,7 @@
         if self.all[from].connection != connection {
             return;
         }
-        let mut codec = Codec { max_frame_bytes: MOST_FRAME };
+        let mut codec = Codec { max_frame_bytes: MAX_FRAME_BYTES };
         let Ok(Some(f)) = codec.decode(&mut bytes) else { return };
         let held = f.maybe_int(Field::LIST_VERSION).ok().flatten();
         self.tell(from, connection, held);
@@ -590,10 +598,10 @@
         }
         say(frames::list_end_frame());
         self.service.merge(&said);
-        self.plan(SERVICE_WAY, to, What::Service(connection, bytes));
+        self.plan(SERVICE_LATENCY, to, What::Service(connection, bytes));
     }
 
-    /// One row of the list changes; all that watch are told.
+    /// Changes one row of the list and notifies all watchers.
     pub fn change(&mut self) {
         self.version += 1;
         let row = self.rng.rand_range(0..self.rows.len().max(1) as u64) as usize;
@@ -612,7 +620,7 @@
 
     // Faults and load.
 
-    /// An instance's scheduler sees something; one that is down sees nothing.
+    /// Reports an observation by an instance's scheduler; ignored if the instance is down.
     pub fn saw(&mut self, no: usize, worker: WorkerId, function: FunctionId, hint: Hint) {
         if !self.all[no].alive {
             return;
@@ -624,12 +632,12 @@
         self.terms.directory_budget.is_some()
     }
 
-    /// Bytes a second that the directory of copies may send at each instance.
+    /// Bytes per second that each instance may send for the copy directory.
     pub fn directory(&self) -> Option<u64> {
         self.terms.directory_budget
     }
 
-    /// An instance's scheduler has an RPC of a function.
+    /// An instance's scheduler receives an RPC of a function.
     pub fn wants(&mut self, no: usize, function: FunctionId) {
         if self.terms.directory_budget.is_some() && self.all[no].alive {
             self.call(no, |f, now, out| f.function_requested(now, out, function));
@@ -641,39 +649,39 @@
         let h = &mut self.all[no];
         (h.alive, h.watching) = (false, false);
         h.connection += 1;
-        for (link, (peer, life, far)) in std::mem::take(&mut h.links) {
+        for (link, (peer, start_number, far)) in std::mem::take(&mut h.links) {
             let way = place::way(no, peer, link.0 ^ far.0);
-            self.plan_for(way, peer, life, What::Down(far));
+            self.plan_for(way, peer, start_number, What::Down(far));
         }
     }
 
-    /// It starts anew, as another run that knows nothing.
+    /// Restarts an instance as a new run without knowledge.
     pub fn restart(&mut self, no: usize) {
         self.kill(no);
         let fleet = self.begin(no);
         let h = &mut self.all[no];
-        h.spent.sent.merge(&h.hands.sent);
+        h.spent.sent.merge(&h.driver.sent);
         h.fleet = fleet;
-        h.hands = Hands::default();
-        h.life += 1;
+        h.driver = SimulatedDriver::default();
+        h.start_number += 1;
         h.alive = true;
         h.links.clear();
         h.busy.clear();
         self.plan(Time(1), no, What::Tick);
     }
 
-    /// Puts instances on sides that cannot reach each other; those of side 0 are together.
+    /// Splits the instances into sides that cannot reach each other.
     pub fn sides(&mut self, of: impl Fn(usize) -> u8) {
         self.sides = (0..self.all.len()).map(of).collect();
     }
 
-    // What is right.
+    // Checks of convergence.
 
-    fn living(&self) -> impl Iterator<Item = &Hollow> {
+    fn living(&self) -> impl Iterator<Item = &SimulatedInstance> {
         self.all.iter().filter(|h| h.alive)
     }
 
-    /// Whether all hold the same records of members, and each of them as many as live at least.
+    /// Whether all live instances hold the same member records and as many live members as there are.
     pub fn alike(&self) -> bool {
         let n = self.living().count();
         let mut digests = self.living().map(|h| h.fleet.members().digest());
@@ -682,12 +690,12 @@
             && self.living().next().is_none_or(|h| h.fleet.members().alive().count() == n)
     }
 
-    /// Whether all hold the newest list.
+    /// Whether all live instances hold the newest list.
     pub fn listed(&self) -> bool {
         self.living().all(|h| h.fleet.endpoints().held() == Some((EPOCH, self.version)))
     }
 
-    /// Whether all are sure of the number of instances.
+    /// Whether all live instances have confirmed the number of instances.
     pub fn sure(&self) -> bool {
         self.living().all(|h| h.fleet.instance_count().is_confirmed())
     }
@@ -701,18 +709,18 @@
         self.living().filter(|h| h.watching).count()
     }
 
-    /// Links that are up, for each instance on the mean.
+    /// Mean number of open links per instance.
     pub fn links(&self) -> f64 {
         self.living().map(|h| h.fleet.link_count()).sum::<usize>() as f64
             / self.living().count().max(1) as f64
     }
 
-    /// Links, records and lists that were not taken.
+    /// Links, records and lists that were refused.
     pub fn refused(&self) -> u64 {
         self.living().map(|h| h.fleet.refusal_count()).sum()
     }
 
-    /// Lets time pass until `good`, looking every `step`, at most for `most`; none: it did not come.
+    /// Advances the simulation until `good` holds, checking every `step`; `None` if it does not within `most`.
     pub fn until(&mut self, step: Time, most: Time, good: impl Fn(&Simulation) -> bool) -> Option<Time> {
         let began = self.now;
         while self.now - began < most {
