--- a/crates/curlewpoint-fleet/src/directory/frames.rs
+++ b/crates/curlewpoint-fleet/src/directory/frames.rs
@@ -53,11 +53,8 @@
 fn read_function_ids(f: &Frame) -> Result<Vec<FunctionId>, WireError> {
     let function_ids = f.get_ints(Field::FUNCTIONS)?;
     if function_ids.len() > MAX_ROWS {
-        return Err(WireError::WrongType(
-            f.kind.0,
-            Field::FUNCTIONS.0,
-            "a list of at most 1024 function ids",
-        ));
+        // Sent to the peer in a FAULT frame; kept as earlier releases send it.
+        return Err(WireError::WrongType(f.kind.0, Field::FUNCTIONS.0, "so few names"));
     }
     Ok(function_ids.into_iter().map(FunctionId).collect())
 }
@@ -66,7 +63,7 @@
 fn read_observations(now: Time, f: &Frame) -> Result<Vec<Observation>, WireError> {
     let rows = f.get_ints(Field::ROWS)?;
     if rows.len() % ROW_INTEGERS != 0 || rows.len() > ROW_INTEGERS * MAX_ROWS {
-        return Err(WireError::WrongType(f.kind.0, Field::ROWS.0, "rows of observations"));
+        return Err(WireError::WrongType(f.kind.0, Field::ROWS.0, "rows of copies"));
     }
     let row = |r: &[u64]| {
         let (worker, function, at) = (WorkerId(r[0]), FunctionId(r[1]), now - Time(r[4]));
--- a/crates/curlewpoint-fleet/src/frames.rs
+++ b/crates/curlewpoint-fleet/src/frames.rs
@@ -33,7 +33,8 @@
 /// Reads a worker's lifecycle; an error if the field is missing or holds an unknown number.
 pub fn read_lifecycle(f: &Frame) -> Result<Lifecycle, WireError> {
     let code = f.get_int(Field::LIFECYCLE)?;
-    let bad = WireError::WrongType(f.kind.0, Field::LIFECYCLE.0, "a lifecycle");
+    // Sent to the peer in a FAULT frame; kept as earlier releases send it.
+    let bad = WireError::WrongType(f.kind.0, Field::LIFECYCLE.0, "a standing");
     LIFECYCLES.get(code as usize).copied().ok_or(bad)
 }
 
@@ -67,7 +68,7 @@
     let (name, bits) = (f.get_text(Field::INSTANCE)?, f.get_int(Field::STATE)?);
     let suspected_rings = f.get_int(Field::SUSPECTED_RINGS)?;
     let suspected_rings = u8::try_from(suspected_rings)
-        .map_err(|_| WireError::WrongType(f.kind.0, Field::SUSPECTED_RINGS.0, "a bit set of rings"))?;
+        .map_err(|_| WireError::WrongType(f.kind.0, Field::SUSPECTED_RINGS.0, "a row of rings"))?;
     let (left, dead, list_service_lost) = (bits & 1 != 0, bits & 2 != 0, bits & 4 != 0);
     let state = MemberState {
         incarnation: f.get_int(Field::INCARNATION)?,
@@ -163,7 +164,7 @@
 
 /// Reads all entries in a frame, or none.
 pub fn read_entries(now: Time, f: &Frame) -> Result<Vec<(String, EndpointEntry)>, WireError> {
-    let bad = || WireError::WrongType(f.kind.0, Field::ROWS.0, "list entries");
+    let bad = || WireError::WrongType(f.kind.0, Field::ROWS.0, "rows of a list");
     let (mut left, mut rows) = (&f.body[..], Vec::new());
     while let Some((length, rest)) = left.split_first_chunk() {
         let (fields, rest) =
--- a/crates/curlewpoint-gateway/src/codes.rs
+++ b/crates/curlewpoint-gateway/src/codes.rs
@@ -43,7 +43,8 @@
 
 pub(crate) fn copy(frame: &Frame) -> Result<CopyReport, WireError> {
     if frame.has(Field::COPY_STATUS) {
-        read(frame, Field::COPY_STATUS, &COPY_STATES, "a copy state")
+        // Sent to the peer in a FAULT frame; kept as earlier releases send it.
+        read(frame, Field::COPY_STATUS, &COPY_STATES, "word of a copy")
     } else {
         Ok(CopyReport::Unreported)
     }
--- a/crates/curlewpoint-gateway/src/http.rs
+++ b/crates/curlewpoint-gateway/src/http.rs
@@ -120,7 +120,7 @@
 struct HttpListener {
     endpoint: Arc<HttpEndpoint>,
     connection_slots: Arc<Semaphore>,
-    /// HttpLimits the tasks that close connections over the limit without a reset.
+    /// Limits the tasks that close connections over the limit without a reset.
     rejection_slots: Arc<Semaphore>,
     stop: watch::Receiver<bool>,
 }
--- a/crates/curlewpoint-journal/tests/disk.rs
+++ b/crates/curlewpoint-journal/tests/disk.rs
@@ -277,7 +277,7 @@
             Err(_) => refused += 1,
         }
     }
-    assert!(refused > 0, "number flip hit data");
+    assert!(refused > 0, "no flip hit data");
 }
 
 #[test_case(0, 100..=300 ; "without a delay single intents are committed one by one")]
--- a/crates/curlewpoint-lab/src/rules.rs
+++ b/crates/curlewpoint-lab/src/rules.rs
@@ -95,7 +95,7 @@
     "one final answer in time, and nothing after it",
     "no effect twice",
     "nothing new after a drain's grace",
-    "no cold worker offered over",
+    "no cold worker pushed over",
     "load orders within their ration",
 ];
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// Who was suspensions by the script, from when to when.
+/// Who was held by the script, from when to when.
 type Suspension = (String, Time, Time);
 
 /// When the machine gave no turn, and to which scheduler; none: to clients and stand-ins.
@@ -200,7 +200,7 @@
     verdict
 }
 
-/// Rule 1. An RPC of a scheduler that the script suspensions still past the RPC's time is nobody's duty, as is one whose
+/// Rule 1. An RPC of a scheduler that the script held still past the RPC's time is nobody's duty, as is one whose
 /// client left. While the machine gave no turn no time is counted: an answer that lay in a client's socket was not late.
 fn check_answers(
     parameters: &RuleParameters, verdict: &mut Verdict, key: u64, s: &RpcTrace, suspensions: &[Suspension],
--- a/crates/curlewpoint-lab/src/script.rs
+++ b/crates/curlewpoint-lab/src/script.rs
@@ -309,7 +309,7 @@
             ("models", s.models),
         ] {
             if let (0, Some(line)) = (value, lines.first()) {
-                fault(line, 0, format!("{name} must be at value 1"));
+                fault(line, 0, format!("{name} must be at least 1"));
             }
         }
         if let (true, Some(line)) = (s.methods.is_empty(), lines.first()) {
@@ -339,7 +339,7 @@
     #[test_case("at 5s crash prt 20%", "'prt' is none of part" ; "an unknown word")]
     #[test_case("rate x", "'x' is not a number" ; "nonsense")]
     #[test_case("rte 5", "no directive 'rte'" ; "an unknown directive")]
-    #[test_case("workers 0", "workers must be at value 1" ; "no worker")]
+    #[test_case("workers 0", "workers must be at least 1" ; "no worker")]
     fn faults_are_told_with_their_place(line: &str, want: &str) {
         let told = Script::parse("x.day", &format!("method a {{\n  work 5ms\n}}\n{line}\n")).unwrap_err();
         assert!(told.rendered.contains(want) && told.rendered.contains("x.day:"), "{told}");
--- a/crates/curlewpoint-lab/src/test_servers/broker.rs
+++ b/crates/curlewpoint-lab/src/test_servers/broker.rs
@@ -41,7 +41,7 @@
     CancelConsumers(String),
     Enqueue(String, Box<AMQPProperties>, Bytes),
     Messages(String, oneshot::Sender<Vec<Message>>),
-    /// Tells once one of these queues has so count messages.
+    /// Tells once one of these queues has so many messages.
     WaitForMessages(Vec<String>, usize, oneshot::Sender<()>),
     MessageCount(String, oneshot::Sender<usize>),
 }
@@ -128,7 +128,7 @@
     }
 
     /// What waits in a queue.
-    /// Waits until one of these queues has so count messages.
+    /// Waits until one of these queues has so many messages.
     pub async fn wait_for_messages(&self, queues: &[&str], count: usize) {
         let (done_tx, done_rx) = oneshot::channel();
         self.send(Event::WaitForMessages(queues.iter().map(|q| (*q).to_owned()).collect(), count, done_tx));
@@ -141,7 +141,7 @@
         done_rx.await.unwrap_or_default()
     }
 
-    /// How count messages wait in a queue.
+    /// How many messages wait in a queue.
     pub async fn message_count(&self, queue: &str) -> usize {
         let (done_tx, done_rx) = oneshot::channel();
         self.send(Event::MessageCount(queue.to_owned(), done_tx));
@@ -179,7 +179,7 @@
         self.send(Event::CutDelivery);
     }
 
-    /// Waits until so count connections have been accepted.
+    /// Waits until so many connections have been accepted.
     pub async fn wait_for_connections(&self, count: u64) {
         let _ = self.accepted.clone().wait_for(|n| *n >= count).await;
     }
--- a/crates/curlewpoint-lab/src/test_servers/store.rs
+++ b/crates/curlewpoint-lab/src/test_servers/store.rs
@@ -52,7 +52,7 @@
         self.rejected.load(Ordering::Relaxed)
     }
 
-    /// Fetches that were open for so far.
+    /// Fetches that were asked for so far.
     pub fn requested_fetches(&self) -> u64 {
         self.requested.load(Ordering::Relaxed)
     }
--- a/crates/curlewpoint-lab/src/test_servers/worker.rs
+++ b/crates/curlewpoint-lab/src/test_servers/worker.rs
@@ -133,7 +133,7 @@
 struct WorkerTask {
     name: String,
     address: SocketAddr,
-    /// For its first process: it can be reached from its start, and nobody else takes its port meanwhile.
+    /// For its first life: it can be reached from its start, and nobody else takes its port meanwhile.
     first_listener: Option<TcpListener>,
     transcript: Transcript,
     spec: WorkerSpec,
@@ -143,7 +143,7 @@
     cut_frames: bool,
 }
 
-/// One process of the process, from its start to its death.
+/// One life of the process, from its start to its death.
 struct Process {
     model: WorkerModel,
     _listener: Listener,
@@ -153,7 +153,7 @@
     driver: ProcessDriver,
 }
 
-/// What the model acts on, for one process.
+/// What the model acts on, for one life of the process.
 struct ProcessDriver {
     name: String,
     transcript: Transcript,
@@ -278,7 +278,7 @@
         while listener.is_none() {
             listener = TcpListener::bind(self.address).await.ok();
             if listener.is_none() {
-                // The sockets of the process before may take a moment to close.
+                // The sockets of the life before may take a moment to close.
                 sleep(Duration::from_millis(5)).await;
             }
         }
--- a/crates/curlewpoint-lab/src/transcript.rs
+++ b/crates/curlewpoint-lab/src/transcript.rs
@@ -107,7 +107,7 @@
         CLOCK_START + Time((self.started_at.elapsed().as_micros() / 100) as u64)
     }
 
-    /// Time since the record started_at.
+    /// Time since the record began.
     pub fn since_start(at: Time) -> Time {
         at - CLOCK_START
     }
