--- a/crates/curlewpoint-lab/src/rules.rs
+++ b/crates/curlewpoint-lab/src/rules.rs
@@ -96,7 +96,7 @@
     "one final answer in time, and nothing after it",
     "no effect twice",
     "nothing new after a drain's grace",
-    "no cold worker offered over",
+    "no cold worker pushed over",
     "load orders within their ration",
 ];
 
