--- a/crates/curlewpoint-rig/src/scale/fleet_part.rs
+++ b/crates/curlewpoint-rig/src/scale/fleet_part.rs
@@ -1,4 +1,5 @@
-//! What a scheduler spends as one of a fleet: steady, with hints, when one starts, when a list changes, when all start.
+//! The cost of fleet membership for a scheduler: steady, with hints, when an instance starts, when the list changes, and when all
+//! instances start.
 
 use std::time::Duration;
 
@@ -12,12 +13,12 @@
 use crate::scale::tally::{resident, Tally};
 
 pub const SECOND: Time = Time(10_000);
-/// Lists as long as the plan has them are held up to this many instances; beyond it rows are left out, as the bytes of a
-/// list grow with its rows alone: 3,400 books of 8,500 rows are 10 GB.
+/// Fleet size up to which instances hold lists of the planned length. Larger fleets leave out rows, because 3,400 tables of 8,500
+/// rows take 10 GB and the bytes of a list grow with its rows only.
 pub const WHOLE_LISTS: usize = 1_000;
 const FEW_ROWS: usize = 500;
 
-/// Rows of the list that the hollow instances hold.
+/// Rows of the list that the simulated instances hold.
 pub fn rows_held(n: usize) -> usize {
     let rows = plan::workers(n);
     if n <= WHOLE_LISTS {
@@ -27,7 +28,7 @@
     }
 }
 
-/// What so many rows of a list take in memory, measured on ten books; none: the system does not tell.
+/// Memory in bytes that `rows` rows of an endpoint table take, measured on ten tables; `None` if the system does not report it.
 pub fn endpoint_table_bytes(rows: usize) -> Option<f64> {
     const TABLES: usize = 10;
     let before = resident()?;
@@ -48,12 +49,12 @@
     Some(grown)
 }
 
-/// What one instance spends in a second, on the mean.
+/// What instances used over a span; the methods return means per instance and second.
 #[derive(Clone, Debug, Default)]
 pub struct Rate {
     pub sent: Tally,
     pub got: Tally,
-    /// What those that watch the list exchange with the service.
+    /// Traffic between list watchers and the service.
     pub service: Tally,
     pub cpu: Duration,
     pub instances: usize,
@@ -78,29 +79,29 @@
         self.instances as f64 * self.span.ms() / 1000.0
     }
 
-    /// Frames and bytes that one sends in a second, of a group or (none) in all.
+    /// Frames and bytes that an instance sends per second, of one group or in total.
     pub fn sent(&self, group: Option<&str>) -> (f64, f64) {
         let (frames, bytes) = group.map_or_else(|| self.sent.all(), |g| self.sent.group(g));
         (frames as f64 / self.seconds(), bytes as f64 / self.seconds())
     }
 
-    /// Rows of hints that one takes in a second.
+    /// Rows of hints that an instance receives per second.
     pub fn hints_taken(&self) -> f64 {
         self.hints_taken as f64 / self.seconds()
     }
 
-    /// Milliseconds of processor time that one uses in a second.
+    /// Milliseconds of processor time that an instance uses per second.
     pub fn cpu_ms(&self) -> f64 {
         self.cpu.as_secs_f64() * 1000.0 / self.seconds()
     }
 }
 
-/// Between two looks at whether all is right.
+/// Interval between checks for convergence.
 const CHECK_INTERVAL: Time = Time(1_000);
-/// A fault is played under load for so long at its beginning and before its end: an hour's calls would take hours.
+/// Time under load at the beginning and before the end of a fault; an hour of calls would take hours.
 const LOADED: Time = Time(150_000);
 
-/// What was spent second by second.
+/// Accumulates use second by second.
 #[derive(Default)]
 struct Seconds {
     whole: Spent,
@@ -109,18 +110,17 @@
     directory: OneSecond,
 }
 
-/// What one instance sent for the directory of copies in a second: the most that one did, and how many times one sent more than
-/// it may.
+/// Directory bytes of one instance in one second: the maximum, and how many times an instance exceeded its limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OneSecond {
     pub bytes: u64,
-    /// What it might have sent in that second.
+    /// The limit in that second.
     pub most: f64,
     pub over: usize,
 }
 
 impl Seconds {
-    /// `budget`: bytes a second that each may send for the directory of copies.
+    /// `budget`: bytes per second that each instance may send for the copy directory.
     fn add(&mut self, all: Vec<Spent>, budget: Option<u64>) {
         let mut bytes = 0;
         for s in all {
@@ -145,10 +145,10 @@
     }
 }
 
-/// What schedulers see and are asked while something else is played.
+/// Background observations and calls of the schedulers.
 pub struct Load {
     rng: Rand64,
-    /// Things seen and calls of each in a second.
+    /// Observations and calls per second of each scheduler.
     seen: f64,
     calls: f64,
     due: f64,
@@ -160,17 +160,17 @@
         Load { rng: Rand64::new(u128::from(seed) + 7), seen, calls, due: 0.0, calling: 0.0 }
     }
 
-    /// From here on each sees so much.
+    /// Changes the rate of observations.
     pub fn now_seen(&mut self, seen: f64) {
         (self.seen, self.due, self.calling) = (seen, 0.0, 0.0);
     }
 
-    /// Lets so much time pass while each of `n` sees so much. Where a directory of copies is kept, each has its RPCs as well, of
-    /// functions by a power law: it asks for those of which it knows no copy.
+    /// Advances the simulation by `span` under load on `n` instances. With a copy directory each also receives RPCs of functions by a
+    /// power law, and queries those of which it knows no copy.
     fn pass(&mut self, world: &mut Simulation, n: usize, span: Time) {
         const STEP: Time = Time(100);
         let (workers, functions) = (plan::workers(n).max(1), plan::functions(n).max(1));
-        // Names' ids are hashes: they fill eight bytes on the wire.
+        // Ids are hashes of names and take eight bytes on the wire.
         let mixed = |x: u64| x.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let function = |rank: u64| FunctionId(mixed(rank << 20));
         let calls = if world.keeps_directory() { self.calls } else { 0.0 };
@@ -197,12 +197,12 @@
     }
 }
 
-/// What a fault cost.
+/// Cost of a fault.
 pub struct Burst {
-    /// Bytes that one sent on the mean until all was right, and in the second with the most.
+    /// Mean bytes per instance until convergence, and in the busiest second.
     pub bytes_each: f64,
     pub busiest_second: f64,
-    /// The most bytes that one alone sent in a second.
+    /// The most bytes that one instance sent in a second.
     pub busiest_one: u64,
     pub directory: OneSecond,
     pub cpu_ms: f64,
@@ -214,12 +214,12 @@
     pub n: usize,
     pub rows: usize,
     pub world: Simulation,
-    /// Growth of the resident size, for each instance, with its table and its list.
+    /// Growth of the resident size per instance, including its member table and list.
     pub memory: Option<f64>,
     pub good: bool,
 }
 
-/// Builds one and lets it come to rest.
+/// Builds a fleet and waits until it has settled.
 pub fn settle(seed: u64, n: usize, terms: SimulationSettings) -> Settled {
     let rows = rows_held(n);
     let before = resident();
@@ -231,7 +231,7 @@
 }
 
 impl Settled {
-    /// So long with nothing new: all, and those alone that watch the list.
+    /// Measures a span without changes: all instances, and the list watchers alone.
     pub fn steady(&mut self, span: Time) -> (Rate, Rate) {
         self.world.take_spent();
         self.world.run(span);
@@ -241,8 +241,8 @@
         (Rate::of(&all, span), Rate::of(&watching, span))
     }
 
-    /// Plays on for `least` at least, until all is right or `most` has passed; with a directory of copies under this load at
-    /// the beginning and before `most`, and without it under none.
+    /// Runs for at least `least`, until `right` holds or `most` has passed. With a copy directory the load runs at the beginning and
+    /// before `most`; without one there is no load.
     pub fn burst(
         &mut self, load: &mut Load, least: Time, most: Time, right: impl Fn(&Simulation) -> bool,
     ) -> Burst {
@@ -258,7 +258,7 @@
                 None => self.world.run(CHECK_INTERVAL),
             }
             let so_far = self.world.now - began;
-            // What is right before the fault has been noticed is not yet right again.
+            // Convergence counts only after `least`, because the fault may not have been noticed before.
             if at.is_none() && so_far >= least && right(&self.world) {
                 at = Some(so_far);
             }
@@ -278,7 +278,7 @@
         }
     }
 
-    /// So long under a load, after a while of the same.
+    /// Measures a span under load after a warm-up under the same load.
     pub fn hinted(&mut self, load: &mut Load, warm: Time, span: Time) -> Rate {
         load.pass(&mut self.world, self.n, warm);
         self.world.take_spent();
@@ -287,7 +287,7 @@
         Rate::of(&self.world.take_spent(), span)
     }
 
-    /// One row of the list changes: until all hold it, and what one sends for it on the mean.
+    /// Changes one list row; returns the time until all hold it and the mean bytes sent per instance.
     pub fn change(&mut self) -> (Option<Time>, f64) {
         self.world.take_spent();
         self.world.change();
@@ -296,8 +296,7 @@
         (all, spent.sent.group("list").1 as f64 / self.n as f64)
     }
 
-    /// One more starts: what it got and sent until it holds all, by group; what all others sent for it; when it held the
-    /// list, and when all were alike.
+    /// Starts one more instance and measures its traffic and that of the others until it holds the list and all records agree.
     pub fn joins(&mut self) -> Joined {
         self.world.take_spent();
         let began = self.world.now;
@@ -312,7 +311,7 @@
     }
 }
 
-/// What came of one that starts.
+/// Result of starting one instance.
 pub struct Joined {
     pub listed: Option<Time>,
     pub alike: Option<Time>,
@@ -320,25 +319,25 @@
     pub others: Rate,
 }
 
-/// What came of a start of all.
+/// Result of starting all instances.
 pub struct AllStart {
     pub n: usize,
     pub listed: Option<Time>,
     pub alike: Option<Time>,
     pub sure: Option<Time>,
-    /// In the first 6 s, and until all was right.
+    /// Use in the first 6 s, and until convergence.
     pub first: Spent,
     pub whole: Spent,
-    /// Bytes that one sent on the mean in the second with the most, and the most that one alone sent in one.
+    /// Mean bytes per instance in the busiest second, and the most that one instance sent in a second.
     pub busiest_second: f64,
     pub busiest_one: u64,
     pub directory: OneSecond,
-    /// Links, records and lists that were not taken.
+    /// Links, records and lists that were refused.
     pub refused: u64,
 }
 
-/// All start within a second, knowing nothing; ends when all is right, or `most` has passed. With a directory of copies under
-/// this load.
+/// Starts all instances within a second without knowledge; ends on convergence or when `most` has passed. The load applies only
+/// with a copy directory.
 pub fn all_start(seed: u64, n: usize, terms: SimulationSettings, load: &mut Load, most: Time) -> AllStart {
     const FIRST: Time = Time(60_000);
     let mut world = Simulation::new(seed, n as u64, rows_held(n), terms);
@@ -356,7 +355,7 @@
             None => world.run(CHECK_INTERVAL),
         }
         let so_far = world.now - began;
-        // Nobody has begun to know of another in the first second.
+        // In the first second no instance knows of another yet.
         let begun = so_far >= SECOND;
         note(&mut listed, so_far, begun && world.listed());
         note(&mut alike, so_far, begun && world.alike());
--- a/crates/curlewpoint-rig/src/scale/parts.rs
+++ b/crates/curlewpoint-rig/src/scale/parts.rs
@@ -1,4 +1,4 @@
-//! What is measured at one size, a part at a time.
+//! The separate parts of a measurement at one fleet size.
 
 use curlewpoint::types::Time;
 
@@ -13,18 +13,18 @@
 use crate::scale::tally::GROUPS;
 use crate::scale::worker_part::{borne, Choice, Scene};
 
-/// What can be measured by itself.
+/// A part that can be measured on its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Part {
-    /// A settled fleet: nothing new, things seen, a changed row, one that starts.
+    /// A settled fleet: idle, with observations, with a changed list row, and with an instance that starts.
     Steady,
-    /// What a call costs the module, by workers and functions.
+    /// The cost of a call in the decision module, by number of workers and functions.
     Module,
-    /// All start within a second, knowing nothing.
+    /// All instances start within a second without knowledge.
     Start,
-    /// A restart, a rack, a zone, regions apart.
+    /// Loss of an instance, a rack and a zone, and a partition between regions.
     Faults,
-    /// What one worker bears from all schedulers, with all workers to choose from and with those of a zone.
+    /// The load on one worker from all schedulers that choose from all workers, or from those of their zone.
     Worker,
 }
 
@@ -42,26 +42,26 @@
     }
 }
 
-/// How much of it is played.
+/// How much is measured, and under which settings.
 #[derive(Clone, Debug)]
 pub struct MeasureOptions {
-    /// Times are measured, or counts and bytes alone.
+    /// Whether times are measured in addition to counts and bytes.
     pub times: bool,
-    /// Calls that the module is driven with.
+    /// Number of measured calls in the module part.
     pub calls: u64,
-    /// Things seen a second by each, tried in turn.
+    /// Observations per second of each instance, measured one after the other.
     pub seen: Vec<f64>,
-    /// Calls a second of each in a start of all and in faults, where a directory of copies is kept.
+    /// Calls per second of each instance during a start of all and during faults, if a copy directory is kept.
     pub load: f64,
-    /// How long regions are apart.
+    /// Duration of the partition between regions.
     pub apart: Time,
     pub simulation: SimulationSettings,
 }
 
 impl MeasureOptions {
-    /// The whole, in some minutes at the largest size.
+    /// The full measurement, which takes some minutes at the largest size.
     pub fn of(n: usize) -> MeasureOptions {
-        // Beyond, some of what a small fleet plays takes hours: what was played is said in the notes.
+        // For larger fleets some parts would take hours and are shortened; the notes state what was measured.
         let (calls, seen) = if n <= 1_000 { (6_000, 3) } else { (3_000, 2) };
         let apart = match n {
             0..=100 => Time(36_000_000),
@@ -72,12 +72,12 @@
         MeasureOptions { times: true, calls, seen, load, apart, simulation: SimulationSettings::default() }
     }
 
-    /// What goes on while something else is played: what follows from the plan, at so many calls.
+    /// The background load, derived from the plan.
     fn load(&self, seed: u64) -> Load {
         Load::new(seed, plan::SEEN[1], self.load)
     }
 
-    /// Counts and bytes, in seconds.
+    /// Counts and bytes only, which takes seconds.
     pub fn small() -> MeasureOptions {
         MeasureOptions {
             times: false,
@@ -90,22 +90,22 @@
     }
 }
 
-/// Calls a second where counts and bytes have to be there in seconds.
+/// Calls per second of the short measurement.
 const FEW_CALLS: f64 = 20.0;
 
-/// The roles that figures are told for.
+/// The roles for which values are reported.
 pub const FLEET: &str = "fleet part";
 pub const WATCHER: &str = "list watcher";
 pub const SERVICE: &str = "list service";
 pub const MODULE: &str = "call path";
 pub const WORKER: &str = "worker";
 
-/// The zone that is lost, the racks of a zone, and the region that is left by itself.
+/// The zone that is lost, the number of racks in a zone, and the region that is partitioned.
 const LOST_ZONE: usize = 3;
 const RACKS: usize = 8;
 const LONE_REGION: usize = 1;
 
-/// Measures a part at one size.
+/// Measures one part at one fleet size.
 pub fn measure_part(part: Part, seed: u64, n: usize, effort: &MeasureOptions) -> Measurements {
     let mut outcome = Measurements::new(n);
     match part {
@@ -118,7 +118,7 @@
     outcome
 }
 
-/// A span in seconds, as the state machines' own time tells it.
+/// Adds a span of simulated time in seconds.
 fn span(ledger: &mut Ledger<'_>, name: &str, t: Option<Time>) {
     if let Some(t) = t {
         ledger.count(name, "s", t.ms() / 1000.0);
@@ -157,8 +157,8 @@
 
 fn steady(seed: u64, n: usize, effort: &MeasureOptions, outcome: &mut Measurements) {
     let times = effort.times;
-    // First of all: what a fleet has freed would be taken up again by the books, and grow nothing. What they free is a
-    // hundredth of what the fleet takes.
+    // Measured first: endpoint tables built later would reuse memory that the fleet has freed, and show no growth. What the
+    // tables free is a hundredth of what the fleet takes.
     let left_out = if times { endpoint_table_bytes(plan::workers(n) - rows_held(n)) } else { None };
     let mut fleet = settled(seed, n, effort.simulation, outcome);
     if times {
@@ -205,7 +205,7 @@
 }
 
 fn joined(n: usize, fleet: &mut Settled, outcome: &mut Measurements) {
-    // Whom it meets is drawn, and with it whether it is told the list once or more often.
+    // Its peers are random, and with them how often it receives the list.
     const STARTS: usize = 3;
     let (mut got, mut list, mut records, mut others) = (0.0, 0.0, 0.0, 0.0);
     let (mut listed, mut alike) = (Some(Time(0)), Some(Time(0)));
@@ -269,7 +269,7 @@
     }
 }
 
-/// The busiest second of the busiest instance's directory, and whether anybody sent more than it may.
+/// Adds the busiest second of the busiest instance's directory, and a note if an instance exceeded its limit.
 fn one_second(name: &str, d: OneSecond, effort: &MeasureOptions, outcome: &mut Measurements) {
     if effort.simulation.directory_budget.is_none() {
         return;
@@ -284,7 +284,7 @@
     }
 }
 
-/// Plays on after a fault until all is right again.
+/// Continues after a fault until the fleet has converged.
 fn after(
     name: &str, fleet: &mut Settled, load: &mut Load, effort: &MeasureOptions, outcome: &mut Measurements,
 ) {
@@ -308,7 +308,7 @@
     let (mut fleet, mut load) = (settled(seed, n, effort.simulation, outcome), effort.load(seed));
     let zone: Vec<usize> = (0..n).filter(|i| zone_of(*i) == LOST_ZONE).collect();
     let rack = zone[..zone.len().div_ceil(RACKS)].to_vec();
-    // One of those that stand nowhere in particular; the first three are everybody's peers to begin with.
+    // The last instance has no special role; the first three are the seed peers of all.
     for (name, gone) in [("one", vec![n - 1]), ("a rack", rack), ("a zone", zone)] {
         gone.iter().for_each(|no| fleet.world.kill(*no));
         after(&format!("{name} is lost"), &mut fleet, &mut load, effort, outcome);
--- a/crates/curlewpoint-rig/src/scale/worker_part.rs
+++ b/crates/curlewpoint-rig/src/scale/worker_part.rs
@@ -1,4 +1,4 @@
-//! What one worker bears from all schedulers: the real engine, module and pool of each, workers and ways made up.
+//! Measures the load on one worker from all schedulers: real engines, modules and pools, simulated workers and network.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -17,11 +17,11 @@
 use crate::scale::plan;
 use crate::scale::simulation::BOUNDS;
 
-/// One way between a scheduler and a worker, in one zone and across.
-const WAY: [Time; 2] = [Time(3), Time(100)];
-/// A warm answer, and a load, take so long; assumptions.
-const WORK: Time = Time(1_000);
-const LOAD: Time = Time(4_000);
+/// One-way latency between a scheduler and a worker, within a zone and across zones.
+const LATENCY: [Time; 2] = [Time(3), Time(100)];
+/// Assumed durations of a call to a warm copy and of a load.
+const WORK_TIME: Time = Time(1_000);
+const LOAD_TIME: Time = Time(4_000);
 const TICK: Time = Time(10_000);
 /// As the settings' defaults.
 const LIMITS: PoolLimits = PoolLimits {
@@ -32,20 +32,20 @@
     back_off: (Time(1_000), Time(20_000)),
 };
 
-/// Which workers a scheduler's list names.
+/// The workers in a scheduler's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// All.
     Flat,
-    /// Those of its own zone, one of 16.
+    /// Those of its own zone, one of 16 zones.
     Zone,
 }
 
-/// What is played: so many schedulers of those that share the workers.
+/// Settings of the simulation: some or all of the schedulers that share the workers.
 #[derive(Clone, Copy, Debug)]
 pub struct Scene {
     pub choice: Choice,
-    /// Schedulers that share these workers, and those of them that are played.
+    /// Schedulers that share these workers, and how many of them are simulated.
     pub sharing: usize,
     pub played: usize,
     pub workers: usize,
@@ -54,16 +54,16 @@
     pub span: Time,
 }
 
-/// More schedulers than this are not played whole: some are, and their share is put up.
-const WHOLE: usize = 130;
-const SAMPLE: usize = 12;
+/// Above this number of schedulers only a sample is simulated, and its result scaled up.
+const MAX_SIMULATED: usize = 130;
+const SAMPLE_SCHEDULERS: usize = 12;
 
 impl Scene {
-    /// What a fleet of `n` schedulers has in step with the plan.
+    /// The settings for a fleet of `n` schedulers, in proportion to the plan.
     pub fn of(choice: Choice, n: usize) -> Scene {
         let zones = if choice == Choice::Flat { 1 } else { crate::scale::place::ZONES };
         let sharing = n.div_ceil(zones);
-        let played = if sharing > WHOLE { SAMPLE } else { sharing };
+        let played = if sharing > MAX_SIMULATED { SAMPLE_SCHEDULERS } else { sharing };
         let (workers, functions) = (plan::workers(n).div_ceil(zones), plan::functions(n));
         Scene { choice, sharing, played, workers, functions, warm: Time(250_000), span: Time(100_000) }
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// What one worker bears a second, on the mean, from all that share it.
+/// Mean load per second on one worker from all schedulers that share it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Borne {
     pub connections: f64,
@@ -82,11 +82,11 @@
     pub probes: f64,
     pub loads: f64,
     pub reports: f64,
-    /// Frames of probes, load orders and their answers, in bytes; those of calls are not control.
+    /// Bytes of probes, load orders and their answers; calls don't count as control traffic.
     pub bytes: f64,
-    /// Attempts that met no copy and began a load there, or waited for one, of all.
+    /// Share of attempts that found no warm copy and began a load or waited for one.
     pub cold: f64,
-    /// Of one scheduler: connections, and sights that it would tell others, a second.
+    /// Of one scheduler: connections, and observations per second that it would send to others.
     pub open: f64,
     pub sights: f64,
     pub denied: f64,
@@ -99,28 +99,28 @@
     Probe,
 }
 
-enum Act {
+enum PoolAction {
     Dial(ConnId, WorkerId),
     Send(ConnId, RequestId, Asked, usize),
     Close(ConnId),
 }
 
-/// The connections of one scheduler, as its pool acts on them.
+/// The connections of one scheduler, driven by its pool.
 #[derive(Default)]
 struct Sockets {
-    acts: Vec<Act>,
+    actions: Vec<PoolAction>,
     ended: VecDeque<(RequestId, Outcome)>,
 }
 
-/// What was asked, and the bytes of its frame where that is control's.
+/// The request, and the bytes of its frame if it is control traffic.
 type Payload = (Asked, usize);
 
 impl PoolDriver<Payload> for Sockets {
     fn dial(&mut self, conn: ConnId, worker: WorkerId, _: &str) {
-        self.acts.push(Act::Dial(conn, worker));
+        self.actions.push(PoolAction::Dial(conn, worker));
     }
     fn send(&mut self, conn: ConnId, request: RequestId, (asked, bytes): &Payload) -> bool {
-        self.acts.push(Act::Send(conn, request, *asked, *bytes));
+        self.actions.push(PoolAction::Send(conn, request, *asked, *bytes));
         true
     }
     fn withdraw(&mut self, _: ConnId, _: RequestId) -> bool {
@@ -128,15 +128,15 @@
     }
     fn send_withdraw(&mut self, _: ConnId, _: RequestId) {}
     fn close(&mut self, conn: ConnId) {
-        self.acts.push(Act::Close(conn));
+        self.actions.push(PoolAction::Close(conn));
     }
     fn ended_locally(&mut self, request: RequestId, outcome: Outcome) {
         self.ended.push_back((request, outcome));
     }
 }
 
-/// The hands of one engine.
-struct Desk {
+/// Driver of one engine.
+struct SimulatedDriver {
     pool: Pool<Payload>,
     sockets: Sockets,
     seen: Vec<(WorkerId, FunctionId, Hint, u64)>,
@@ -149,7 +149,7 @@
     bytes.len()
 }
 
-impl EngineDriver for Desk {
+impl EngineDriver for SimulatedDriver {
     fn request(&mut self, now: Time, id: RequestId, worker: WorkerId, request: UpstreamRequest<'_>) {
         let payload = match request {
             UpstreamRequest::Attempt { model, .. } => (Asked::Attempt(FunctionId(id_of(model))), 0),
@@ -186,40 +186,40 @@
 }
 
 struct Scheduler {
-    engine: Engine<Desk>,
+    engine: Engine<SimulatedDriver>,
     hints: HintTable,
     run: RunId,
     tag: u64,
     conns: BTreeMap<ConnId, WorkerId>,
-    /// A wake-up is planned for then.
+    /// When the next wake-up is planned.
     wake: Option<Time>,
 }
 
-/// Copies by function: from when each is up, and when it was last used.
+/// Copies by function: when each is up, and when it was last used.
 #[derive(Default)]
 struct Worker {
     copies: BTreeMap<FunctionId, (Time, Time)>,
 }
 
 impl Worker {
-    /// From when a copy is up, and whether it had to be begun; none: all are in use, and none makes room.
+    /// Returns when the copy is up and whether this call began its load; `None` if the worker is full and no copy is idle.
     fn copy(&mut self, now: Time, function: FunctionId) -> Option<(Time, bool)> {
         if let Some((up, used)) = self.copies.get_mut(&function) {
             *used = now;
             return Some((*up, false));
         }
         if self.copies.len() as f64 >= plan::COPIES_A_WORKER {
-            let idle = self.copies.iter().filter(|(_, (up, used))| *up <= now && now - *used >= WORK);
+            let idle = self.copies.iter().filter(|(_, (up, used))| *up <= now && now - *used >= WORK_TIME);
             let oldest = *idle.min_by_key(|(f, (_, used))| (*used, **f))?.0;
             self.copies.remove(&oldest);
         }
-        let up = now + LOAD;
+        let up = now + LOAD_TIME;
         self.copies.insert(function, (up, now));
         Some((up, true))
     }
 }
 
-enum What {
+enum WorkerEvent {
     Call(usize),
     Wake(usize),
     Sweep(usize),
@@ -228,7 +228,7 @@
     Told(usize, ConnId, RequestId, Outcome, CopyReport, u64),
 }
 
-struct Event(Time, u64, What);
+struct Event(Time, u64, WorkerEvent);
 
 impl PartialEq for Event {
     fn eq(&self, other: &Event) -> bool {
@@ -247,7 +247,7 @@
     }
 }
 
-struct Play {
+struct WorkerSimulation {
     scene: Scene,
     now: Time,
     events: BinaryHeap<Reverse<Event>>,
@@ -256,7 +256,7 @@
     schedulers: Vec<Scheduler>,
     workers: Vec<Worker>,
     by_id: BTreeMap<WorkerId, usize>,
-    /// What all workers have borne; `bytes` both ways.
+    /// Totals over all workers; `bytes` in both directions.
     dials: u64,
     attempts: u64,
     probes: u64,
@@ -284,9 +284,9 @@
     settings.as_object().cloned().unwrap_or_default()
 }
 
-impl Play {
-    fn new(scene: Scene, seed: u64) -> Play {
-        let mut play = Play {
+impl WorkerSimulation {
+    fn new(scene: Scene, seed: u64) -> WorkerSimulation {
+        let mut play = WorkerSimulation {
             scene,
             now: Time(10_000_000),
             events: BinaryHeap::new(),
@@ -307,7 +307,7 @@
         for no in 0..scene.played {
             let seed = u128::from(play.rng.rand_u64());
             let pool = Pool::new(LIMITS, seed);
-            let desk = Desk { pool, sockets: Sockets::default(), seen: Vec::new(), denied: 0 };
+            let desk = SimulatedDriver { pool, sockets: Sockets::default(), seen: Vec::new(), denied: 0 };
             let mut engine = Engine::start(play.now, desk, seed, settings(scene.sharing));
             engine.list_begin_received(1, 1, None);
             for worker in 0..scene.workers {
@@ -320,53 +320,53 @@
             let (conns, wake) = (BTreeMap::new(), None);
             play.schedulers.push(Scheduler { engine, hints, run, tag: 0, conns, wake });
             let (first, sweep) = (play.rng.rand_range(0..TICK.0), play.rng.rand_range(0..TICK.0));
-            play.plan(Time(first), What::Call(no));
-            play.plan(Time(sweep), What::Sweep(no));
+            play.plan(Time(first), WorkerEvent::Call(no));
+            play.plan(Time(sweep), WorkerEvent::Sweep(no));
             play.settle(no);
         }
         play
     }
 
-    fn plan(&mut self, delay: Time, what: What) {
+    fn plan(&mut self, delay: Time, what: WorkerEvent) {
         self.next += 1;
         self.events.push(Reverse(Event(self.now + delay, self.next, what)));
     }
 
-    /// Half of the ways are within a zone where all are in one, one in sixteen where they are not.
+    /// Latency between a worker and a scheduler: within a zone if lists are by zone or the two happen to share one.
     fn way(&self, worker: usize, scheduler: usize) -> Time {
         let near = self.scene.choice == Choice::Zone || worker % crate::scale::place::ZONES == scheduler % 16;
-        WAY[usize::from(!near)]
+        LATENCY[usize::from(!near)]
     }
 
-    /// Carries out what a scheduler's pool has done, and plans its next wake-up.
+    /// Executes the actions of a scheduler's pool and plans its next wake-up.
     fn settle(&mut self, no: usize) {
         let s = &mut self.schedulers[no];
         for (worker, function, hint, held) in std::mem::take(&mut s.engine.driver().seen) {
             self.sights +=
                 u64::from(s.hints.observe(self.now, s.run, worker, function, hint, held).is_some());
         }
-        let acts = std::mem::take(&mut s.engine.driver().sockets.acts);
+        let actions = std::mem::take(&mut s.engine.driver().sockets.actions);
         let wake = s.engine.next_wake().filter(|at| s.wake.is_none_or(|planned| *at < planned));
         if let Some(at) = wake {
             s.wake = Some(at);
             let delay = at - self.now;
-            self.plan(delay, What::Wake(no));
+            self.plan(delay, WorkerEvent::Wake(no));
         }
-        for act in acts {
+        for act in actions {
             match act {
-                Act::Dial(conn, worker) => {
+                PoolAction::Dial(conn, worker) => {
                     self.dials += 1;
                     let worker_no = self.by_id[&worker];
                     self.schedulers[no].conns.insert(conn, worker);
                     let way = self.way(worker_no, no);
-                    self.plan(Time(3 * way.0), What::Up(no, conn));
+                    self.plan(Time(3 * way.0), WorkerEvent::Up(no, conn));
                 }
-                Act::Send(conn, request, asked, bytes) => {
+                PoolAction::Send(conn, request, asked, bytes) => {
                     let Some(worker) = self.schedulers[no].conns.get(&conn) else { continue };
                     let way = self.way(self.by_id[worker], no);
-                    self.plan(way, What::AtWorker(no, conn, request, asked, bytes));
+                    self.plan(way, WorkerEvent::AtWorker(no, conn, request, asked, bytes));
                 }
-                Act::Close(conn) => drop(self.schedulers[no].conns.remove(&conn)),
+                PoolAction::Close(conn) => drop(self.schedulers[no].conns.remove(&conn)),
             }
         }
     }
@@ -375,7 +375,7 @@
         let Some(worker) = self.schedulers[no].conns.get(&conn).map(|w| self.by_id[w]) else { return };
         let (now, whole) = (self.now, self.scene.is_whole());
         let mut copy = |function| {
-            // Beside all others, who are not played, each function is warm wherever it was asked for before.
+            // In a sample, each function counts as warm, because the schedulers left out would have requested it.
             if whole {
                 self.workers[worker].copy(now, function)
             } else {
@@ -399,7 +399,11 @@
                         let waited = up > now;
                         self.cold += u64::from(waited);
                         let met = if begun { CopyReport::BeganLoad } else { CopyReport::WaitedForLoad };
-                        (up.max(now) - now + WORK, Outcome::Ok, if waited { met } else { CopyReport::Warm })
+                        (
+                            up.max(now) - now + WORK_TIME,
+                            Outcome::Ok,
+                            if waited { met } else { CopyReport::Warm },
+                        )
                     }
                     None => (Time(0), Outcome::Full, CopyReport::Unreported),
                 }
@@ -412,13 +416,13 @@
         }
         let held = 1;
         let way = self.way(worker, no);
-        self.plan(delay + way, What::Told(no, conn, request, outcome, word, held));
+        self.plan(delay + way, WorkerEvent::Told(no, conn, request, outcome, word, held));
     }
 
-    fn step(&mut self, what: What) {
+    fn step(&mut self, what: WorkerEvent) {
         let now = self.now;
         match what {
-            What::Call(no) => {
+            WorkerEvent::Call(no) => {
                 let rank = (self.scene.functions as f64).powf(self.rng.rand_float()) as u64;
                 let s = &mut self.schedulers[no];
                 s.tag += 1;
@@ -428,31 +432,31 @@
                 self.settle(no);
                 let mean = 10_000.0 / plan::calls_each();
                 let pause = -(1.0 - self.rng.rand_float()).ln() * mean;
-                self.plan(Time(pause as u64), What::Call(no));
+                self.plan(Time(pause as u64), WorkerEvent::Call(no));
             }
-            What::Wake(no) => {
+            WorkerEvent::Wake(no) => {
                 let s = &mut self.schedulers[no];
                 s.wake = s.wake.filter(|at| *at > now);
                 s.engine.advance(now);
                 self.settle(no);
             }
-            What::Sweep(no) => {
+            WorkerEvent::Sweep(no) => {
                 let desk = self.schedulers[no].engine.driver();
                 desk.pool.close_idle(now, &mut desk.sockets);
                 self.settle(no);
                 self.schedulers[no].hints.sweep(now);
-                self.plan(TICK, What::Sweep(no));
+                self.plan(TICK, WorkerEvent::Sweep(no));
             }
-            What::Up(no, conn) => {
+            WorkerEvent::Up(no, conn) => {
                 let desk = self.schedulers[no].engine.driver();
                 desk.pool.conn_up(now, &mut desk.sockets, conn);
                 self.schedulers[no].engine.process_ends(now);
                 self.settle(no);
             }
-            What::AtWorker(no, conn, request, asked, bytes) => {
+            WorkerEvent::AtWorker(no, conn, request, asked, bytes) => {
                 self.at_worker(no, conn, request, asked, bytes)
             }
-            What::Told(no, conn, request, outcome, copy, held) => {
+            WorkerEvent::Told(no, conn, request, outcome, copy, held) => {
                 let s = &mut self.schedulers[no];
                 let desk = s.engine.driver();
                 if desk.pool.is_open_on(request, conn) {
@@ -485,7 +489,7 @@
 
 /// Plays a scene; what one worker bears from all that share it, the share of those not played put up.
 pub fn borne(scene: Scene, seed: u64) -> Borne {
-    let mut play = Play::new(scene, seed);
+    let mut play = WorkerSimulation::new(scene, seed);
     play.run(scene.warm);
     let before = play.denied();
     (play.dials, play.attempts, play.probes, play.loads, play.reports) = (0, 0, 0, 0, 0);
