--- a/crates/curlewpoint-emulator/src/broker.rs
+++ b/crates/curlewpoint-emulator/src/broker.rs
@@ -404,7 +404,7 @@
                 c.contents.body(channel_id, &data).map(|content| (channel_id, content))
             }
             AMQPFrame::Heartbeat => return self.driver.send(conn, AMQPFrame::Heartbeat),
-            _ => return self.close_with_error(conn, 503, "a frame that has channel_id place here"),
+            _ => return self.close_with_error(conn, 503, "a frame that has no place here"),
         };
         match content {
             Err(e) => self.close_with_error(conn, 505, &e.to_string()),
